--- a/src/main/java/org/micabarrow/weights/ChunkFetcher.java
+++ b/src/main/java/org/micabarrow/weights/ChunkFetcher.java
@@ -14,25 +14,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Fetches weight versions from other agents and, for the chunks that fall to this one, from the origin. */
+/** Fetches weight versions from other agents and, for the chunks assigned to this agent, from the origin. */
 public final class ChunkFetcher {
 
     private static final Logger LOG = LoggerFactory.getLogger(ChunkFetcher.class);
 
     private final Parts parts;
 
-    /** Until when agents that did not answer are passed over, whichever version is fetched. */
+    /** The time until which each unresponsive agent is skipped, whichever version is fetched. */
     private final Map<String, Long> silentUntil = new ConcurrentHashMap<>();
 
     /**
-     * What a fetcher works with.
+     * The collaborators of a fetcher.
      *
-     * @param peers asks other agents
-     * @param origin asks the origin
-     * @param originAddress where the origin is, if it is known
-     * @param sources whom to ask, as seen now
-     * @param downlink waits until the link can spare some bytes
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param peers the client for other agents
+     * @param origin the client for the origin
+     * @param originAddress the address of the origin, if known
+     * @param sources the sources of each chunk, given the agents currently known
+     * @param downlink waits until the downlink can take the given number of bytes
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     public record Parts(
             ChunkPeers peers,
@@ -43,20 +43,20 @@
             LongSupplier steadyMillis) {}
 
     /**
-     * Makes a fetcher.
+     * Creates a fetcher.
      *
-     * @param parts what it works with
+     * @param parts its collaborators
      */
     public ChunkFetcher(Parts parts) {
         this.parts = Objects.requireNonNull(parts, "parts is null");
     }
 
     /**
-     * Learns the digests of a version, from the origin or else from any agent.
+     * Fetches the digests of a version, from the origin or else from any other agent.
      *
      * @param model the model
      * @param version the version
-     * @return an empty set of its chunks
+     * @return an empty chunk set of the version; a failure if no source has the digests
      */
     public Result<ChunkSet> begin(String model, long version) {
         Optional<String> from = parts.originAddress().get();
@@ -75,10 +75,10 @@
     }
 
     /**
-     * Fetches all missing chunks.
+     * Fetches all missing chunks. Returns once the set is complete or the version is no longer wanted.
      *
      * @param set the set to fill
-     * @param wanted whether the version is still wanted; fetching ends when it is not
+     * @param wanted whether the version is still wanted
      * @throws InterruptedException if the thread is interrupted
      */
     public void fetch(ChunkSet set, BooleanSupplier wanted) throws InterruptedException {
--- a/src/main/java/org/micabarrow/weights/ChunkLeads.java
+++ b/src/main/java/org/micabarrow/weights/ChunkLeads.java
@@ -10,15 +10,15 @@
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
- * Which of some agents leads for which chunk: rendezvous hashing with bounded loads. For each chunk all agents are ranked
- * by a digest of both; the one that ranks highest leads, unless it leads for its even part of the chunks already. The
- * result depends on the agents alone, not on who works it out. Immutable.
+ * Assigns each chunk a leader among agents: rendezvous hashing with bounded loads. For each chunk, all agents are
+ * ranked by a digest of agent and chunk. The highest-ranked agent leads, unless it already leads its even share of the
+ * chunks. The result depends on the agents alone, so every agent computes the same one. Immutable.
  */
 final class ChunkLeads {
 
     private final List<Agent> agents;
 
-    /** For each chunk, the agents as they rank for it. */
+    /** The agents in rank order, for each chunk. */
     private final List<List<Agent>> ranked;
 
     private ChunkLeads(List<Agent> agents, List<List<Agent>> ranked) {
@@ -26,13 +26,13 @@
         this.ranked = ranked;
     }
 
-    // -- making
+    // -- construction
 
     /**
      * Ranks agents for each chunk.
      *
      * @param agents the agents
-     * @param chunks how many chunks there are
+     * @param chunks the number of chunks
      * @return the ranking
      */
     static ChunkLeads of(List<Agent> agents, int chunks) {
@@ -50,7 +50,7 @@
     }
 
     /**
-     * The same ranking without the agents of other regions.
+     * Returns the same ranking restricted to the agents of one region.
      *
      * @param region the region
      * @return the ranking of its agents
@@ -65,10 +65,10 @@
         return agents.stream().filter(agent -> agent.region().equals(region)).toList();
     }
 
-    // -- questions
+    // -- queries
 
     /**
-     * The agents that are ranked.
+     * The ranked agents.
      *
      * @return the agents, in the order in which they were given
      */
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Gives each of some chunks the agent that leads for it; there is at least one agent.
+     * Assigns a leader to each of some chunks. There must be at least one agent.
      *
-     * @param chunks the numbers of the chunks
-     * @return the lead of each
+     * @param chunks the indexes of the chunks
+     * @return the leader of each chunk
      */
     Map<Integer, Agent> spread(List<Integer> chunks) {
         int part = Math.ceilDiv(chunks.size(), agents.size());
@@ -98,10 +98,10 @@
     }
 
     /**
-     * The order in which agents take up a chunk: its lead, then the others as they rank for it.
+     * The order in which agents obtain a chunk: its leader, then the others by rank.
      *
-     * @param lead the one that leads
-     * @param index the chunk's number
+     * @param leader the chunk's leader
+     * @param index the chunk's index
      * @return the agents in that order
      */
     List<Agent> leadFirst(Agent lead, int index) {
--- a/src/main/java/org/micabarrow/weights/ChunkPeers.java
+++ b/src/main/java/org/micabarrow/weights/ChunkPeers.java
@@ -4,36 +4,36 @@
 import java.util.List;
 import org.micabarrow.state.Result;
 
-/** Other agents, as givers of chunks. */
+/** Client for the chunks that other agents hold. */
 public interface ChunkPeers {
 
     /**
-     * A chunk with its number.
+     * A chunk with its index.
      *
-     * @param index which chunk
-     * @param bytes its bytes, not checked
+     * @param index the chunk's index
+     * @param bytes its content, not verified
      */
     record Numbered(int index, byte[] bytes) {}
 
     /**
-     * The digests of a version's chunks.
+     * Requests the digests of a version's chunks.
      *
-     * @param agent whom to ask
+     * @param agent the agent's address
      * @param model the model
      * @param version the version
-     * @return the digests, in order
+     * @return the digests, in chunk order
      */
     Result<List<String>> digests(String agent, String model, long version);
 
     /**
-     * Any one of some chunks. The agent holds the question for a while until it has one of them.
+     * Requests any one of some chunks. The agent delays its answer for a while until it has one of them.
      *
-     * @param agent whom to ask
+     * @param agent the agent's address
      * @param model the model
      * @param version the version
-     * @param wanted which chunks are wanted
-     * @return a chunk; {@code NOT_READY} if the agent is still fetching them or only its connection broke, {@code NOT_FOUND}
-     *     if it has not begun to
+     * @param wanted the indexes of the wanted chunks
+     * @return a chunk; {@code NOT_READY} if the agent is still fetching them or only its connection broke, {@code
+     *     NOT_FOUND} if it has not started to fetch the version
      */
     Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted);
 }
--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -12,9 +12,7 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import org.micabarrow.state.Digest;
 
-/**
- * The chunks of one weight version that an agent has, each checked against its digest. Safe for any number of threads.
- */
+/** The chunks of one weight version that an agent has, each verified against its digest. Thread-safe. */
 public final class ChunkSet {
 
     private final String model;
@@ -23,11 +21,11 @@
     private final List<CompletableFuture<byte[]>> chunks = new ArrayList<>();
     private final AtomicIntegerArray given;
 
-    /** Where this agent begins among chunks that it has given equally often. */
+    /** The index at which this agent starts among chunks that it has served equally often. */
     private final int start;
 
     /**
-     * Makes an empty set.
+     * Creates an empty set.
      *
      * @param model the model
      * @param version the weight version
@@ -63,7 +61,7 @@
     /**
      * The digests of all chunks.
      *
-     * @return the digests, in order
+     * @return the digests, in chunk order
      */
     public List<String> digests() {
         return digests;
@@ -72,11 +70,11 @@
     // -- chunks
 
     /**
-     * Takes a chunk, if its bytes have the right digest.
+     * Adds a chunk if its content matches the digest.
      *
-     * @param index which chunk
-     * @param bytes its bytes
-     * @return whether they are right
+     * @param index the chunk's index
+     * @param bytes the content
+     * @return whether the content matches
      */
     public boolean put(int index, byte[] bytes) {
         if (!right(index, bytes)) {
@@ -87,11 +85,11 @@
     }
 
     /**
-     * Whether bytes are those of a chunk.
+     * Whether some content matches the digest of a chunk.
      *
-     * @param index which chunk
-     * @param bytes the bytes
-     * @return whether their digest is the chunk's
+     * @param index the chunk's index
+     * @param bytes the content
+     * @return whether its digest is that of the chunk
      */
     public boolean right(int index, byte[] bytes) {
         return digests.get(index).equals(Digest.of(bytes));
@@ -100,20 +98,20 @@
     /**
      * A chunk.
      *
-     * @param index which one
-     * @return its bytes, empty if it is not here yet
+     * @param index the chunk's index
+     * @return its content, empty if it is not present yet
      */
     public Optional<byte[]> chunk(int index) {
         return Optional.ofNullable(chunks.get(index).getNow(null));
     }
 
     /**
-     * Takes, of some chunks, the one that was given away least often, so that askers get different ones and can exchange
-     * them. Of several, agents take different ones: whoever asks many agents for the same chunks got each of the last ones
-     * from all of them, which filled its link with what it had.
+     * Picks the wanted chunk that was served least often, so that agents that fetch the same version get different
+     * chunks and can exchange them. Ties are broken differently by each agent. Otherwise an agent that requested the
+     * last missing chunks from many agents got the same chunk from all of them, which filled its link with duplicates.
      *
-     * @param wanted which chunks would do
-     * @return the chunk's index, empty if none of them is here
+     * @param wanted the indexes of the acceptable chunks
+     * @return the index of the chunk, empty if none of them is present
      */
     public OptionalInt give(BitSet wanted) {
         OptionalInt index = wanted.stream()
@@ -130,22 +128,22 @@
         return Math.floorMod(index - start, chunks.size());
     }
 
-    /** Whether the chunks from one index up to another, the latter not included, are here. */
+    /** Whether the chunks from {@code first} (inclusive) to {@code end} (exclusive) are present. */
     boolean hasAll(int first, int end) {
         return chunks.subList(first, end).stream().allMatch(CompletableFuture::isDone);
     }
 
     /**
-     * Whether all chunks are here.
+     * Whether all chunks are present.
      *
-     * @return true once the last has come
+     * @return true if none is missing
      */
     public boolean complete() {
         return chunks.stream().allMatch(CompletableFuture::isDone);
     }
 
     /**
-     * How many chunks are here.
+     * The number of chunks that are present.
      *
      * @return their number
      */
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -11,11 +11,12 @@
 import org.micabarrow.routing.EndpointEntry;
 
 /**
- * From whom an agent asks each chunk of a version. All agents work the same out without a word: one agent of all fetches
- * a chunk from the origin, one of each other region fetches it from that one, and the others of a region from the one
- * there. So each chunk leaves the origin once and crosses into each region once. Every agent leads for an even part of the
- * chunks, however uneven the regions are, and an agent that comes or goes changes little for the chunks of the others
- * ({@link ChunkLeads}). An agent whose better-ranked sources fail falls back towards the origin.
+ * The agents from which one agent fetches each chunk of a version. All agents compute the same assignment without
+ * communicating: one agent of all fetches a chunk from the origin, one agent of each other region fetches it from that
+ * one, and the other agents of a region fetch it within the region. So each chunk leaves the origin once and enters
+ * each region once. Every agent leads an even share of the chunks, however uneven the regions are, and an agent that
+ * joins or goes changes few assignments of the others ({@link ChunkLeaders}). If the preferred sources of an agent
+ * fail, it falls back towards the origin.
  */
 public final class ChunkSources {
 
@@ -26,19 +27,19 @@
     /**
      * An agent.
      *
-     * @param address the host and port where it hands out chunks
+     * @param address the host and port where it serves chunks
      * @param region its region
      */
     public record Agent(String address, String region) {
 
         /**
-         * The agents beside the endpoints of a service. Those of endpoints that leave are left out: their instances may
-         * go at any moment, with chunks that nobody else has.
+         * The agents beside the endpoints of a service. Agents of draining endpoints are left out: their instances may
+         * disappear at any moment, with chunks that no other agent has.
          *
          * @param endpoints the service's endpoints
-         * @param port the port at which all agents listen
+         * @param port the port on which all agents listen
          * @param regions the region of each data hall
-         * @return the agents, each once
+         * @return the agents, without duplicates
          */
         public static List<Agent> beside(List<EndpointEntry> endpoints, int port, Map<String, String> regions) {
             return endpoints.stream()
@@ -56,14 +57,14 @@
         this.sources = sources;
     }
 
-    // -- making
+    // -- construction
 
     /**
-     * Works out the sources of one agent.
+     * Computes the sources of one agent.
      *
      * @param self the agent
-     * @param agents all agents, this one included or not
-     * @param chunks how many chunks a version has
+     * @param agents all agents; may include {@code self}
+     * @param chunks the number of chunks of a version
      * @return the sources
      */
     public static ChunkSources of(Agent self, List<Agent> agents, int chunks) {
@@ -83,13 +84,19 @@
         return new ChunkSources(self, region.agents(), sources);
     }
 
-    /** All agents, with this one in its own region, wherever it is listed. */
+    /**
+     * All agents including this one, which is always listed under its own region, whatever region the input gives for
+     * it.
+     */
     private static List<Agent> with(Agent self, List<Agent> agents) {
         Stream<Agent> others = agents.stream().filter(agent -> !agent.address().equals(self.address()));
         return Stream.concat(others, Stream.of(self)).toList();
     }
 
-    /** Who leads for each chunk in a region: whoever leads for all if it is there; the other chunks are spread anew. */
+    /**
+     * The leader of each chunk in this region: the leader among all agents if it is in the region; all other chunks are
+     * assigned to agents of the region.
+     */
     private static Map<Integer, Agent> regionLeads(
             Agent self, ChunkLeads region, Map<Integer, Agent> originLeads, List<Integer> chunks) {
         List<Integer> foreign = chunks.stream()
@@ -100,7 +107,10 @@
         return leads;
     }
 
-    /** The agents that take up a chunk before this one, and the one that fetches it for all if that is elsewhere. */
+    /**
+     * The agents that obtain a chunk before this one, followed by the leader among all agents if it is in another
+     * region.
+     */
     private static List<String> sources(Agent self, List<Agent> order, Agent originLead) {
         List<String> sources = new ArrayList<>();
         order.stream()
@@ -113,30 +123,30 @@
         return List.copyOf(sources);
     }
 
-    // -- following the agents that are seen
+    // -- tracking the known agents
 
     /**
-     * Works out the sources of one agent, and keeps them for as long as the agents stay the same.
+     * Creates a cache that computes the sources of one agent and recomputes them when the set of agents changes.
      *
      * @param self the agent
-     * @param agents tells all agents as seen now, in any order
-     * @return gives the sources for a number of chunks
+     * @param agents supplies all agents currently known, in any order
+     * @return the sources by number of chunks
      */
     public static FollowedSources following(Agent self, Supplier<List<Agent>> agents) {
         return new FollowedSources(self, agents);
     }
 
-    // -- questions
+    // -- queries
 
-    /** How many chunks a version has. */
+    /** The number of chunks of a version. */
     int chunks() {
         return sources.size();
     }
 
     /**
-     * The agents to ask for a chunk, best first; after the last comes the origin.
+     * The agents from which to fetch a chunk, best first. The origin comes after the last one.
      *
-     * @param index which chunk
+     * @param index the chunk's index
      * @return the agents, possibly none
      */
     public List<String> of(int index) {
@@ -144,7 +154,7 @@
     }
 
     /**
-     * The other agents of this one's region.
+     * The other agents of this agent's region.
      *
      * @return their addresses
      */
--- a/src/main/java/org/micabarrow/weights/Cordon.java
+++ b/src/main/java/org/micabarrow/weights/Cordon.java
@@ -6,18 +6,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps new requests away from an endpoint before it gets an order, so that none is on its way there when the order is
- * given. A request that waited at an endpoint while its instance stood still would begin on the old version whenever the
- * instance goes on. Written by one thread, read by any.
+ * Keeps new requests away from an endpoint before it is ordered to load a version, so that no request is on its way
+ * when the order is given. A request that waited at the endpoint while its instance was paused would start on the old
+ * version whenever the instance resumes. Written by one thread, read by any.
  */
 final class Cordon {
 
     private static final Logger LOG = LoggerFactory.getLogger(Cordon.class);
 
     /**
-     * How long an endpoint gets no new requests before its order, in milliseconds: the longest pause between two questions
-     * of an entry, should the datagram that tells at once be lost, and the way there. Requests that run take longer to end,
-     * and the endpoint waits for them anyhow.
+     * How long an endpoint gets no new requests before its order, in milliseconds: the longest interval between two
+     * load queries of an entry, in case the immediate notification is lost, plus the network delay. Running requests
+     * take longer to finish, and the endpoint waits for them anyway.
      */
     static final long MILLIS = 500;
 
@@ -25,20 +25,20 @@
     private volatile OptionalLong sinceMillis = OptionalLong.empty();
 
     /**
-     * Makes a cordon that is open.
+     * Creates an open cordon.
      *
-     * @param tellEntries tells entries at once how the endpoint is
+     * @param notifyEntries notifies entries immediately that the endpoint's state has changed
      */
     Cordon(Runnable tellEntries) {
         this.tellEntries = Objects.requireNonNull(tellEntries, "tellEntries is null");
     }
 
-    /** Whether entries are to send nothing. */
+    /** Whether entries must send no requests. */
     boolean closed() {
         return sinceMillis.isPresent();
     }
 
-    /** Closes the cordon if it is open, and tells whether all entries have had the time to learn of it. */
+    /** Closes the cordon if it is open. Returns whether it has been closed for long enough that all entries know. */
     boolean closedLongEnough(long nowMillis) {
         if (sinceMillis.isEmpty()) {
             sinceMillis = OptionalLong.of(nowMillis);
@@ -48,7 +48,7 @@
         return nowMillis - sinceMillis.getAsLong() >= MILLIS;
     }
 
-    /** Opens the cordon, if it is closed. */
+    /** Opens the cordon if it is closed. */
     void lift() {
         if (closed()) {
             sinceMillis = OptionalLong.empty();
--- a/src/main/java/org/micabarrow/weights/CurrentSources.java
+++ b/src/main/java/org/micabarrow/weights/CurrentSources.java
@@ -10,15 +10,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * The source that each missing chunk of a version is asked from now: one of the agents in their order, or the
- * origin after the last. Agents that did not answer are passed over for a while. Safe for any number of threads.
+ * Selects the source from which each missing chunk of a version is fetched next: an agent, in order of preference, or
+ * the origin after the last agent. Agents that did not answer are skipped for a while. Thread-safe.
  */
 final class CurrentSources {
 
-    /** Stands for the origin among the names of sources. */
+    /** The name of the origin among the sources. */
     static final String ORIGIN = "origin";
 
-    /** How long an agent that did not answer is passed over, in milliseconds. */
+    /** How long an agent that did not answer is skipped, in milliseconds. */
     private static final long PASSED_OVER_MILLIS = 8_000;
 
     private final IntFunction<ChunkSources> sources;
@@ -28,12 +28,13 @@
     private final AtomicIntegerArray positions;
 
     /**
-     * Begins with the first agent for each chunk.
+     * Starts with the first source of each chunk.
      *
-     * @param sources whom to ask for which chunk of so many, as seen now
-     * @param set the chunks that are here
-     * @param silentUntil until when agents are passed over; kept by the caller, safe for any number of threads
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param sources the sources for a number of chunks, given the agents currently known
+     * @param set the chunks that are present
+     * @param unresponsiveUntil the time until which each unresponsive agent is skipped; a thread-safe map owned by the
+     *     caller
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     CurrentSources(
             IntFunction<ChunkSources> sources, ChunkSet set, Map<String, Long> silentUntil, LongSupplier steadyMillis) {
@@ -44,9 +45,9 @@
         this.positions = new AtomicIntegerArray(set.digests().size());
     }
 
-    // -- questions
+    // -- queries
 
-    /** The sources to ask: the agents nearby, and the current source of each missing chunk. */
+    /** The sources to fetch from: the agents of this region, and the current source of each missing chunk. */
     Set<String> toAsk() {
         ChunkSources now = now();
         Set<String> all = new LinkedHashSet<>();
@@ -59,7 +60,7 @@
         return all;
     }
 
-    /** The chunks to ask a source for. */
+    /** The chunks to request from a source. */
     BitSet wantedFrom(String source) {
         ChunkSources now = now();
         BitSet own = new BitSet();
@@ -70,7 +71,8 @@
                 own.set(i, source(now, i).equals(source));
             }
         }
-        // An agent nearby that has given all that is wanted from it may have what a slower one still owes.
+        // An agent of this region that has served all chunks requested from it may have chunks that a slower one has
+        // not served.
         return own.isEmpty() && now.near().contains(source) && !silent(source) ? missing : own;
     }
 
@@ -91,19 +93,19 @@
         return silentUntil.getOrDefault(agent, Long.MIN_VALUE) > steadyMillis.getAsLong();
     }
 
-    // -- changes
+    // -- updates
 
-    /** Asks for a chunk from the next source. */
+    /** Switches a chunk to its next source. */
     void askNext(int index) {
         positions.incrementAndGet(index);
     }
 
-    /** Asks for a chunk from the first source again. */
+    /** Switches a chunk back to its first source. */
     void askFirst(int index) {
         positions.set(index, 0);
     }
 
-    /** Asks for those of some chunks that come from a source from the next one. */
+    /** Switches those of the given chunks whose current source is the given one to their next source. */
     void leave(String source, BitSet indexes) {
         ChunkSources now = now();
         indexes.stream().filter(i -> isCurrent(now, i, source)).forEach(this::askNext);
@@ -115,7 +117,7 @@
         return position < agents.size() && agents.get(position).equals(source);
     }
 
-    /** Asks an agent that did not answer for nothing for a while. */
+    /** Skips an agent that did not answer for a while. */
     void passOver(String source) {
         silentUntil.put(source, steadyMillis.getAsLong() + PASSED_OVER_MILLIS);
     }
--- a/src/main/java/org/micabarrow/weights/FetchChoice.java
+++ b/src/main/java/org/micabarrow/weights/FetchChoice.java
@@ -1,65 +1,68 @@
 package org.micabarrow.weights;
 
 /**
- * Which of two weight versions is fetched first: the newest, or one that was named before it and may still answer for a while.
- * Worked out from what is told alone. Of both ways the service that the endpoint loses is estimated, up to when it serves the
- * newest version, and the one that loses less is taken.
+ * Decides which of two weight versions is fetched first: the newest, or one that was named before it and may still be
+ * served for a while. Depends on the given situation alone. For both alternatives, the service time that the endpoint
+ * loses until it serves the newest version is estimated, and the one with the smaller loss is chosen.
  */
 sealed interface FetchChoice {
 
     /**
-     * How long a change of versions takes an endpoint out, in milliseconds, from the first request that is kept away to the first
-     * that is begun again: the average of a day with two versions (docs/ADMISSION.md).
+     * How long a switch of versions takes an endpoint out of service, in milliseconds, from the first request that is
+     * kept away to the first that is started again: the average of a day with two versions (docs/ADMISSION.md).
      */
     long CHANGE_MILLIS = 2_600;
 
-    /** The part of that which is left when nothing runs at the endpoint any more: it warms up, and entries learn of it. */
+    /**
+     * The part of a switch that remains if no request runs at the endpoint any more, in milliseconds: the warm-up, and
+     * the time until entries know that it serves again.
+     */
     long IDLE_CHANGE_MILLIS = 500;
 
     /**
-     * How much less another way must lose before it is changed to, in milliseconds: what was asked for is on its way, and comes for
-     * nothing.
+     * By how much the loss of the alternative must be smaller to switch to it, in milliseconds: chunks that were
+     * already requested are still in transit and would be wasted.
      */
     long MARGIN_MILLIS = 300;
 
-    /** The most that is counted, in milliseconds: what is further away is as good as never. */
+    /** The maximum of an estimate, in milliseconds. Anything later is equivalent to never. */
     long HORIZON_MILLIS = 60_000;
 
     /** The version to fetch. */
     long version();
 
-    /** What is lost by it, in milliseconds of the endpoint's service. */
+    /** The estimated loss of this decision, in milliseconds of the endpoint's service. */
     long lostMillis();
 
-    /** What would be lost by the other, in milliseconds of the endpoint's service. */
+    /** The estimated loss of the alternative, in milliseconds of the endpoint's service. */
     long otherLostMillis();
 
     /**
-     * The newest version first.
+     * Fetch the newest version first.
      *
      * @param version the newest version
-     * @param lostMillis what is lost by it
-     * @param otherLostMillis what would be lost if the older were fetched first
+     * @param lostMillis the estimated loss
+     * @param otherLostMillis the estimated loss if the older version were fetched first
      */
     record Newest(long version, long lostMillis, long otherLostMillis) implements FetchChoice {}
 
     /**
-     * The older version first, then the newest.
+     * Fetch the older version first, then the newest.
      *
      * @param version the older version
-     * @param lostMillis what is lost by it
-     * @param otherLostMillis what would be lost if the newest were fetched straight away
+     * @param lostMillis the estimated loss
+     * @param otherLostMillis the estimated loss if the newest version were fetched immediately
      */
     record OlderFirst(long version, long lostMillis, long otherLostMillis) implements FetchChoice {}
 
     /**
-     * A version that is not here whole.
+     * A version that is not complete.
      *
      * @param version its number
-     * @param chunks how many chunks it has
-     * @param missing how many of them are missing
-     * @param awaitedMillis for how long none is expected to come
-     * @param chunkMillis how long one takes from then on; infinite if none comes
+     * @param chunks the number of its chunks
+     * @param missing the number of missing chunks
+     * @param delayMillis for how long no chunk is expected to arrive
+     * @param chunkMillis the time for each chunk from then on; infinite if none arrives
      */
     record Candidate(long version, int chunks, int missing, long awaitedMillis, double chunkMillis) {
 
@@ -74,12 +77,13 @@
     }
 
     /**
-     * What the choice goes by. Times are on one clock that never steps.
+     * The input of the decision. All times are on the same monotonic clock.
      *
-     * @param nowMillis the time now
-     * @param heldUntilMillis until when the endpoint serves what it holds; now or before if it serves nothing
+     * @param nowMillis the current time
+     * @param heldUntilMillis until when the endpoint may serve the version that it holds; the current time or earlier
+     *     if it serves none
      * @param older the version that was named before the newest
-     * @param olderUntilMillis until when it may be served
+     * @param olderUntilMillis until when the older version may be served
      * @param newest the newest version
      * @param current the version that is being fetched, 0 if none is
      */
@@ -91,12 +95,12 @@
             Candidate newest,
             long current) {
 
-        /** The service lost until the newest version serves, if it is fetched straight away. */
+        /** The service lost until the endpoint serves the newest version, if that is fetched immediately. */
         private long lostByNewest() {
             return lost(heldUntilMillis, newest.readyMillis(nowMillis + newest.awaitedMillis()));
         }
 
-        /** The same if the older is fetched first, whether or not the endpoint then takes it up on the way. */
+        /** The service lost if the older version is fetched first, whether the endpoint then loads it or skips it. */
         private long lostByOlder() {
             long older = olderReady();
             long newestReady = newest.readyMillis(Math.max(older, nowMillis + newest.awaitedMillis()));
@@ -109,14 +113,17 @@
             return older.readyMillis(nowMillis + older.awaitedMillis());
         }
 
-        /** Whether the older version may still answer when the endpoint could have it at the soonest. */
+        /**
+         * Whether the older version may still be served at the earliest time at which the endpoint could have loaded
+         * it.
+         */
         private boolean olderServes() {
             return olderReady() + IDLE_CHANGE_MILLIS < olderUntilMillis;
         }
 
         /**
-         * From the end of one version's service to the beginning of the next one's. A version that comes later than that end finds
-         * nothing running any more.
+         * The service lost between two versions. If the next version arrives after the previous one had to stop, no
+         * request runs any more and the switch is shorter.
          */
         private long lost(long untilMillis, long readyMillis) {
             long idle = readyMillis - Math.max(untilMillis, nowMillis);
@@ -129,10 +136,10 @@
     }
 
     /**
-     * Chooses.
+     * Decides which version to fetch first.
      *
-     * @param told what the choice goes by
-     * @return the version to fetch first
+     * @param situation the input
+     * @return the decision
      */
     static FetchChoice of(Situation told) {
         long newest = told.lostByNewest();
@@ -143,7 +150,10 @@
                 : new Newest(told.newest().version(), newest, older);
     }
 
-    /** While little of the newest comes the link is idle, so that a version which loses no more is fetched then. */
+    /**
+     * The margin in favour of the older version. While few chunks of the newest version arrive the link is idle, so the
+     * older version is fetched if it loses no more.
+     */
     private static long margin(Situation told) {
         if (told.current() == told.older().version()) {
             return MARGIN_MILLIS;
--- a/src/main/java/org/micabarrow/weights/FetchProgress.java
+++ b/src/main/java/org/micabarrow/weights/FetchProgress.java
@@ -2,16 +2,19 @@
 
 import java.util.function.LongSupplier;
 
-/** How fast the chunks of a version come, and whether they still do. Safe for any number of threads. */
+/** Measures how fast the chunks of a version arrive, and detects when they stop. Thread-safe. */
 final class FetchProgress {
 
     /**
-     * How long no chunk may come before the fetching counts as stalled, in milliseconds: a dozen chunks' time on a link, and
-     * longer than an agent holds a question for a chunk that is on its way.
+     * The time without a new chunk after which a fetch counts as stalled, in milliseconds: the time of a dozen chunks
+     * on a link, and longer than an agent delays its answer for a chunk that it is about to receive.
      */
     private static final long STALLED_MILLIS = 700;
 
-    /** How far back the pace is looked at, in milliseconds: ten chunks' time on a link at least. The pace is of one window or two. */
+    /**
+     * The length of the measuring window for the chunk rate, in milliseconds: the time of at least ten chunks on a
+     * link. The rate covers between one and two windows.
+     */
     private static final long WINDOW_MILLIS = 500;
 
     private final ChunkSet set;
@@ -21,7 +24,7 @@
     private int present;
     private long sinceMillis;
 
-    /** The looks by which the pace is told: the later at least a window after the earlier. */
+    /** The samples from which the chunk rate is computed, at least one window apart. */
     private Look earlier;
 
     private Look later;
@@ -40,22 +43,25 @@
         this.later = earlier;
     }
 
-    /** What is fetched. */
+    /** The chunks of the version being fetched. */
     ChunkSet set() {
         return set;
     }
 
-    /** How many chunks have come since the fetching began. */
+    /** The number of chunks that have arrived since the fetch started. */
     int came() {
         return set.present() - presentAtFirst;
     }
 
-    /** Whether it is of a version. */
+    /** Whether this is the progress of the given set. */
     boolean isOf(ChunkSet other) {
         return set.equals(other);
     }
 
-    /** How long some chunks are expected to take if they come as fast as those before; the greatest number if none has come. */
+    /**
+     * The expected time for some chunks at the average rate so far, in milliseconds; {@link Long#MAX_VALUE} if none has
+     * arrived.
+     */
     synchronized long expectedMillis(int chunks) {
         int came = set.present() - presentAtFirst;
         long took = steadyMillis.getAsLong() - beganMillis;
@@ -65,29 +71,29 @@
         return came == 0 ? Long.MAX_VALUE : took * chunks / came;
     }
 
-    /** Whether no chunk has come for a while. */
+    /** Whether no chunk has arrived for a while. */
     synchronized boolean stalled() {
         return silentMillis() > STALLED_MILLIS;
     }
 
-    /** For how long no chunk has come. */
+    /** The time since the last chunk arrived, in milliseconds. */
     synchronized long silentMillis() {
         look();
         return steadyMillis.getAsLong() - sinceMillis;
     }
 
-    /** Whether chunks had the time to come: before, nothing is told by how few have. */
+    /** Whether the fetch has run long enough for its rate to be meaningful. */
     synchronized boolean tells() {
         return steadyMillis.getAsLong() - beganMillis > STALLED_MILLIS;
     }
 
-    /** How long a chunk takes as they come lately, in milliseconds; infinite if none has come lately. */
+    /** The recent time per chunk, in milliseconds; infinite if none has arrived recently. */
     synchronized double chunkMillis() {
         look();
         return chunkMillis(steadyMillis.getAsLong());
     }
 
-    /** How long a chunk took when they came fastest, in milliseconds; infinite if none has come. */
+    /** The shortest time per chunk in any window, in milliseconds; infinite if none has arrived. */
     synchronized double bestChunkMillis() {
         return bestChunkMillis;
     }
--- a/src/main/java/org/micabarrow/weights/FetchRun.java
+++ b/src/main/java/org/micabarrow/weights/FetchRun.java
@@ -11,26 +11,31 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The fetching of one version: one thread a source asks it for any of the chunks that are wanted from it. A source that
- * fails, or keeps this agent waiting too long, loses its chunks to the next.
+ * Fetches one version, with one thread for each source that requests any of the chunks wanted from it. The chunks of a
+ * source that fails, or takes too long, are reassigned to their next sources.
  */
 final class FetchRun {
 
     private static final Logger LOG = LoggerFactory.getLogger(FetchRun.class);
 
     /**
-     * How long to wait for an agent that is fetching itself, in milliseconds: a version takes some three seconds on an
+     * How long to wait for an agent that is still fetching, in milliseconds: a version takes some three seconds on an
      * agent's link, and another copy from the origin costs more than the wait.
      */
     private static final long FETCHING_MILLIS = 3_500;
 
-    /** How long to wait for an agent that has not begun to fetch, in milliseconds: it may just hear later. */
+    /**
+     * How long to wait for an agent that has not started to fetch, in milliseconds: it may learn of the version later.
+     */
     private static final long UNAWARE_MILLIS = 700;
 
-    /** The pause after a question that brought no chunk, and between looks at what is missing, in milliseconds. */
+    /** The pause after a request that returned no chunk, and between checks for missing chunks, in milliseconds. */
     private static final long AGAIN_MILLIS = 30;
 
-    /** The pause after the origin gave nothing, in milliseconds: while it is away, every agent asks it again and again. */
+    /**
+     * The pause after a failed request to the origin, in milliseconds: while it is unavailable, every agent retries
+     * repeatedly.
+     */
     private static final long ORIGIN_AGAIN_MILLIS = 120;
 
     private final ChunkFetcher.Parts parts;
@@ -48,7 +53,7 @@
         this.wanted = wanted;
     }
 
-    /** Fetches until all chunks are here or the version is no longer wanted. */
+    /** Fetches until all chunks are present or the version is no longer wanted. */
     void run() throws InterruptedException {
         while (!set.complete() && wanted.getAsBoolean()) {
             current.toAsk().forEach(this::ask);
@@ -88,9 +93,10 @@
     }
 
     /**
-     * How long an agent has owed its chunks. While the origin is away nobody can have them, so the wait begins anew when the
-     * origin was last seen to be. Otherwise all agents ask the origin for all chunks once it is back, and its link, which
-     * carries a copy in 1.7 s, is full of copies for seconds: a version took 6.6 s after its return, where 4.4 s is usual.
+     * How long an agent has failed to deliver its chunks, in milliseconds. While the origin is unavailable no agent can
+     * get them, so the wait restarts at the last failure of the origin. Otherwise all agents request all chunks from
+     * the origin once it is back, and its link, which carries one copy in 1.7 s, is saturated for seconds: a version
+     * took 6.6 s after the origin's return instead of the usual 4.4 s.
      */
     private long waitedMillis(long lastGivenMillis) {
         return now() - Math.max(lastGivenMillis, originFailedMillis);
@@ -110,7 +116,7 @@
         };
     }
 
-    /** Goes round the chunks, so that one which the origin does not give holds up no other. */
+    /** Iterates over the chunks round-robin, so that a chunk that the origin does not deliver delays no other. */
     private int nextForOrigin(BitSet indexes) {
         int next = indexes.nextSetBit(originCursor);
         int index = next >= 0 ? next : indexes.nextSetBit(0);
@@ -128,7 +134,7 @@
             case Result.Failure<byte[]>(Fault fault) -> {
                 originFailedMillis = now();
                 missed(CurrentSources.ORIGIN, 1, fault.toString());
-                // Agents may have the chunk by now.
+                // Other agents may have the chunk by now.
                 current.askFirst(index);
                 yield false;
             }
@@ -143,7 +149,8 @@
             return false;
         }
         LOG.debug("event=chunk_here model={} version={} chunk={} from={}", set.model(), set.version(), index, source);
-        // The origin's own link, which all agents share, holds its chunks back; they are few here, and it may go away.
+        // Chunks of the origin are not throttled here: they are few, the link of the origin, which all agents share,
+        // limits them already, and the origin may become unavailable.
         if (!source.equals(CurrentSources.ORIGIN)) {
             parts.downlink().accept(bytes.length);
         }
--- a/src/main/java/org/micabarrow/weights/FollowedSources.java
+++ b/src/main/java/org/micabarrow/weights/FollowedSources.java
@@ -11,8 +11,7 @@
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
- * The sources of one agent among the agents that are seen now. What was worked out last is kept for as long as the agents
- * stay the same. Safe for any number of threads.
+ * The chunk sources of one agent, computed from the agents currently known and cached until these change. Thread-safe.
  */
 public final class FollowedSources implements IntFunction<ChunkSources> {
 
@@ -22,10 +21,10 @@
     private Optional<ChunkSources> last = Optional.empty();
 
     /**
-     * Begins with nothing worked out.
+     * Creates an empty cache.
      *
      * @param self the agent
-     * @param agents tells all agents as seen now, in any order
+     * @param agents supplies all agents currently known, in any order
      */
     FollowedSources(Agent self, Supplier<List<Agent>> agents) {
         this.self = Objects.requireNonNull(self, "self is null");
@@ -33,9 +32,9 @@
     }
 
     /**
-     * The sources as seen now.
+     * The sources for the agents currently known.
      *
-     * @param chunks how many chunks a version has
+     * @param chunks the number of chunks of a version
      * @return the sources
      */
     @Override
@@ -52,8 +51,8 @@
     }
 
     /**
-     * Whom to ask for what any agent may have: all others of this one's region, and then one of each other region. No more
-     * of those, since each may take its time to say no.
+     * The agents to query for data that any agent may have: all others of this region first, then one of each other
+     * region. Only one per region, since each may take long to answer that it has nothing.
      *
      * @return their addresses
      */
--- a/src/main/java/org/micabarrow/weights/LaidChunks.java
+++ b/src/main/java/org/micabarrow/weights/LaidChunks.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The chunks that lie beside an endpoint, where it takes up weights from: lays those of the version that is being fetched
- * as they come, and reads them back, since what lies there may turn bad. Used by one thread, but for {@link #readInto}.
+ * The chunks staged beside an endpoint, from which it loads weights. Stages the chunks of the version being fetched as
+ * they arrive, and reads them back, since staged chunks may become corrupted. Used by one thread, except {@link #readInto}.
  */
 final class LaidChunks {
 
@@ -24,7 +24,7 @@
     private OptionalLong startedMillis = OptionalLong.empty();
 
     /**
-     * Makes the place of an endpoint; of what lies there nothing is known.
+     * Creates the staging state of an endpoint. Nothing is known to be staged.
      *
      * @param endpoint the endpoint
      */
@@ -32,14 +32,14 @@
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
     }
 
-    // -- the endpoint's start
+    // -- restarts of the endpoint
 
     /**
-     * Takes note of the endpoint's start. What was laid beside a former one counts no more: it outlasts a crash, but not a loss of
-     * power.
+     * Records the endpoint's start time. After a restart, all chunks must be staged again: staged chunks survive a
+     * crash of the endpoint but not a loss of power.
      *
-     * @param now the Unix millisecond of the start; empty if the endpoint does not tell it
-     * @return whether the endpoint has started again
+     * @param now the start time as a Unix timestamp in milliseconds; empty if the endpoint does not report it
+     * @return whether the endpoint has restarted
      */
     boolean startedAgain(OptionalLong now) {
         OptionalLong before = startedMillis;
@@ -56,9 +56,12 @@
         return true;
     }
 
-    // -- laying
+    // -- staging
 
-    /** Lays the chunks of a version that have come since the last time, while it may; those of another version count no more. */
+    /**
+     * Stages the chunks of a version that have arrived since the last call, while {@code mayContinue} holds. Chunks
+     * staged for another version no longer count.
+     */
     void layNew(ChunkSet set, BooleanSupplier goesOn) {
         if (from.filter(set::equals).isEmpty()) {
             from = Optional.of(set);
@@ -74,7 +77,7 @@
         }
     }
 
-    /** Lays chunks once more, since what was laid may have turned bad; tells whether all of them lie there. */
+    /** Stages chunks again, since staged ones may be corrupted. Returns whether all of them were staged. */
     boolean layAgain(ChunkSet set, int first, int end) {
         if (from.filter(set::equals).isEmpty()) {
             laid.clear(first, end);
@@ -100,21 +103,21 @@
         return done.toOptional().isPresent();
     }
 
-    // -- what was laid
+    // -- state
 
-    /** Whether all chunks of the version that is being laid were laid. */
+    /** Whether all chunks of the version being staged are staged. */
     boolean all(ChunkSet set) {
         return laid.cardinality() == set.digests().size();
     }
 
-    /** How many of the version's chunks were not laid yet. */
+    /** The number of the version's chunks that are not staged yet. */
     int missing(ChunkSet set) {
         return set.digests().size() - laid.cardinality();
     }
 
     // -- reading back
 
-    /** Reads every chunk back and mends those that turned bad; tells whether all were right in this one pass. */
+    /** Reads all chunks back and stages corrupted ones again. Returns whether all were intact in this pass. */
     boolean verify(ChunkSet set) {
         int mended = 0;
         for (int i = 0; i < set.digests().size(); i++) {
@@ -139,7 +142,7 @@
         return mended == 0;
     }
 
-    /** Fills a set with those chunks that lie there and are right. */
+    /** Adds those staged chunks to a set that match its digests. */
     void readInto(ChunkSet set) {
         for (int i = 0; i < set.digests().size(); i++) {
             int index = i;
--- a/src/main/java/org/micabarrow/weights/ModelEndpoint.java
+++ b/src/main/java/org/micabarrow/weights/ModelEndpoint.java
@@ -6,21 +6,22 @@
 import java.util.OptionalLong;
 import org.micabarrow.state.Result;
 
-/** The endpoint beside an agent, as far as weights go. */
+/** The weight operations of the endpoint beside an agent. */
 public interface ModelEndpoint {
 
     /**
-     * What the endpoint says of itself.
+     * The state that the endpoint reports.
      *
-     * @param models the weight version that it holds of each model, with all layers
-     * @param parts the weight version of which it holds some layers only, of each model
-     * @param busy whether it is taking up weights
-     * @param orders how many orders it has taken since its start
-     * @param queued the requests that wait
-     * @param running the requests that run
-     * @param startedMillis the Unix millisecond of its start; empty if it does not tell
-     * @param leaving whether it says that it leaves
-     * @param limit the requests a second that it takes from all entries together; empty if the report names no limit
+     * @param models the weight version of each model of which it holds all layers
+     * @param parts the weight version of each model of which it holds only some layers
+     * @param busy whether it is loading weights
+     * @param orders the number of orders that it has accepted since its start
+     * @param queued the number of waiting requests
+     * @param running the number of running requests
+     * @param startedMillis its start time as a Unix timestamp in milliseconds; empty if not reported
+     * @param leaving whether it reports that it is draining
+     * @param limit its rate limit: the requests per second that it accepts from all entries together; empty if not
+     *     reported
      */
     record Report(
             Map<String, Long> models,
@@ -34,14 +35,14 @@
             OptionalDouble limit) {
 
         /**
-         * What an endpoint says that stays, and does not tell when it was started.
+         * Creates a report of an endpoint that is not draining and reports neither a start time nor a rate limit.
          *
-         * @param models the weight version that it holds of each model, with all layers
-         * @param parts the weight version of each model of which it holds some layers only
-         * @param busy whether it is taking up weights
-         * @param orders how many orders it has taken since its start
-         * @param queued the requests that wait
-         * @param running the requests that run
+         * @param models the weight version of each model of which it holds all layers
+         * @param parts the weight version of each model of which it holds only some layers
+         * @param busy whether it is loading weights
+         * @param orders the number of orders that it has accepted since its start
+         * @param queued the number of waiting requests
+         * @param running the number of running requests
          */
         public Report(
                 Map<String, Long> models, Map<String, Long> parts, boolean busy, long orders, int queued, int running) {
@@ -49,60 +50,60 @@
         }
     }
 
-    /** What became of an order. */
+    /** The outcome of an order. */
     enum OrderEnd {
-        /** The endpoint has begun. */
+        /** The endpoint has started to load. */
         BEGUN,
-        /** The endpoint holds the version already. */
+        /** The endpoint already holds the version. */
         HELD,
-        /** The order does not fit the endpoint's state. */
+        /** The order does not match the endpoint's state. */
         CONFLICT
     }
 
     /**
-     * Asks the endpoint how it is.
+     * Requests the endpoint's report.
      *
-     * @return its report
+     * @return the report
      */
     Result<Report> report();
 
     /**
-     * Lays a chunk where the endpoint takes up weights from.
+     * Stages a chunk from which the endpoint can load weights.
      *
      * @param model the model
-     * @param index which chunk
-     * @param bytes its bytes
-     * @return true if it lies there
+     * @param index the chunk's index
+     * @param bytes its content
+     * @return true if the chunk is staged
      */
     Result<Boolean> stage(String model, int index, byte[] bytes);
 
     /**
-     * Reads back a chunk that was laid there.
+     * Reads a staged chunk back.
      *
      * @param model the model
-     * @param index which chunk
-     * @return its bytes, empty if there is none
+     * @param index the chunk's index
+     * @return its content, empty if the chunk is not staged
      */
     Result<Optional<byte[]>> staged(String model, int index);
 
     /**
-     * Orders the endpoint to take up what was laid there.
+     * Orders the endpoint to load the staged version.
      *
      * @param model the model
      * @param version the weight version
-     * @param ordersSeen how many orders it had taken when its report was read; it refuses if there were more since
-     * @return what became of the order
+     * @param ordersSeen the number of orders in the last report; the endpoint refuses if it has accepted more since
+     * @return the outcome
      */
     Result<OrderEnd> start(String model, long version, long ordersSeen);
 
     /**
-     * Orders the endpoint to take up one layer only, after which it serves no other version any more.
+     * Orders the endpoint to load a single layer, after which it serves no other version any more.
      *
      * @param model the model
      * @param version the weight version
-     * @param layer which layer, from 0
+     * @param layer the index of the layer, from 0
      * @param ordersSeen as for {@link #start}
-     * @return what became of the order
+     * @return the outcome
      */
     Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen);
 }
--- a/src/main/java/org/micabarrow/weights/OrderTimes.java
+++ b/src/main/java/org/micabarrow/weights/OrderTimes.java
@@ -1,29 +1,31 @@
 package org.micabarrow.weights;
 
 /**
- * When each agent of a region gives its order, so that its endpoints do not all stop taking requests at once. While an
- * endpoint changes versions it finishes what runs and takes nothing new.
+ * Schedules the orders of a region's agents, so that their endpoints do not all stop accepting requests at the same
+ * time. While an endpoint switches versions it finishes running requests and accepts no new ones.
  */
 public final class OrderTimes {
 
-    /** The part of the bound before which no order is given: until then chunks are still on their way. */
+    /**
+     * The fraction of the staleness limit before which no order is given: until then chunks are still being fetched.
+     */
     private static final double FIRST_PART = 0.45;
 
     /**
-     * The part of the bound by which the last order is given. The endpoint begins nothing from the cordon before the order
-     * on, so what it still has to finish may go beyond the bound.
+     * The fraction of the staleness limit by which the last order is given. From the cordon before the order on, the
+     * endpoint starts no request, so running requests may finish after the limit.
      */
     private static final double LAST_PART = 0.93;
 
     private OrderTimes() {}
 
     /**
-     * When an agent gives its order.
+     * The time at which an agent gives its order.
      *
-     * @param namedMillis when the oldest version that the endpoint still lacks was named
-     * @param boundMillis how long after that older versions may answer
-     * @param position the agent's place among those of its region, from 0
-     * @param count how many agents the region has
+     * @param namedMillis when the oldest version that the endpoint lacks was named
+     * @param maxStalenessMillis how long older versions may be served after a newer one was named
+     * @param position the agent's position among those of its region, from 0
+     * @param count the number of agents in the region
      * @return the time on the clock of {@code namedMillis}
      */
     public static long at(long namedMillis, long boundMillis, int position, int count) {
--- a/src/main/java/org/micabarrow/weights/OverlapChoice.java
+++ b/src/main/java/org/micabarrow/weights/OverlapChoice.java
@@ -9,59 +9,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gathers what {@link FetchChoice} goes by: what is here of two versions that overlap, how fast it comes, and until when each may be
- * served. Safe for any number of threads.
+ * Decides between two versions that overlap. Collects the input of {@link FetchDecision}: which chunks of each version
+ * are present, how fast they arrive, and until when each version may be served. Thread-safe.
  */
 final class OverlapChoice {
 
     private static final Logger LOG = LoggerFactory.getLogger(OverlapChoice.class);
 
-    /** How long a chunk takes before any has come, in milliseconds: a version of 64 takes some 3.2 s on an agent's link. */
+    /**
+     * The assumed time per chunk before any has arrived, in milliseconds: a version of 64 chunks takes some 3.2 s on an
+     * agent's link.
+     */
     private static final double FIRST_CHUNK_MILLIS = 50;
 
     /**
-     * For how long a version that does not come is expected to stay away, in milliseconds, if it has for less: an origin that goes
-     * away does for seconds.
+     * The minimum expected duration of an outage, in milliseconds: when no chunk of a version arrives, the origin is
+     * usually unavailable for seconds.
      */
     private static final long AWAY_MILLIS = 3_000;
 
     /**
-     * How many times as long as usual a chunk takes when the link is mostly idle: chunks are then waited for that other agents do
-     * not have yet.
+     * How many times the typical time per chunk indicates a mostly idle link: the fetch is then waiting for chunks that
+     * other agents do not have yet.
      */
     private static final double IDLE_LINK_TIMES = 4;
 
-    /** The most that a chunk usually takes, in milliseconds: a link that is slower than that is squeezed for a while only. */
+    /** The maximum of the typical time per chunk, in milliseconds: a slower link is congested only temporarily. */
     private static final double MOST_CHUNK_MILLIS = 500;
 
     /**
-     * How many times as long as at their best the chunks of a whole copy take: 4.7 to 5.5 s were seen where a link needs 3.3 to 3.7 s
-     * (docs/FINDINGS.md).
+     * The ratio of the average to the shortest time per chunk over a complete copy: 4.7 to 5.5 s were measured where a
+     * link needs 3.3 to 3.7 s (docs/FINDINGS.md).
      */
     private static final double COPY_TIMES = 1.5;
 
-    /** How many times as fast as the newest an older version must come to be worth staying with however slow it is. */
+    /** How many times as fast as the newest version an older one must arrive to be continued however slow it is. */
     private static final double FASTER_TIMES = 2;
 
-    /** How many chunks of a version must have come for their pace to count as usual. */
+    /** The number of chunks that must have arrived for their rate to count as typical. */
     private static final int TELLING_CHUNKS = 4;
 
     private final VersionFetches fetches;
     private final VersionDeadlines deadlines;
     private final LongSupplier steadyMillis;
 
-    /** How long a chunk takes, in milliseconds, when they come as they last came at their best. */
+    /** The typical time per chunk in milliseconds: the shortest in the last fetch with enough chunks. */
     private volatile double usualChunkMillis = FIRST_CHUNK_MILLIS;
 
-    /** The version that was last left though it was not here. */
+    /** The incomplete version whose fetch was last abandoned. */
     private volatile Left left = new Left(0, Long.MIN_VALUE / 2, 0);
 
     /**
-     * A version that was left.
+     * A version whose fetch was abandoned.
      *
      * @param version its number
-     * @param atMillis when it was left
-     * @param chunkMillis how long its chunks took lately; infinite if none came
+     * @param atMillis when it was abandoned
+     * @param chunkMillis the recent time per chunk at that moment; infinite if none arrived
      */
     private record Left(long version, long atMillis, double chunkMillis) {}
 
@@ -73,9 +76,12 @@
         this.steadyMillis = steadyMillis;
     }
 
-    // -- questions
+    // -- decisions
 
-    /** The oldest version that is newer than the one held, older than the newest, good to answer and not here; empty if none is. */
+    /**
+     * The oldest version that is newer than the held one, older than the newest, may still be served, and is not
+     * complete; empty if there is none.
+     */
     OptionalLong olderNeeded(String model, long held) {
         OptionalLong older = deadlines.olderThanNewest(model, held);
         boolean here = older.isPresent()
@@ -97,7 +103,10 @@
         return isOlder(choice);
     }
 
-    /** Whether a version was begun for the idle link and came slowly too, so that it is the link which is slow. */
+    /**
+     * Whether the older version was recently fetched to use an idle link and was slow as well, so that the link itself
+     * is slow.
+     */
     private boolean cameSlowlyLately(long older, FetchProgress progress) {
         Left before = left;
         return progress.set().version() != older
@@ -108,13 +117,13 @@
     }
 
     /**
-     * Whether an older version that is being fetched comes so much faster than the newest did that nothing is won by leaving it, be
-     * it as slow as it may, while it may serve.
+     * Whether the older version being fetched arrives so much faster than the newest did that nothing is gained by
+     * abandoning it while it may be served, however slow it is.
      */
     boolean comesFaster(String model, FetchProgress older) {
         Left before = left;
         long newest = deadlines.newest(model);
-        // Of a version whose digests nobody tells nothing comes.
+        // Without digests no chunk of the newest version can arrive.
         boolean faster = fetches.set(model, newest).isEmpty()
                 || before.version() == newest && older.chunkMillis() * FASTER_TIMES < before.chunkMillis();
         return faster
@@ -129,7 +138,7 @@
         };
     }
 
-    /** Whether the last choice was for a version that was named before the newest, and still is not here. */
+    /** Whether the last decision was for a version that was named before the newest and is still not complete. */
     boolean choseOlder(String model, long held) {
         OptionalLong older = olderNeeded(model, held);
         return last.filter(OverlapChoice::isOlder)
@@ -137,7 +146,7 @@
                 .isPresent();
     }
 
-    // -- what the choice goes by
+    // -- input of the decision
 
     private Situation situation(String model, long held, long older, FetchProgress progress, boolean newestCameNot) {
         long now = steadyMillis.getAsLong();
@@ -153,7 +162,7 @@
 
     private Candidate candidate(String model, long version, FetchProgress progress, boolean cameNot) {
         Optional<ChunkSet> set = fetches.set(model, version);
-        // Versions of a model are alike in size.
+        // All versions of a model have a similar size.
         int chunks = set.orElse(progress.set()).digests().size();
         int missing = chunks - set.map(ChunkSet::present).orElse(0);
         boolean told = progress.set().version() == version && progress.tells();
@@ -174,9 +183,9 @@
         return chunkMillis > IDLE_LINK_TIMES * usualChunkMillis;
     }
 
-    // -- what happens
+    // -- events
 
-    /** Another version than the one before is fetched from now on. */
+    /** Logs that the fetch switches to another version before the current one is complete. */
     void changes(ChunkSet to, Optional<FetchProgress> from) {
         from.filter(progress -> !progress.isOf(to) && !progress.set().complete())
                 .ifPresent(progress -> LOG.info(
@@ -191,7 +200,7 @@
                         last.map(FetchChoice::otherLostMillis).orElse(0L)));
     }
 
-    /** A fetch has ended; how fast chunks came at their best tells how fast those of another version may. */
+    /** Records the rate of a fetch that has ended. Its best rate is used to estimate that of other versions. */
     void ended(FetchProgress progress) {
         if (!progress.set().complete() && progress.tells()) {
             left = new Left(progress.set().version(), steadyMillis.getAsLong(), progress.chunkMillis());
--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
@@ -15,14 +15,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the endpoint beside an agent to the weight version that is wanted: fetches its chunks, lays them beside the
- * endpoint, reads all of them back, and orders the endpoint to take them up.
+ * Brings the endpoint beside an agent to the target weight version: fetches the chunks, stages them beside the
+ * endpoint, reads all of them back, and orders the endpoint to load them.
  */
 public final class ReplicaKeeper {
 
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaKeeper.class);
 
-    /** How long chunks are laid in one step, in milliseconds: some two hundred at a usual endpoint, which takes one in a millisecond. */
+    /**
+     * The maximum time for staging chunks in one step, in milliseconds: some two hundred chunks at a typical endpoint,
+     * which takes one in a millisecond.
+     */
     private static final long LAYING_MILLIS = 250;
 
     private final Parts parts;
@@ -35,17 +38,17 @@
     private final AtomicReference<Optional<Report>> report = new AtomicReference<>(Optional.empty());
 
     /**
-     * What a keeper works with.
+     * The collaborators of a controller.
      *
      * @param model the model that the endpoint runs, once the manifest is known
-     * @param layers how many layers the model has, 0 while that is not known
+     * @param layers the number of layers of the model, 0 while unknown
      * @param endpoint the endpoint
      * @param fetcher fetches chunks
-     * @param view what is believed of the store
-     * @param place the agent's place among those of its region
-     * @param tellEntries tells entries at once how the endpoint is
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param view the current view of the store
+     * @param place the agent's position among those of its region
+     * @param notifyEntries notifies entries immediately that the endpoint's state has changed
+     * @param maxStalenessMillis how long older versions may be served after a newer one was named
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     public record Parts(
             Supplier<Optional<String>> model,
@@ -59,17 +62,17 @@
             LongSupplier steadyMillis) {}
 
     /**
-     * A place among the agents of a region.
+     * A position among the agents of a region.
      *
-     * @param position from 0
-     * @param count how many there are
+     * @param position the position, from 0
+     * @param count the number of agents
      */
     public record Place(int position, int count) {}
 
     /**
-     * Makes a keeper.
+     * Creates a controller.
      *
-     * @param parts what it works with
+     * @param parts its collaborators
      */
     public ReplicaKeeper(Parts parts) {
         this.parts = Objects.requireNonNull(parts, "parts is null");
@@ -92,18 +95,18 @@
     }
 
     /**
-     * Whether entries are to send the endpoint nothing, because it is about to change versions.
+     * Whether entries must send the endpoint no requests because it is about to switch versions.
      *
-     * @return true from shortly before an order until the endpoint has taken the order or it is no longer wanted
+     * @return true from shortly before an order until the endpoint has accepted the order or it is no longer needed
      */
     public boolean closing() {
         return cordon.closed();
     }
 
     /**
-     * Whether the endpoint gets requests, which use its instance's link too.
+     * Whether the endpoint may have requests, which share its instance's link.
      *
-     * @return true if it holds a weight version or still works
+     * @return true if it holds a weight version or has unfinished requests
      */
     public boolean serves() {
         return report.get()
@@ -112,9 +115,9 @@
     }
 
     /**
-     * Whether there is nothing to fetch, to order or to stop: the endpoint serves the newest version that was named.
+     * Whether the endpoint serves the newest named version, so that there is nothing to fetch, to order or to stop.
      *
-     * @return false also while the endpoint does not answer, takes up weights, or is closed to requests
+     * @return false also while the endpoint does not answer, loads weights, or is cordoned
      */
     public boolean settled() {
         Optional<String> model = parts.model().get();
@@ -127,15 +130,15 @@
     }
 
     /**
-     * For how long the endpoint was to be stopped and could not be.
+     * For how long the endpoint should have been stopped but could not be.
      *
-     * @return the seconds since this agent's start, begun ones counted whole
+     * @return the seconds since this agent's start, rounded up
      */
     public long secondsNotRetired() {
         return retirement.timesImpossible();
     }
 
-    /** Asks the endpoint for a fresh report. */
+    /** Requests a new report from the endpoint. */
     public void refresh() {
         Optional<Report> before = report.get();
         switch (parts.endpoint().report()) {
@@ -171,7 +174,7 @@
     // -- bringing the endpoint up to date
 
     /**
-     * Fetches what is missing of the wanted version.
+     * Fetches the missing chunks of the target version.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -185,8 +188,8 @@
     }
 
     /**
-     * Takes the next step towards the newest version that is here whole, if there is one to take, and stops the endpoint when
-     * its version may no longer answer. Waits for nothing but the endpoint beside it.
+     * Takes the next step towards the newest complete version, if there is one, and stops the endpoint when its version
+     * may no longer be served. Makes no calls except to the endpoint on the same instance.
      */
     public void step() {
         Optional<String> model = parts.model().get();
@@ -197,11 +200,11 @@
             return;
         }
         if (laid.startedAgain(now.get().startedMillis())) {
-            // The order that it was closed for, if any, was for the endpoint's former start.
+            // A closed cordon was for an order to the endpoint before its restart.
             cordon.lift();
             retirement.startedAgain();
         }
-        // A busy endpoint takes no requests on the version before.
+        // A busy endpoint accepts no requests on its previous version.
         if (!now.get().busy()) {
             long held = now.get().models().getOrDefault(model.get(), 0L);
             advance(model.get(), choice.target(model.get(), held), held, now.get());
@@ -218,8 +221,8 @@
             cordon.lift();
             return;
         }
-        // An endpoint that serves nothing gets no requests, so there is nothing to wait for; and an agent that has just
-        // started may have no time to wait.
+        // An endpoint that serves nothing gets no requests, so there is no need to wait for the cordon; and an agent
+        // that has just started may have no time to wait.
         boolean quiet =
                 held == 0 || cordon.closedLongEnough(parts.steadyMillis().getAsLong()) || retires && late;
         if (quiet && whole.filter(laid::verify).isPresent()) {
@@ -230,28 +233,32 @@
         }
     }
 
-    /** Lays what has come, for a while: an endpoint that takes chunks slowly must not hold up what is due. */
+    /**
+     * Stages the chunks that have arrived, for a limited time: an endpoint that accepts chunks slowly must not delay an
+     * order or a retirement that is due.
+     */
     private void lay(ChunkSet set) {
         long until = parts.steadyMillis().getAsLong() + LAYING_MILLIS;
         laid.layNew(set, () -> parts.steadyMillis().getAsLong() < until);
     }
 
     private boolean ordersSoon(ChunkSet set, long held) {
-        // Once it is closed it bears a chunk that comes late.
+        // A closed cordon tolerates a chunk that arrives late.
         long soonMillis = cordon.closed() ? 2 * Cordon.MILLIS : Cordon.MILLIS;
         return (laid.all(set) || missingMillis(set) <= soonMillis)
                 && parts.steadyMillis().getAsLong() + Cordon.MILLIS >= orderAt(set.model(), held);
     }
 
     /**
-     * How long it takes until a version is laid. Counted from the fetching, not from the laying: a version that came while the
-     * one before it was laid is laid in an instant so far, and requests were kept away for up to 2.2 s before its last chunks.
+     * The expected time until a version is staged, in milliseconds. Based on the fetch rate, not on the staging rate: a
+     * version that was fetched while the previous one was being staged has most of its chunks staged in an instant,
+     * which made the estimate too short, and requests were kept away for up to 2.2 s before its last chunks.
      */
     private long missingMillis(ChunkSet set) {
         return fetches.expectedMillis(set, laid.missing(set));
     }
 
-    /** When to order: at once if the endpoint serves nothing, else at this agent's turn. */
+    /** When to give the order: immediately if the endpoint serves nothing, else at this agent's scheduled time. */
     private long orderAt(String model, long held) {
         return held == 0
                 ? Long.MIN_VALUE
@@ -269,9 +276,9 @@
         refresh();
     }
 
-    // -- handing out what the endpoint holds since before this agent started
+    // -- serving chunks that the endpoint held before this agent started
 
-    /** Reads the version that the endpoint holds back from where it lies, so that other agents can have it. */
+    /** Reads the staged chunks of the version that the endpoint holds, so that other agents can fetch them. */
     public void readBack() {
         parts.model().get().ifPresent(model -> {
             long held = report.get()
--- a/src/main/java/org/micabarrow/weights/Retirement.java
+++ b/src/main/java/org/micabarrow/weights/Retirement.java
@@ -16,19 +16,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stops an endpoint from serving a weight version that may no longer answer, by ordering it to take up one layer of another:
- * it then serves neither. The order needs nothing that comes over the network. If no layer of a newer version is here whole,
- * the layer is taken from whatever lies there. Such a layer must never serve, so before all layers of its version are
- * ordered, the endpoint is made to give it up by an order for a layer of a third version. Used by one thread.
+ * Stops an endpoint from serving a weight version that may no longer be served, by ordering it to load one layer of
+ * another version: it then serves neither. The order needs nothing from the network. If no layer of a newer version is
+ * complete, the endpoint loads a layer from whatever chunks are staged. Such an unverified layer must never be served,
+ * so before all layers of its version are ordered, the endpoint is made to discard it by an order for a layer of a
+ * third version. Used by one thread.
  */
 final class Retirement {
 
     private static final Logger LOG = LoggerFactory.getLogger(Retirement.class);
 
-    /** How often a duty that cannot be done is logged at most, in milliseconds: often enough to see for how long it lasts. */
+    /**
+     * The minimum interval between log lines about a retirement that is impossible, in milliseconds: short enough to
+     * show how long it lasts.
+     */
     private static final long LOG_AGAIN_MILLIS = 1_000;
 
-    /** The layer to order where none is here whole. */
+    /** The layer to order if none is complete. */
     private static final int ANY_LAYER = 0;
 
     private final ModelEndpoint endpoint;
@@ -38,12 +42,15 @@
     private final VersionDeadlines deadlines;
     private final LongSupplier steadyMillis;
 
-    /** The versions of which this agent has ordered a whole layer, and those of which it has ordered one that was not. */
+    /**
+     * The versions of which this agent has ordered a complete layer, and those of which it has ordered an unverified
+     * one.
+     */
     private final Set<Long> orderedWhole = new HashSet<>();
 
     private final Set<Long> orderedAnyhow = new HashSet<>();
 
-    /** What the endpoint held when it last answered. */
+    /** The versions that the endpoint held in its last report. */
     private Map<String, Long> lastHeld = Map.of();
 
     private long loggedMillis = Long.MIN_VALUE / 2;
@@ -64,25 +71,28 @@
         this.steadyMillis = steadyMillis;
     }
 
-    // -- whether it is due
+    // -- whether a retirement is due
 
-    /** Whether an endpoint must stop serving the version that it holds, when the cordon's time has passed. */
+    /**
+     * Whether the endpoint must stop serving the version that it holds by the time a cordon closed now would take
+     * effect.
+     */
     boolean due(String model, long held) {
         return held > 0 && deadlines.leastAllowed(model, Cordon.MILLIS) > held;
     }
 
-    /** The endpoint has started again: it holds no layer that was ordered before, be it whole or not. */
+    /** Called when the endpoint has restarted. It no longer holds any layer that was ordered before. */
     void startedAgain() {
         orderedWhole.clear();
         orderedAnyhow.clear();
     }
 
-    /** Takes note of what the endpoint holds. */
+    /** Updates the versions that the endpoint holds. */
     void holds(Map<String, Long> models) {
         lastHeld = models;
     }
 
-    /** Says why nothing can be ordered now, if that keeps the endpoint from being stopped. */
+    /** Logs why no order can be given now, if a retirement is due. */
     void hindered(String why) {
         lastHeld.forEach((model, held) -> {
             if (due(model, held)) {
@@ -100,14 +110,14 @@
         }
     }
 
-    /** How often it was logged that the endpoint could not be stopped; any thread may ask. */
+    /** The number of log lines about impossible retirements. Can be called by any thread. */
     long timesImpossible() {
         return logged.get();
     }
 
-    // -- stopping
+    // -- retiring
 
-    /** Orders one layer of a newer version: of the newest of which one is here whole, else from whatever lies there. */
+    /** Orders one layer of a newer version: the newest version with a complete layer, or else an unverified layer. */
     void retire(String model, long held, Report now) {
         for (ChunkSet set : fetches.newerThan(model, held)) {
             OptionalInt layer = wholeLayer(set);
@@ -122,7 +132,7 @@
     }
 
     private void retireAnyhow(String model, long held, Report now) {
-        // One layer that is all of a version would serve.
+        // A single layer would be the whole version and would be served.
         if (layers.getAsInt() <= 1) {
             impossible(model, held, "a version has no more than one layer");
             return;
@@ -157,7 +167,7 @@
         return OptionalInt.empty();
     }
 
-    /** A layer needs the chunks that overlap with its part of the version. */
+    /** A layer consists of the chunks that overlap with its range of the version. */
     private int firstChunk(ChunkSet set, int layer) {
         return layer * set.digests().size() / layers.getAsInt();
     }
@@ -166,15 +176,15 @@
         return Math.ceilDiv((layer + 1) * set.digests().size(), layers.getAsInt());
     }
 
-    // -- giving up layers that were not whole
+    // -- discarding unverified layers
 
-    /** Whether the endpoint may have taken layers of a version from chunks that were not all the version's. */
+    /** Whether the endpoint may hold layers of a version that were loaded from chunks of another version. */
     boolean distrusts(ChunkSet set, Report now) {
         boolean holdsSome = now.parts().getOrDefault(set.model(), 0L) == set.version();
         return holdsSome && !(orderedWhole.contains(set.version()) && !orderedAnyhow.contains(set.version()));
     }
 
-    /** Makes the endpoint give up the layers that it has of a version, so that it takes up all of them afresh. */
+    /** Makes the endpoint discard its layers of a version, so that it loads all of them again. */
     void giveUp(ChunkSet set, Report now) {
         OptionalLong third = deadlines.otherThan(set.model(), set.version());
         if (third.isEmpty()) {
--- a/src/main/java/org/micabarrow/weights/VersionChoice.java
+++ b/src/main/java/org/micabarrow/weights/VersionChoice.java
@@ -5,15 +5,15 @@
 import java.util.function.Supplier;
 import org.micabarrow.weights.ReplicaKeeper.Place;
 
-/** Which of the weight versions that are here an endpoint is brought to. */
+/** Selects the version to which an endpoint is brought among those that have been fetched. */
 final class VersionChoice {
 
-    /** The part of a region's endpoints that take every version, also when a newer one is expected soon. */
+    /** The fraction of a region's endpoints that load every version, even if a newer one is expected soon. */
     private static final double TAKING_EVERY_VERSION = 1.0 / 3;
 
     /**
-     * How long an endpoint may stand idle for a newer version instead of taking up the one before, in milliseconds: less than the
-     * change that it saves takes.
+     * How long an endpoint may be idle waiting for a newer version instead of loading the previous one, in
+     * milliseconds: less than the switch that it saves takes.
      */
     private static final long WORTH_WAITING_MILLIS = 1_500;
 
@@ -30,7 +30,7 @@
         this.steadyMillis = steadyMillis;
     }
 
-    /** The version to bring the endpoint to, none of those that it would soon have to give up again. */
+    /** The version to which to bring the endpoint. Versions that it would soon have to give up again are skipped. */
     Optional<ChunkSet> target(String model, long held) {
         long least = deadlines.leastAllowed(model, Cordon.MILLIS);
         return fetches.newestWhole(model, held, least)
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Whether the endpoint goes past a whole version to the newest, which is expected soon. Each change of versions takes an
-     * endpoint out for some 2.6 s; with two versions named 4 s apart, more than half of fifteen endpoints were out at a time.
-     * Some take every version, so that there is always one that may answer.
+     * Whether the endpoint skips a complete version in favour of the newest, which is expected soon. Each switch takes
+     * an endpoint out of service for some 2.6 s; with two versions named 4 s apart, more than half of fifteen endpoints
+     * were out at the same time. Some endpoints load every version, so that there is always one that may answer.
      */
     private boolean skips(ChunkSet whole, long held) {
         long newest = deadlines.newest(whole.model());
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -7,19 +7,25 @@
 import java.util.stream.LongStream;
 import org.micabarrow.views.View;
 
-/** Which weight version is wanted, and until when endpoints may serve the ones before. Safe for any number of threads. */
+/** The target weight version, and until when endpoints may serve older ones. Thread-safe. */
 final class VersionDeadlines {
 
-    /** The version that a model has before any was named. */
+    /** The version of a model before any was named. */
     private static final long FIRST_VERSION = 1;
 
-    /** The part of the bound after which an endpoint whose newer version is not here whole must stop serving the older. */
+    /**
+     * The fraction of the staleness limit after which an endpoint must stop serving the older version if no newer one
+     * is complete.
+     */
     private static final double RETIRE_PART = 0.84;
 
-    /** The place of the agent that orders last. */
+    /** The position of the agent that gives its order last. */
     private static final ReplicaKeeper.Place LAST = new ReplicaKeeper.Place(1, 2);
 
-    /** How long after its turn an agent whose chunks had turned bad may still order, in milliseconds: two passes over them. */
+    /**
+     * How long after its scheduled time an agent with corrupted chunks may still give its order, in milliseconds: two
+     * verification passes.
+     */
     private static final long READING_BACK_MILLIS = 200;
 
     private final Supplier<View> view;
@@ -27,18 +33,21 @@
     private final long boundMillis;
     private final LongSupplier steadyMillis;
 
-    /** The newest version in use in a view. Agents look twenty times a second, and views change when an endpoint does. */
+    /**
+     * The newest version in use in a view. Cached, because agents check twenty times a second while views change only
+     * with an endpoint.
+     */
     private record InUse(View view, String model, int layers, long version) {}
 
     private volatile InUse inUse = new InUse(View.empty(), "", 0, 0);
 
     /**
-     * Makes the deadlines of an agent.
+     * Creates the deadlines for an agent.
      *
-     * @param view what is believed of the store
-     * @param layers how many layers the model has, 0 while that is not known
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param view the current view of the store
+     * @param layers the number of layers of the model, 0 while unknown
+     * @param maxStalenessMillis how long older versions may be served after a newer one was named
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     VersionDeadlines(Supplier<View> view, IntSupplier layers, long boundMillis, LongSupplier steadyMillis) {
         this.view = view;
@@ -47,12 +56,12 @@
         this.steadyMillis = steadyMillis;
     }
 
-    /** The newest version that was named, the first if none was. */
+    /** The newest named version; the first version if none was named. */
     long newest(String model) {
         return view.get().newestTarget(model).map(View.Target::version).orElse(FIRST_VERSION);
     }
 
-    /** The least version that an endpoint may still serve or take up, or has to in a while. */
+    /** The minimum version that an endpoint may serve or load after {@code aheadMillis} milliseconds. */
     long leastAllowed(String model, long aheadMillis) {
         View now = view.get();
         long due = now.leastVersion(model, retireMillis(), steadyMillis.getAsLong() + aheadMillis);
@@ -64,8 +73,9 @@
     }
 
     /**
-     * The newest version that any endpoint holds with all layers. A process that found versions named at its start, or has read of
-     * none yet, cannot know for how long they have been; an endpoint takes at least 0.45 of the bound until it has a new one.
+     * The newest version of which any endpoint holds all layers. A process that found versions already named at its
+     * start, or has not read of any yet, cannot know how long ago they were named; an endpoint needs at least 0.45 of
+     * the staleness limit to load a new version.
      */
     private long newestInUse(View now, String model) {
         InUse known = inUse;
@@ -84,7 +94,9 @@
                 .orElse(0);
     }
 
-    /** The version that was named first after one that may no longer answer, or else another that is known to be in use. */
+    /**
+     * The first version named after one that may no longer be served; if none is known, the minimum allowed version.
+     */
     long oldestNewer(String model, long version) {
         return view.get()
                 .newerNamed(model, version)
@@ -92,14 +104,17 @@
                 .orElseGet(() -> leastAllowed(model, Cordon.MILLIS));
     }
 
-    /** A version that is not a certain one: the newest that was named, else the first of all; empty if that is the one. */
+    /**
+     * Any version other than the given one: the newest named version, else the first version; empty if both are the
+     * given one.
+     */
     OptionalLong otherThan(String model, long version) {
         return LongStream.of(newest(model), FIRST_VERSION)
                 .filter(other -> other != version)
                 .findFirst();
     }
 
-    /** When an endpoint must stop serving versions that are older than one. */
+    /** When an endpoint must stop serving versions that are older than the given one. */
     long retireAt(String model, long version) {
         return view.get()
                 .newerNamed(model, version - 1)
@@ -107,7 +122,9 @@
                 .orElse(Long.MIN_VALUE);
     }
 
-    /** Until when an endpoint may get new requests on a version; for ever if none newer was named. */
+    /**
+     * Until when an endpoint may get new requests on a version; practically unlimited if no newer version was named.
+     */
     long servesUntil(String model, long version) {
         return view.get()
                 .newerNamed(model, version)
@@ -119,7 +136,10 @@
         return Math.round(boundMillis * RETIRE_PART);
     }
 
-    /** The oldest version that is newer than the one held, older than the newest, and good to answer; empty if there is none. */
+    /**
+     * The oldest version that is newer than the held one, older than the newest, and may still be served; empty if
+     * there is none.
+     */
     OptionalLong olderThanNewest(String model, long held) {
         View now = view.get();
         long newest = newest(model);
@@ -130,12 +150,15 @@
                 .findFirst();
     }
 
-    /** Whether even the last agent's turn to order a newer version than the one held has passed, and a pass of reading back. */
+    /**
+     * Whether the last scheduled time of any agent to order a version newer than the held one has passed, plus the time
+     * to read back corrupted chunks.
+     */
     boolean lastOrderPassed(String model, long held) {
         return steadyMillis.getAsLong() >= orderAt(model, held, LAST) + READING_BACK_MILLIS;
     }
 
-    /** When an agent's turn is to order its endpoint to take up a newer version than the one held. */
+    /** When an agent is scheduled to order its endpoint to load a version newer than the held one. */
     long orderAt(String model, long held, ReplicaKeeper.Place place) {
         return view.get()
                 .newerNamed(model, held)
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -15,17 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The weight versions that an agent has or fetches, and which of them is fetched now. One thread fetches; any may ask what is
- * here.
+ * The weight versions that an agent has or is fetching, and the choice of the one to fetch now. One thread fetches; any
+ * thread may query.
  */
 final class VersionFetches {
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionFetches.class);
 
-    /** How many versions are kept: the one that the endpoint holds, and two that were named soon after one another. */
+    /**
+     * The maximum number of versions kept: the one that the endpoint holds, and two that were named in quick
+     * succession.
+     */
     private static final int SETS_KEPT = 3;
 
-    /** The pause after nothing could be had of any version, in milliseconds; the origin may be down for seconds. */
+    /**
+     * The pause after no chunk of any version could be fetched, in milliseconds; the origin may be unavailable for
+     * seconds.
+     */
     private static final long AGAIN_MILLIS = 300;
 
     private final ChunkFetcher fetcher;
@@ -34,7 +40,7 @@
     private final OverlapChoice overlap;
     private final Deque<ChunkSet> sets = new ArrayDeque<>();
 
-    /** What is being fetched, or was last. */
+    /** The progress of the current or last fetch. */
     private volatile Optional<FetchProgress> fetching = Optional.empty();
 
     VersionFetches(ChunkFetcher fetcher, VersionDeadlines deadlines, LongSupplier steadyMillis) {
@@ -44,7 +50,7 @@
         this.overlap = new OverlapChoice(this, deadlines, steadyMillis);
     }
 
-    // -- what is here
+    // -- available versions
 
     /** The chunks of a version, complete or not; empty if this agent has none. */
     Optional<ChunkSet> set(String model, long version) {
@@ -63,7 +69,7 @@
         return set.toOptional();
     }
 
-    /** The set of a version, begun if it was not; a failure if nobody tells the version's digests. */
+    /** The set of a version, created if there is none; a failure if no source has the version's digests. */
     Result<ChunkSet> setFor(String model, long version) {
         Optional<ChunkSet> known = set(model, version);
         if (known.isPresent()) {
@@ -72,7 +78,7 @@
         return fetcher.begin(model, version).map(this::kept);
     }
 
-    /** Keeps a set, unless another thread has begun the same version meanwhile. */
+    /** Keeps a new set, unless another thread has already added the same version. */
     private ChunkSet kept(ChunkSet fresh) {
         synchronized (sets) {
             Optional<ChunkSet> known = set(fresh.model(), fresh.version());
@@ -87,12 +93,12 @@
         return fresh;
     }
 
-    /** The newest version that is being fetched, of which chunks are laid as they come, and that may be served. */
+    /** The newest version that has been started and may be served; its chunks are staged as they arrive. */
     Optional<ChunkSet> newestBegun(String model, long held, long least) {
         return newest(model, set -> set.version() > held && set.version() >= least);
     }
 
-    /** The versions that are newer than one and here, complete or not, newest first. */
+    /** The known versions newer than a given one, complete or not, newest first. */
     List<ChunkSet> newerThan(String model, long version) {
         synchronized (sets) {
             return sets.stream()
@@ -102,7 +108,7 @@
         }
     }
 
-    /** The newest version that is here whole, newer than the one held and not older than one that must be served. */
+    /** The newest complete version that is newer than the held one and not older than {@code minVersion}. */
     Optional<ChunkSet> newestWhole(String model, long held, long least) {
         return newest(model, set -> set.version() > held && set.version() >= least && set.complete());
     }
@@ -116,16 +122,22 @@
         }
     }
 
-    // -- how long it takes
+    // -- estimates
 
-    /** How long some chunks of a version are expected to take; the greatest number if it is not the one being fetched. */
+    /**
+     * The expected time for some chunks of a version, in milliseconds; {@link Long#MAX_VALUE} if it is not being
+     * fetched.
+     */
     long expectedMillis(ChunkSet set, int chunks) {
         return fetching.filter(progress -> progress.isOf(set))
                 .map(progress -> progress.expectedMillis(chunks))
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** How long a version is expected to take until it is here whole; the greatest number if it is not being fetched. */
+    /**
+     * The expected time until a version is complete, in milliseconds; {@link Long#MAX_VALUE} if it is not being
+     * fetched.
+     */
     long missingMillis(String model, long version) {
         return set(model, version)
                 .map(set -> expectedMillis(set, set.digests().size() - set.present()))
@@ -134,7 +146,7 @@
 
     // -- fetching
 
-    /** Fetches what is missing of the version that is wanted instead of the one held. */
+    /** Fetches missing chunks of the version that should replace the held one. */
     void fetchFor(String model, long held) throws InterruptedException {
         if (held >= deadlines.newest(model)) {
             return;
@@ -146,8 +158,8 @@
     }
 
     /**
-     * Fetches the newest version, until it is here or an older one is to be fetched first; tells whether chunks came and none is
-     * to be.
+     * Fetches the newest version until it is complete or an older one is to be fetched first. Returns whether chunks
+     * arrived and no older version is to be fetched.
      */
     private boolean fetchNewest(String model, long held) throws InterruptedException {
         long newest = deadlines.newest(model);
@@ -159,22 +171,25 @@
         return came && !(deadlines.newest(model) == newest && overlap.choseOlder(model, held));
     }
 
-    /** Whether to go on with a version that was the newest when its fetching began. */
+    /** Whether to continue fetching a version that was the newest when its fetch started. */
     Predicate<FetchProgress> newestWanted(String model, long held, long newest) {
         return progress -> deadlines.newest(model) == newest
                 ? !overlap.olderFirst(model, held, progress, false)
                 : !progress.stalled() && worthFinishing(progress.set());
     }
 
-    /** Whether so much of a version is here that finishing it beats leaving the endpoint with the one before. */
+    /**
+     * Whether so many chunks of a version are present that completing it is better than leaving the endpoint on the
+     * previous one.
+     */
     private static boolean worthFinishing(ChunkSet set) {
         return set.present() * 2 >= set.digests().size();
     }
 
     /**
-     * Fetches a version that was named before the newest, while the newest cannot be had: the origin may be away for seconds,
-     * and other agents have the chunks of the version before. Without it, endpoints that are past half of neither answer nothing
-     * until the origin is back.
+     * Fetches a version that was named before the newest while the newest is unavailable: the origin may be unavailable
+     * for seconds, and other agents have the chunks of the previous version. Otherwise, endpoints that do not have half
+     * of either version serve nothing until the origin is back.
      */
     private boolean fetchOlder(String model, long held) throws InterruptedException {
         OptionalLong older = overlap.olderNeeded(model, held);
@@ -182,7 +197,7 @@
         return set.isPresent() && fetch(set.get(), olderWanted(model, held, older.getAsLong()));
     }
 
-    /** Whether to go on with a version that was named before the newest. */
+    /** Whether to continue fetching a version that was named before the newest. */
     Predicate<FetchProgress> olderWanted(String model, long held, long version) {
         return progress -> overlap.olderNeeded(model, held).equals(OptionalLong.of(version))
                 && !progress.stalled()
@@ -197,7 +212,7 @@
         return set.present() > before;
     }
 
-    /** A version is fetched from now on. */
+    /** Starts to measure the fetch of a version. */
     FetchProgress begins(ChunkSet set) {
         FetchProgress progress = new FetchProgress(set, steadyMillis);
         overlap.changes(set, fetching);
@@ -205,12 +220,15 @@
         return progress;
     }
 
-    /** What chooses between versions that overlap. */
+    /** Decides between versions that overlap. */
     OverlapChoice overlap() {
         return overlap;
     }
 
-    /** Asks no more once it was told no: several threads ask, and a chunk that comes late would make them go on. */
+    /**
+     * Returns a condition that stays false once it was false: several threads evaluate it, and a chunk that arrives
+     * late would otherwise make some of them continue.
+     */
     private static BooleanSupplier untilFirstNo(BooleanSupplier wanted) {
         AtomicBoolean told = new AtomicBoolean();
         return () -> {
--- a/src/main/java/org/micabarrow/weights/WeightOrigin.java
+++ b/src/main/java/org/micabarrow/weights/WeightOrigin.java
@@ -3,27 +3,27 @@
 import java.util.List;
 import org.micabarrow.state.Result;
 
-/** Where weights come from at first. */
+/** Client for the origin, the primary source of weights. */
 public interface WeightOrigin {
 
     /**
-     * The digests of a version's chunks.
+     * Requests the digests of a version's chunks.
      *
-     * @param address whom to ask
+     * @param address the origin's address
      * @param model the model
      * @param version the version
-     * @return the digests, in order
+     * @return the digests, in chunk order
      */
     Result<List<String>> digests(String address, String model, long version);
 
     /**
-     * A chunk.
+     * Requests a chunk.
      *
-     * @param address whom to ask
+     * @param address the origin's address
      * @param model the model
      * @param version the version
-     * @param index which chunk
-     * @return its bytes, not checked
+     * @param index the chunk's index
+     * @return its content, not verified
      */
     Result<byte[]> chunk(String address, String model, long version, int index);
 }
