--- a/src/main/java/org/micabarrow/weights/ChunkFetcher.java
+++ b/src/main/java/org/micabarrow/weights/ChunkFetcher.java
@@ -22,7 +22,7 @@
     private final Parts parts;
 
     /** The time until which each unresponsive agent is skipped, whichever version is fetched. */
-    private final Map<String, Long> silentUntil = new ConcurrentHashMap<>();
+    private final Map<String, Long> unresponsiveUntil = new ConcurrentHashMap<>();
 
     /**
      * The collaborators of a fetcher.
@@ -38,9 +38,9 @@
             ChunkPeers peers,
             WeightOrigin origin,
             Supplier<Optional<String>> originAddress,
-            FollowedSources sources,
+            ChunkSourcesCache sources,
             IntConsumer downlink,
-            LongSupplier steadyMillis) {}
+            LongSupplier monotonicMillis) {}
 
     /**
      * Creates a fetcher.
@@ -58,20 +58,20 @@
      * @param version the version
      * @return an empty chunk set of the version; a failure if no source has the digests
      */
-    public Result<ChunkSet> begin(String model, long version) {
+    public Result<ChunkSet> createSet(String model, long version) {
         Optional<String> from = parts.originAddress().get();
-        Result<List<String>> last = from.isPresent()
+        Result<List<String>> result = from.isPresent()
                 ? parts.origin().digests(from.get(), model, version)
                 : Result.failure(
                         Fault.of(Fault.Step.FETCH, "origin", Fault.Reason.NOT_FOUND, "the manifest names no origin"));
-        for (String agent : parts.sources().nearFirst()) {
-            if (!(last instanceof Result.Failure<List<String>>(Fault fault))) {
+        for (String agent : parts.sources().sameRegionFirst()) {
+            if (!(result instanceof Result.Failure<List<String>>(Fault fault))) {
                 break;
             }
             LOG.info("event=digests_missed model={} version={} next={} why=\"{}\"", model, version, agent, fault);
-            last = parts.peers().digests(agent, model, version);
+            result = parts.peers().digests(agent, model, version);
         }
-        return last.map(digests -> new ChunkSet(model, version, digests));
+        return result.map(digests -> new ChunkSet(model, version, digests));
     }
 
     /**
@@ -82,15 +82,15 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void fetch(ChunkSet set, BooleanSupplier wanted) throws InterruptedException {
-        long began = parts.steadyMillis().getAsLong();
-        CurrentSources current = new CurrentSources(parts.sources(), set, silentUntil, parts.steadyMillis());
-        new FetchRun(parts, current, set, wanted).run();
+        long startMillis = parts.monotonicMillis().getAsLong();
+        SourceSelector selector = new SourceSelector(parts.sources(), set, unresponsiveUntil, parts.monotonicMillis());
+        new FetchRun(parts, selector, set, wanted).run();
         LOG.info(
                 "event=fetched model={} version={} chunks={} of={} ms={}",
                 set.model(),
                 set.version(),
-                set.present(),
+                set.presentCount(),
                 set.digests().size(),
-                parts.steadyMillis().getAsLong() - began);
+                parts.monotonicMillis().getAsLong() - startMillis);
     }
 }
--- a/src/main/java/org/micabarrow/weights/ChunkLeads.java
+++ b/src/main/java/org/micabarrow/weights/ChunkLeaders.java
@@ -14,16 +14,16 @@
  * ranked by a digest of agent and chunk. The highest-ranked agent leads, unless it already leads its even share of the
  * chunks. The result depends on the agents alone, so every agent computes the same one. Immutable.
  */
-final class ChunkLeads {
+final class ChunkLeaders {
 
     private final List<Agent> agents;
 
     /** The agents in rank order, for each chunk. */
-    private final List<List<Agent>> ranked;
+    private final List<List<Agent>> rankings;
 
-    private ChunkLeads(List<Agent> agents, List<List<Agent>> ranked) {
+    private ChunkLeaders(List<Agent> agents, List<List<Agent>> rankings) {
         this.agents = agents;
-        this.ranked = ranked;
+        this.rankings = rankings;
     }
 
     // -- construction
@@ -35,15 +35,15 @@
      * @param chunks the number of chunks
      * @return the ranking
      */
-    static ChunkLeads of(List<Agent> agents, int chunks) {
-        return new ChunkLeads(
+    static ChunkLeaders of(List<Agent> agents, int chunks) {
+        return new ChunkLeaders(
                 agents,
                 IntStream.range(0, chunks)
-                        .mapToObj(index -> byRank(agents, index))
+                        .mapToObj(index -> rankedFor(agents, index))
                         .toList());
     }
 
-    private static List<Agent> byRank(List<Agent> agents, int index) {
+    private static List<Agent> rankedFor(List<Agent> agents, int index) {
         Map<Agent, String> ranks = new HashMap<>();
         agents.forEach(agent -> ranks.put(agent, Digest.of(agent.address() + "/" + index)));
         return agents.stream().sorted(Comparator.comparing(ranks::get)).toList();
@@ -55,13 +55,13 @@
      * @param region the region
      * @return the ranking of its agents
      */
-    ChunkLeads within(String region) {
-        return new ChunkLeads(
-                in(region, agents),
-                ranked.stream().map(some -> in(region, some)).toList());
+    ChunkLeaders within(String region) {
+        return new ChunkLeaders(
+                ofRegion(region, agents),
+                rankings.stream().map(ranking -> ofRegion(region, ranking)).toList());
     }
 
-    private static List<Agent> in(String region, List<Agent> agents) {
+    private static List<Agent> ofRegion(String region, List<Agent> agents) {
         return agents.stream().filter(agent -> agent.region().equals(region)).toList();
     }
 
@@ -82,19 +82,19 @@
      * @param chunks the indexes of the chunks
      * @return the leader of each chunk
      */
-    Map<Integer, Agent> spread(List<Integer> chunks) {
-        int part = Math.ceilDiv(chunks.size(), agents.size());
+    Map<Integer, Agent> assignLeaders(List<Integer> chunks) {
+        int maxPerAgent = Math.ceilDiv(chunks.size(), agents.size());
         Map<Agent, Integer> loads = new HashMap<>();
-        Map<Integer, Agent> leads = new HashMap<>();
+        Map<Integer, Agent> leaders = new HashMap<>();
         for (int index : chunks) {
-            Agent lead = ranked.get(index).stream()
-                    .filter(agent -> loads.getOrDefault(agent, 0) < part)
+            Agent leader = rankings.get(index).stream()
+                    .filter(agent -> loads.getOrDefault(agent, 0) < maxPerAgent)
                     .findFirst()
                     .orElseThrow();
-            loads.merge(lead, 1, Integer::sum);
-            leads.put(index, lead);
+            loads.merge(leader, 1, Integer::sum);
+            leaders.put(index, leader);
         }
-        return leads;
+        return leaders;
     }
 
     /**
@@ -104,10 +104,10 @@
      * @param index the chunk's index
      * @return the agents in that order
      */
-    List<Agent> leadFirst(Agent lead, int index) {
-        List<Agent> all = new ArrayList<>(ranked.get(index));
-        all.remove(lead);
-        all.addFirst(lead);
-        return all;
+    List<Agent> leaderFirst(Agent leader, int index) {
+        List<Agent> ordered = new ArrayList<>(rankings.get(index));
+        ordered.remove(leader);
+        ordered.addFirst(leader);
+        return ordered;
     }
 }
--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -19,10 +19,10 @@
     private final long version;
     private final List<String> digests;
     private final List<CompletableFuture<byte[]>> chunks = new ArrayList<>();
-    private final AtomicIntegerArray given;
+    private final AtomicIntegerArray servedCounts;
 
     /** The index at which this agent starts among chunks that it has served equally often. */
-    private final int start;
+    private final int startIndex;
 
     /**
      * Creates an empty set.
@@ -35,8 +35,8 @@
         this.model = Objects.requireNonNull(model, "model is null");
         this.version = version;
         this.digests = List.copyOf(digests);
-        this.given = new AtomicIntegerArray(this.digests.size());
-        this.start = ThreadLocalRandom.current().nextInt(Math.max(1, this.digests.size()));
+        this.servedCounts = new AtomicIntegerArray(this.digests.size());
+        this.startIndex = ThreadLocalRandom.current().nextInt(Math.max(1, this.digests.size()));
         this.digests.forEach(digest -> chunks.add(new CompletableFuture<>()));
     }
 
@@ -77,7 +77,7 @@
      * @return whether the content matches
      */
     public boolean put(int index, byte[] bytes) {
-        if (!right(index, bytes)) {
+        if (!matchesDigest(index, bytes)) {
             return false;
         }
         chunks.get(index).complete(bytes);
@@ -91,7 +91,7 @@
      * @param bytes the content
      * @return whether its digest is that of the chunk
      */
-    public boolean right(int index, byte[] bytes) {
+    public boolean matchesDigest(int index, byte[] bytes) {
         return digests.get(index).equals(Digest.of(bytes));
     }
 
@@ -115,21 +115,21 @@
      */
     public OptionalInt give(BitSet wanted) {
         OptionalInt index = wanted.stream()
-                .filter(one -> one < chunks.size() && chunk(one).isPresent())
+                .filter(index -> index < chunks.size() && chunk(index).isPresent())
                 .boxed()
-                .min(Comparator.<Integer>comparingInt(given::get).thenComparingInt(this::fromStart))
+                .min(Comparator.<Integer>comparingInt(servedCounts::get).thenComparingInt(this::distanceFromStart))
                 .map(OptionalInt::of)
                 .orElse(OptionalInt.empty());
-        index.ifPresent(given::incrementAndGet);
+        index.ifPresent(servedCounts::incrementAndGet);
         return index;
     }
 
-    private int fromStart(int index) {
-        return Math.floorMod(index - start, chunks.size());
+    private int distanceFromStart(int index) {
+        return Math.floorMod(index - startIndex, chunks.size());
     }
 
     /** Whether the chunks from {@code first} (inclusive) to {@code end} (exclusive) are present. */
-    boolean hasAll(int first, int end) {
+    boolean hasRange(int first, int end) {
         return chunks.subList(first, end).stream().allMatch(CompletableFuture::isDone);
     }
 
@@ -138,7 +138,7 @@
      *
      * @return true if none is missing
      */
-    public boolean complete() {
+    public boolean isComplete() {
         return chunks.stream().allMatch(CompletableFuture::isDone);
     }
 
@@ -147,7 +147,7 @@
      *
      * @return their number
      */
-    public int present() {
+    public int presentCount() {
         return (int) chunks.stream().filter(CompletableFuture::isDone).count();
     }
 }
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -70,15 +70,15 @@
     public static ChunkSources of(Agent self, List<Agent> agents, int chunks) {
         Objects.requireNonNull(self, "self is null");
         Objects.requireNonNull(agents, "agents is null");
-        List<Integer> every = IntStream.range(0, chunks).boxed().toList();
-        ChunkLeads all = ChunkLeads.of(with(self, agents), chunks);
-        ChunkLeads region = all.within(self.region());
-        Map<Integer, Agent> originLeads = all.spread(every);
-        Map<Integer, Agent> regionLeads = regionLeads(self, region, originLeads, every);
-        List<List<String>> sources = every.stream()
+        List<Integer> indexes = IntStream.range(0, chunks).boxed().toList();
+        ChunkLeaders all = ChunkLeaders.of(withSelf(self, agents), chunks);
+        ChunkLeaders region = all.within(self.region());
+        Map<Integer, Agent> originLeaders = all.assignLeaders(indexes);
+        Map<Integer, Agent> regionLeaders = regionLeaders(self, region, originLeaders, indexes);
+        List<List<String>> sources = indexes.stream()
                 .map(index -> {
-                    List<Agent> order = region.leadFirst(regionLeads.get(index), index);
-                    return sources(self, order, originLeads.get(index));
+                    List<Agent> order = region.leaderFirst(regionLeaders.get(index), index);
+                    return sources(self, order, originLeaders.get(index));
                 })
                 .toList();
         return new ChunkSources(self, region.agents(), sources);
@@ -88,7 +88,7 @@
      * All agents including this one, which is always listed under its own region, whatever region the input gives for
      * it.
      */
-    private static List<Agent> with(Agent self, List<Agent> agents) {
+    private static List<Agent> withSelf(Agent self, List<Agent> agents) {
         Stream<Agent> others = agents.stream().filter(agent -> !agent.address().equals(self.address()));
         return Stream.concat(others, Stream.of(self)).toList();
     }
@@ -97,28 +97,28 @@
      * The leader of each chunk in this region: the leader among all agents if it is in the region; all other chunks are
      * assigned to agents of the region.
      */
-    private static Map<Integer, Agent> regionLeads(
-            Agent self, ChunkLeads region, Map<Integer, Agent> originLeads, List<Integer> chunks) {
-        List<Integer> foreign = chunks.stream()
-                .filter(index -> !originLeads.get(index).region().equals(self.region()))
+    private static Map<Integer, Agent> regionLeaders(
+            Agent self, ChunkLeaders region, Map<Integer, Agent> originLeaders, List<Integer> chunks) {
+        List<Integer> otherChunks = chunks.stream()
+                .filter(index -> !originLeaders.get(index).region().equals(self.region()))
                 .toList();
-        Map<Integer, Agent> leads = new HashMap<>(originLeads);
-        leads.putAll(region.spread(foreign));
-        return leads;
+        Map<Integer, Agent> leaders = new HashMap<>(originLeaders);
+        leaders.putAll(region.assignLeaders(otherChunks));
+        return leaders;
     }
 
     /**
      * The agents that obtain a chunk before this one, followed by the leader among all agents if it is in another
      * region.
      */
-    private static List<String> sources(Agent self, List<Agent> order, Agent originLead) {
+    private static List<String> sources(Agent self, List<Agent> order, Agent originLeader) {
         List<String> sources = new ArrayList<>();
         order.stream()
                 .map(Agent::address)
                 .takeWhile(address -> !address.equals(self.address()))
                 .forEach(sources::add);
-        if (!originLead.region().equals(self.region())) {
-            sources.add(originLead.address());
+        if (!originLeader.region().equals(self.region())) {
+            sources.add(originLeader.address());
         }
         return List.copyOf(sources);
     }
@@ -132,8 +132,8 @@
      * @param agents supplies all agents currently known, in any order
      * @return the sources by number of chunks
      */
-    public static FollowedSources following(Agent self, Supplier<List<Agent>> agents) {
-        return new FollowedSources(self, agents);
+    public static ChunkSourcesCache following(Agent self, Supplier<List<Agent>> agents) {
+        return new ChunkSourcesCache(self, agents);
     }
 
     // -- queries
@@ -158,7 +158,7 @@
      *
      * @return their addresses
      */
-    public List<String> near() {
+    public List<String> sameRegion() {
         return region.stream()
                 .map(Agent::address)
                 .filter(address -> !address.equals(self.address()))
--- a/src/main/java/org/micabarrow/weights/FollowedSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSourcesCache.java
@@ -13,12 +13,12 @@
 /**
  * The chunk sources of one agent, computed from the agents currently known and cached until these change. Thread-safe.
  */
-public final class FollowedSources implements IntFunction<ChunkSources> {
+public final class ChunkSourcesCache implements IntFunction<ChunkSources> {
 
     private final Agent self;
     private final Supplier<List<Agent>> agents;
-    private Set<Agent> seen = Set.of();
-    private Optional<ChunkSources> last = Optional.empty();
+    private Set<Agent> cachedAgents = Set.of();
+    private Optional<ChunkSources> cached = Optional.empty();
 
     /**
      * Creates an empty cache.
@@ -26,7 +26,7 @@
      * @param self the agent
      * @param agents supplies all agents currently known, in any order
      */
-    FollowedSources(Agent self, Supplier<List<Agent>> agents) {
+    ChunkSourcesCache(Agent self, Supplier<List<Agent>> agents) {
         this.self = Objects.requireNonNull(self, "self is null");
         this.agents = Objects.requireNonNull(agents, "agents is null");
     }
@@ -40,14 +40,14 @@
     @Override
     public synchronized ChunkSources apply(int chunks) {
         List<Agent> now = agents.get();
-        Set<Agent> which = Set.copyOf(now);
-        boolean same =
-                which.equals(seen) && last.filter(one -> one.chunks() == chunks).isPresent();
-        if (!same) {
-            seen = which;
-            last = Optional.of(ChunkSources.of(self, now, chunks));
+        Set<Agent> currentAgents = Set.copyOf(now);
+        boolean valid =
+                currentAgents.equals(cachedAgents) && cached.filter(sources -> sources.chunks() == chunks).isPresent();
+        if (!valid) {
+            cachedAgents = currentAgents;
+            cached = Optional.of(ChunkSources.of(self, now, chunks));
         }
-        return last.orElseThrow();
+        return cached.orElseThrow();
     }
 
     /**
@@ -56,14 +56,14 @@
      *
      * @return their addresses
      */
-    public List<String> nearFirst() {
+    public List<String> sameRegionFirst() {
         List<Agent> others = agents.get().stream()
                 .filter(agent -> !agent.address().equals(self.address()))
                 .toList();
-        Stream<Agent> near = others.stream().filter(agent -> agent.region().equals(self.region()));
+        Stream<Agent> sameRegion = others.stream().filter(agent -> agent.region().equals(self.region()));
         Set<String> regions = new HashSet<>(Set.of(self.region()));
-        List<Agent> far =
+        List<Agent> firstOfOtherRegions =
                 others.stream().filter(agent -> regions.add(agent.region())).toList();
-        return Stream.concat(near, far.stream()).map(Agent::address).toList();
+        return Stream.concat(sameRegion, firstOfOtherRegions.stream()).map(Agent::address).toList();
     }
 }
--- a/src/main/java/org/micabarrow/weights/Cordon.java
+++ b/src/main/java/org/micabarrow/weights/Cordon.java
@@ -19,39 +19,39 @@
      * load queries of an entry, in case the immediate notification is lost, plus the network delay. Running requests
      * take longer to finish, and the endpoint waits for them anyway.
      */
-    static final long MILLIS = 500;
+    static final long LEAD_MILLIS = 500;
 
-    private final Runnable tellEntries;
-    private volatile OptionalLong sinceMillis = OptionalLong.empty();
+    private final Runnable notifyEntries;
+    private volatile OptionalLong closedAtMillis = OptionalLong.empty();
 
     /**
      * Creates an open cordon.
      *
      * @param notifyEntries notifies entries immediately that the endpoint's state has changed
      */
-    Cordon(Runnable tellEntries) {
-        this.tellEntries = Objects.requireNonNull(tellEntries, "tellEntries is null");
+    Cordon(Runnable notifyEntries) {
+        this.notifyEntries = Objects.requireNonNull(notifyEntries, "notifyEntries is null");
     }
 
     /** Whether entries must send no requests. */
-    boolean closed() {
-        return sinceMillis.isPresent();
+    boolean isClosed() {
+        return closedAtMillis.isPresent();
     }
 
     /** Closes the cordon if it is open. Returns whether it has been closed for long enough that all entries know. */
-    boolean closedLongEnough(long nowMillis) {
-        if (sinceMillis.isEmpty()) {
-            sinceMillis = OptionalLong.of(nowMillis);
-            LOG.info("event=cordon_closed orderInMs={}", MILLIS);
-            tellEntries.run();
+    boolean closeAndCheckElapsed(long nowMillis) {
+        if (closedAtMillis.isEmpty()) {
+            closedAtMillis = OptionalLong.of(nowMillis);
+            LOG.info("event=cordon_closed orderInMs={}", LEAD_MILLIS);
+            notifyEntries.run();
         }
-        return nowMillis - sinceMillis.getAsLong() >= MILLIS;
+        return nowMillis - closedAtMillis.getAsLong() >= LEAD_MILLIS;
     }
 
     /** Opens the cordon if it is closed. */
     void lift() {
-        if (closed()) {
-            sinceMillis = OptionalLong.empty();
+        if (isClosed()) {
+            closedAtMillis = OptionalLong.empty();
             LOG.info("event=cordon_lifted");
         }
     }
--- a/src/main/java/org/micabarrow/weights/FetchChoice.java
+++ b/src/main/java/org/micabarrow/weights/FetchDecision.java
@@ -5,19 +5,19 @@
  * served for a while. Depends on the given situation alone. For both alternatives, the service time that the endpoint
  * loses until it serves the newest version is estimated, and the one with the smaller loss is chosen.
  */
-sealed interface FetchChoice {
+sealed interface FetchDecision {
 
     /**
      * How long a switch of versions takes an endpoint out of service, in milliseconds, from the first request that is
      * kept away to the first that is started again: the average of a day with two versions (docs/ADMISSION.md).
      */
-    long CHANGE_MILLIS = 2_600;
+    long SWITCH_MILLIS = 2_600;
 
     /**
      * The part of a switch that remains if no request runs at the endpoint any more, in milliseconds: the warm-up, and
      * the time until entries know that it serves again.
      */
-    long IDLE_CHANGE_MILLIS = 500;
+    long IDLE_SWITCH_MILLIS = 500;
 
     /**
      * By how much the loss of the alternative must be smaller to switch to it, in milliseconds: chunks that were
@@ -44,7 +44,7 @@
      * @param lostMillis the estimated loss
      * @param otherLostMillis the estimated loss if the older version were fetched first
      */
-    record Newest(long version, long lostMillis, long otherLostMillis) implements FetchChoice {}
+    record Newest(long version, long lostMillis, long otherLostMillis) implements FetchDecision {}
 
     /**
      * Fetch the older version first, then the newest.
@@ -53,7 +53,7 @@
      * @param lostMillis the estimated loss
      * @param otherLostMillis the estimated loss if the newest version were fetched immediately
      */
-    record OlderFirst(long version, long lostMillis, long otherLostMillis) implements FetchChoice {}
+    record OlderFirst(long version, long lostMillis, long otherLostMillis) implements FetchDecision {}
 
     /**
      * A version that is not complete.
@@ -64,14 +64,14 @@
      * @param delayMillis for how long no chunk is expected to arrive
      * @param chunkMillis the time for each chunk from then on; infinite if none arrives
      */
-    record Candidate(long version, int chunks, int missing, long awaitedMillis, double chunkMillis) {
+    record Candidate(long version, int chunks, int missing, long delayMillis, double chunkMillis) {
 
         private long readyMillis(long fromMillis) {
-            double takes = missing == 0 ? 0 : missing * chunkMillis;
-            return Math.round(fromMillis + Math.min(HORIZON_MILLIS, takes));
+            double transferMillis = missing == 0 ? 0 : missing * chunkMillis;
+            return Math.round(fromMillis + Math.min(HORIZON_MILLIS, transferMillis));
         }
 
-        private boolean halfHere() {
+        private boolean isHalfPresent() {
             return missing * 2 <= chunks;
         }
     }
@@ -97,41 +97,41 @@
 
         /** The service lost until the endpoint serves the newest version, if that is fetched immediately. */
         private long lostByNewest() {
-            return lost(heldUntilMillis, newest.readyMillis(nowMillis + newest.awaitedMillis()));
+            return lostBetween(heldUntilMillis, newest.readyMillis(nowMillis + newest.delayMillis()));
         }
 
         /** The service lost if the older version is fetched first, whether the endpoint then loads it or skips it. */
         private long lostByOlder() {
-            long older = olderReady();
-            long newestReady = newest.readyMillis(Math.max(older, nowMillis + newest.awaitedMillis()));
-            long goingPast = lost(heldUntilMillis, newestReady);
-            long taking = lost(heldUntilMillis, older) + lost(olderUntilMillis, newestReady);
-            return Math.min(goingPast, taking);
+            long olderReady = olderReadyMillis();
+            long newestReadyMillis = newest.readyMillis(Math.max(olderReady, nowMillis + newest.delayMillis()));
+            long skipping = lostBetween(heldUntilMillis, newestReadyMillis);
+            long loading = lostBetween(heldUntilMillis, olderReady) + lostBetween(olderUntilMillis, newestReadyMillis);
+            return Math.min(skipping, loading);
         }
 
-        private long olderReady() {
-            return older.readyMillis(nowMillis + older.awaitedMillis());
+        private long olderReadyMillis() {
+            return older.readyMillis(nowMillis + older.delayMillis());
         }
 
         /**
          * Whether the older version may still be served at the earliest time at which the endpoint could have loaded
          * it.
          */
-        private boolean olderServes() {
-            return olderReady() + IDLE_CHANGE_MILLIS < olderUntilMillis;
+        private boolean isOlderUsable() {
+            return olderReadyMillis() + IDLE_SWITCH_MILLIS < olderUntilMillis;
         }
 
         /**
          * The service lost between two versions. If the next version arrives after the previous one had to stop, no
          * request runs any more and the switch is shorter.
          */
-        private long lost(long untilMillis, long readyMillis) {
-            long idle = readyMillis - Math.max(untilMillis, nowMillis);
-            return Math.clamp(idle + IDLE_CHANGE_MILLIS, CHANGE_MILLIS, HORIZON_MILLIS);
+        private long lostBetween(long untilMillis, long readyMillis) {
+            long idleMillis = readyMillis - Math.max(untilMillis, nowMillis);
+            return Math.clamp(idleMillis + IDLE_SWITCH_MILLIS, SWITCH_MILLIS, HORIZON_MILLIS);
         }
 
-        private boolean finishesOlder() {
-            return current == older.version() && older.halfHere();
+        private boolean isOlderHalfFetched() {
+            return current == older.version() && older.isHalfPresent();
         }
     }
 
@@ -141,23 +141,23 @@
      * @param situation the input
      * @return the decision
      */
-    static FetchChoice of(Situation told) {
-        long newest = told.lostByNewest();
-        long older = told.lostByOlder();
-        boolean olderFirst = told.olderServes() && (told.finishesOlder() || older <= newest + margin(told));
+    static FetchDecision of(Situation situation) {
+        long newest = situation.lostByNewest();
+        long older = situation.lostByOlder();
+        boolean olderFirst = situation.isOlderUsable() && (situation.isOlderHalfFetched() || older <= newest + margin(situation));
         return olderFirst
-                ? new OlderFirst(told.older().version(), older, newest)
-                : new Newest(told.newest().version(), newest, older);
+                ? new OlderFirst(situation.older().version(), older, newest)
+                : new Newest(situation.newest().version(), newest, older);
     }
 
     /**
      * The margin in favour of the older version. While few chunks of the newest version arrive the link is idle, so the
      * older version is fetched if it loses no more.
      */
-    private static long margin(Situation told) {
-        if (told.current() == told.older().version()) {
+    private static long margin(Situation situation) {
+        if (situation.current() == situation.older().version()) {
             return MARGIN_MILLIS;
         }
-        return told.newest().awaitedMillis() > 0 ? 0 : -MARGIN_MILLIS;
+        return situation.newest().delayMillis() > 0 ? 0 : -MARGIN_MILLIS;
     }
 }
--- a/src/main/java/org/micabarrow/weights/FetchProgress.java
+++ b/src/main/java/org/micabarrow/weights/FetchProgress.java
@@ -18,29 +18,29 @@
     private static final long WINDOW_MILLIS = 500;
 
     private final ChunkSet set;
-    private final LongSupplier steadyMillis;
-    private final int presentAtFirst;
-    private final long beganMillis;
-    private int present;
-    private long sinceMillis;
+    private final LongSupplier monotonicMillis;
+    private final int initialPresent;
+    private final long startMillis;
+    private int lastPresent;
+    private long lastChunkAtMillis;
 
     /** The samples from which the chunk rate is computed, at least one window apart. */
-    private Look earlier;
+    private Sample olderSample;
 
-    private Look later;
+    private Sample newerSample;
     private double bestChunkMillis = Double.POSITIVE_INFINITY;
 
-    private record Look(long atMillis, int present) {}
+    private record Sample(long atMillis, int present) {}
 
-    FetchProgress(ChunkSet set, LongSupplier steadyMillis) {
+    FetchProgress(ChunkSet set, LongSupplier monotonicMillis) {
         this.set = set;
-        this.steadyMillis = steadyMillis;
-        this.presentAtFirst = set.present();
-        this.beganMillis = steadyMillis.getAsLong();
-        this.present = presentAtFirst;
-        this.sinceMillis = beganMillis;
-        this.earlier = new Look(beganMillis, presentAtFirst);
-        this.later = earlier;
+        this.monotonicMillis = monotonicMillis;
+        this.initialPresent = set.presentCount();
+        this.startMillis = monotonicMillis.getAsLong();
+        this.lastPresent = initialPresent;
+        this.lastChunkAtMillis = startMillis;
+        this.olderSample = new Sample(startMillis, initialPresent);
+        this.newerSample = olderSample;
     }
 
     /** The chunks of the version being fetched. */
@@ -49,12 +49,12 @@
     }
 
     /** The number of chunks that have arrived since the fetch started. */
-    int came() {
-        return set.present() - presentAtFirst;
+    int fetchedCount() {
+        return set.presentCount() - initialPresent;
     }
 
     /** Whether this is the progress of the given set. */
-    boolean isOf(ChunkSet other) {
+    boolean isFor(ChunkSet other) {
         return set.equals(other);
     }
 
@@ -63,34 +63,34 @@
      * arrived.
      */
     synchronized long expectedMillis(int chunks) {
-        int came = set.present() - presentAtFirst;
-        long took = steadyMillis.getAsLong() - beganMillis;
+        int fetched = set.presentCount() - initialPresent;
+        long elapsedMillis = monotonicMillis.getAsLong() - startMillis;
         if (chunks == 0) {
             return 0;
         }
-        return came == 0 ? Long.MAX_VALUE : took * chunks / came;
+        return fetched == 0 ? Long.MAX_VALUE : elapsedMillis * chunks / fetched;
     }
 
     /** Whether no chunk has arrived for a while. */
-    synchronized boolean stalled() {
-        return silentMillis() > STALLED_MILLIS;
+    synchronized boolean isStalled() {
+        return idleMillis() > STALLED_MILLIS;
     }
 
     /** The time since the last chunk arrived, in milliseconds. */
-    synchronized long silentMillis() {
-        look();
-        return steadyMillis.getAsLong() - sinceMillis;
+    synchronized long idleMillis() {
+        takeSample();
+        return monotonicMillis.getAsLong() - lastChunkAtMillis;
     }
 
     /** Whether the fetch has run long enough for its rate to be meaningful. */
-    synchronized boolean tells() {
-        return steadyMillis.getAsLong() - beganMillis > STALLED_MILLIS;
+    synchronized boolean isMeasurable() {
+        return monotonicMillis.getAsLong() - startMillis > STALLED_MILLIS;
     }
 
     /** The recent time per chunk, in milliseconds; infinite if none has arrived recently. */
     synchronized double chunkMillis() {
-        look();
-        return chunkMillis(steadyMillis.getAsLong());
+        takeSample();
+        return chunkMillis(monotonicMillis.getAsLong());
     }
 
     /** The shortest time per chunk in any window, in milliseconds; infinite if none has arrived. */
@@ -99,21 +99,21 @@
     }
 
     private double chunkMillis(long now) {
-        int came = set.present() - earlier.present();
-        return came == 0 ? Double.POSITIVE_INFINITY : Math.max(1.0, now - earlier.atMillis()) / came;
+        int fetched = set.presentCount() - olderSample.present();
+        return fetched == 0 ? Double.POSITIVE_INFINITY : Math.max(1.0, now - olderSample.atMillis()) / fetched;
     }
 
-    private void look() {
-        long now = steadyMillis.getAsLong();
-        int here = set.present();
-        if (here > present) {
-            present = here;
-            sinceMillis = now;
+    private void takeSample() {
+        long now = monotonicMillis.getAsLong();
+        int currentPresent = set.presentCount();
+        if (currentPresent > lastPresent) {
+            lastPresent = currentPresent;
+            lastChunkAtMillis = now;
         }
-        if (now - later.atMillis() >= WINDOW_MILLIS) {
+        if (now - newerSample.atMillis() >= WINDOW_MILLIS) {
             bestChunkMillis = Math.min(bestChunkMillis, chunkMillis(now));
-            earlier = later;
-            later = new Look(now, here);
+            olderSample = newerSample;
+            newerSample = new Sample(now, currentPresent);
         }
     }
 }
--- a/src/main/java/org/micabarrow/weights/OrderTimes.java
+++ b/src/main/java/org/micabarrow/weights/OrderSchedule.java
@@ -4,20 +4,20 @@
  * Schedules the orders of a region's agents, so that their endpoints do not all stop accepting requests at the same
  * time. While an endpoint switches versions it finishes running requests and accepts no new ones.
  */
-public final class OrderTimes {
+public final class OrderSchedule {
 
     /**
      * The fraction of the staleness limit before which no order is given: until then chunks are still being fetched.
      */
-    private static final double FIRST_PART = 0.45;
+    private static final double FIRST_FRACTION = 0.45;
 
     /**
      * The fraction of the staleness limit by which the last order is given. From the cordon before the order on, the
      * endpoint starts no request, so running requests may finish after the limit.
      */
-    private static final double LAST_PART = 0.93;
+    private static final double LAST_FRACTION = 0.93;
 
-    private OrderTimes() {}
+    private OrderSchedule() {}
 
     /**
      * The time at which an agent gives its order.
@@ -28,8 +28,8 @@
      * @param count the number of agents in the region
      * @return the time on the clock of {@code namedMillis}
      */
-    public static long at(long namedMillis, long boundMillis, int position, int count) {
-        double share = count <= 1 ? 0 : (double) position / (count - 1);
-        return namedMillis + Math.round(boundMillis * (FIRST_PART + (LAST_PART - FIRST_PART) * share));
+    public static long orderMillis(long namedMillis, long maxStalenessMillis, int position, int count) {
+        double fraction = count <= 1 ? 0 : (double) position / (count - 1);
+        return namedMillis + Math.round(maxStalenessMillis * (FIRST_FRACTION + (LAST_FRACTION - FIRST_FRACTION) * fraction));
     }
 }
--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
@@ -26,15 +26,15 @@
      * The maximum time for staging chunks in one step, in milliseconds: some two hundred chunks at a typical endpoint,
      * which takes one in a millisecond.
      */
-    private static final long LAYING_MILLIS = 250;
+    private static final long STAGING_MILLIS = 250;
 
     private final Parts parts;
     private final Cordon cordon;
-    private final LaidChunks laid;
+    private final StagedChunks stagedChunks;
     private final VersionDeadlines deadlines;
     private final VersionFetches fetches;
     private final Retirement retirement;
-    private final VersionChoice choice;
+    private final TargetVersionSelector versionSelector;
     private final AtomicReference<Optional<Report>> report = new AtomicReference<>(Optional.empty());
 
     /**
@@ -57,9 +57,9 @@
             ChunkFetcher fetcher,
             Supplier<View> view,
             Supplier<Place> place,
-            Runnable tellEntries,
-            long boundMillis,
-            LongSupplier steadyMillis) {}
+            Runnable notifyEntries,
+            long maxStalenessMillis,
+            LongSupplier monotonicMillis) {}
 
     /**
      * A position among the agents of a region.
@@ -76,13 +76,13 @@
      */
     public ReplicaKeeper(Parts parts) {
         this.parts = Objects.requireNonNull(parts, "parts is null");
-        this.cordon = new Cordon(parts.tellEntries());
-        this.laid = new LaidChunks(parts.endpoint());
-        this.deadlines = new VersionDeadlines(parts.view(), parts.layers(), parts.boundMillis(), parts.steadyMillis());
-        this.fetches = new VersionFetches(parts.fetcher(), deadlines, parts.steadyMillis());
-        this.choice = new VersionChoice(fetches, deadlines, parts.place(), parts.steadyMillis());
+        this.cordon = new Cordon(parts.notifyEntries());
+        this.stagedChunks = new StagedChunks(parts.endpoint());
+        this.deadlines = new VersionDeadlines(parts.view(), parts.layers(), parts.maxStalenessMillis(), parts.monotonicMillis());
+        this.fetches = new VersionFetches(parts.fetcher(), deadlines, parts.monotonicMillis());
+        this.versionSelector = new TargetVersionSelector(fetches, deadlines, parts.place(), parts.monotonicMillis());
         this.retirement =
-                new Retirement(parts.endpoint(), parts.layers(), laid, fetches, deadlines, parts.steadyMillis());
+                new Retirement(parts.endpoint(), parts.layers(), stagedChunks, fetches, deadlines, parts.monotonicMillis());
     }
 
     /**
@@ -100,7 +100,7 @@
      * @return true from shortly before an order until the endpoint has accepted the order or it is no longer needed
      */
     public boolean closing() {
-        return cordon.closed();
+        return cordon.isClosed();
     }
 
     /**
@@ -110,7 +110,7 @@
      */
     public boolean serves() {
         return report.get()
-                .filter(now -> !now.models().isEmpty() || now.running() + now.queued() > 0)
+                .filter(latest -> !latest.models().isEmpty() || latest.running() + latest.queued() > 0)
                 .isPresent();
     }
 
@@ -122,10 +122,10 @@
     public boolean settled() {
         Optional<String> model = parts.model().get();
         return model.isPresent()
-                && !cordon.closed()
+                && !cordon.isClosed()
                 && report.get()
-                        .filter(now -> !now.busy())
-                        .filter(now -> now.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
+                        .filter(latest -> !latest.busy())
+                        .filter(latest -> latest.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
                         .isPresent();
     }
 
@@ -135,18 +135,18 @@
      * @return the seconds since this agent's start, rounded up
      */
     public long secondsNotRetired() {
-        return retirement.timesImpossible();
+        return retirement.impossibleCount();
     }
 
     /** Requests a new report from the endpoint. */
     public void refresh() {
         Optional<Report> before = report.get();
         switch (parts.endpoint().report()) {
-            case Result.Success<Report>(Report now) -> {
-                report.set(Optional.of(now));
-                if (before.isEmpty() || !before.get().models().equals(now.models())) {
+            case Result.Success<Report>(Report latest) -> {
+                report.set(Optional.of(latest));
+                if (before.isEmpty() || !before.get().models().equals(latest.models())) {
                     LOG.info(
-                            "event=endpoint_holds models={} orders={} busy={}", now.models(), now.orders(), now.busy());
+                            "event=endpoint_holds models={} orders={} busy={}", latest.models(), latest.orders(), latest.busy());
                 }
             }
             case Result.Failure<Report>(Fault fault) -> {
@@ -168,7 +168,7 @@
      * @return the set, empty if this agent has none
      */
     public Optional<ChunkSet> set(String model, long version) {
-        return fetches.set(model, version);
+        return fetches.chunkSet(model, version);
     }
 
     // -- bringing the endpoint up to date
@@ -180,11 +180,11 @@
      */
     public void fetch() throws InterruptedException {
         Optional<String> model = parts.model().get();
-        Optional<Report> now = report.get();
-        if (model.isEmpty() || now.isEmpty()) {
+        Optional<Report> latest = report.get();
+        if (model.isEmpty() || latest.isEmpty()) {
             return;
         }
-        fetches.fetchFor(model.get(), now.get().models().getOrDefault(model.get(), 0L));
+        fetches.fetchNewerThan(model.get(), latest.get().models().getOrDefault(model.get(), 0L));
     }
 
     /**
@@ -193,42 +193,42 @@
      */
     public void step() {
         Optional<String> model = parts.model().get();
-        Optional<Report> now = report.get();
-        now.ifPresent(told -> retirement.holds(told.models()));
-        if (model.isEmpty() || now.isEmpty()) {
-            retirement.hindered(now.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
+        Optional<Report> latest = report.get();
+        latest.ifPresent(endpointReport -> retirement.updateHeld(endpointReport.models()));
+        if (model.isEmpty() || latest.isEmpty()) {
+            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
             return;
         }
-        if (laid.startedAgain(now.get().startedMillis())) {
+        if (stagedChunks.detectRestart(latest.get().startedMillis())) {
             // A closed cordon was for an order to the endpoint before its restart.
             cordon.lift();
-            retirement.startedAgain();
+            retirement.onRestart();
         }
         // A busy endpoint accepts no requests on its previous version.
-        if (!now.get().busy()) {
-            long held = now.get().models().getOrDefault(model.get(), 0L);
-            advance(model.get(), choice.target(model.get(), held), held, now.get());
+        if (!latest.get().busy()) {
+            long held = latest.get().models().getOrDefault(model.get(), 0L);
+            advance(model.get(), versionSelector.select(model.get(), held), held, latest.get());
         }
     }
 
-    private void advance(String model, Optional<ChunkSet> target, long held, Report now) {
-        target.ifPresent(this::lay);
-        Optional<ChunkSet> whole = target.filter(laid::all);
-        boolean late = deadlines.lastOrderPassed(model, held);
-        boolean retires = retirement.due(model, held) && (whole.isEmpty() || late);
-        boolean orders = target.filter(set -> ordersSoon(set, held)).isPresent();
-        if (!retires && !orders) {
+    private void advance(String model, Optional<ChunkSet> target, long held, Report latest) {
+        target.ifPresent(this::stageArrived);
+        Optional<ChunkSet> staged = target.filter(stagedChunks::isComplete);
+        boolean lastOrderPassed = deadlines.lastOrderPassed(model, held);
+        boolean retireDue = retirement.isDue(model, held) && (staged.isEmpty() || lastOrderPassed);
+        boolean orderDue = target.filter(set -> isOrderDueSoon(set, held)).isPresent();
+        if (!retireDue && !orderDue) {
             cordon.lift();
             return;
         }
         // An endpoint that serves nothing gets no requests, so there is no need to wait for the cordon; and an agent
         // that has just started may have no time to wait.
-        boolean quiet =
-                held == 0 || cordon.closedLongEnough(parts.steadyMillis().getAsLong()) || retires && late;
-        if (quiet && whole.filter(laid::verify).isPresent()) {
-            order(whole.get(), now);
-        } else if (quiet && retires) {
-            retirement.retire(model, held, now);
+        boolean cordonElapsed =
+                held == 0 || cordon.closeAndCheckElapsed(parts.monotonicMillis().getAsLong()) || retireDue && lastOrderPassed;
+        if (cordonElapsed && staged.filter(stagedChunks::verifyAndRepair).isPresent()) {
+            order(staged.get(), latest);
+        } else if (cordonElapsed && retireDue) {
+            retirement.retire(model, held, latest);
             refresh();
         }
     }
@@ -237,16 +237,16 @@
      * Stages the chunks that have arrived, for a limited time: an endpoint that accepts chunks slowly must not delay an
      * order or a retirement that is due.
      */
-    private void lay(ChunkSet set) {
-        long until = parts.steadyMillis().getAsLong() + LAYING_MILLIS;
-        laid.layNew(set, () -> parts.steadyMillis().getAsLong() < until);
+    private void stageArrived(ChunkSet set) {
+        long endMillis = parts.monotonicMillis().getAsLong() + STAGING_MILLIS;
+        stagedChunks.stageNew(set, () -> parts.monotonicMillis().getAsLong() < endMillis);
     }
 
-    private boolean ordersSoon(ChunkSet set, long held) {
+    private boolean isOrderDueSoon(ChunkSet set, long held) {
         // A closed cordon tolerates a chunk that arrives late.
-        long soonMillis = cordon.closed() ? 2 * Cordon.MILLIS : Cordon.MILLIS;
-        return (laid.all(set) || missingMillis(set) <= soonMillis)
-                && parts.steadyMillis().getAsLong() + Cordon.MILLIS >= orderAt(set.model(), held);
+        long soonMillis = cordon.isClosed() ? 2 * Cordon.LEAD_MILLIS : Cordon.LEAD_MILLIS;
+        return (stagedChunks.isComplete(set) || remainingMillis(set) <= soonMillis)
+                && parts.monotonicMillis().getAsLong() + Cordon.LEAD_MILLIS >= orderAt(set.model(), held);
     }
 
     /**
@@ -254,8 +254,8 @@
      * version that was fetched while the previous one was being staged has most of its chunks staged in an instant,
      * which made the estimate too short, and requests were kept away for up to 2.2 s before its last chunks.
      */
-    private long missingMillis(ChunkSet set) {
-        return fetches.expectedMillis(set, laid.missing(set));
+    private long remainingMillis(ChunkSet set) {
+        return fetches.expectedMillis(set, stagedChunks.missingCount(set));
     }
 
     /** When to give the order: immediately if the endpoint serves nothing, else at this agent's scheduled time. */
@@ -265,14 +265,14 @@
                 : deadlines.orderAt(model, held, parts.place().get());
     }
 
-    private void order(ChunkSet set, Report now) {
-        if (retirement.distrusts(set, now)) {
-            retirement.giveUp(set, now);
+    private void order(ChunkSet set, Report latest) {
+        if (retirement.mayHoldUnverifiedLayers(set, latest)) {
+            retirement.discardLayers(set, latest);
             refresh();
             return;
         }
-        Result<OrderEnd> end = parts.endpoint().start(set.model(), set.version(), now.orders());
-        LOG.info("event=ordered model={} version={} end={}", set.model(), set.version(), end);
+        Result<OrderEnd> outcome = parts.endpoint().start(set.model(), set.version(), latest.orders());
+        LOG.info("event=ordered model={} version={} end={}", set.model(), set.version(), outcome);
         refresh();
     }
 
@@ -282,7 +282,7 @@
     public void readBack() {
         parts.model().get().ifPresent(model -> {
             long held = report.get()
-                    .map(now -> now.models().getOrDefault(model, 0L))
+                    .map(latest -> latest.models().getOrDefault(model, 0L))
                     .orElse(0L);
             if (held > 0) {
                 readBack(model, held);
@@ -294,6 +294,6 @@
         if (set(model, held).isPresent()) {
             return;
         }
-        fetches.setFor(model, held).toOptional().ifPresent(laid::readInto);
+        fetches.getOrCreate(model, held).toOptional().ifPresent(stagedChunks::readInto);
     }
 }
--- a/src/main/java/org/micabarrow/weights/Retirement.java
+++ b/src/main/java/org/micabarrow/weights/Retirement.java
@@ -30,45 +30,45 @@
      * The minimum interval between log lines about a retirement that is impossible, in milliseconds: short enough to
      * show how long it lasts.
      */
-    private static final long LOG_AGAIN_MILLIS = 1_000;
+    private static final long LOG_INTERVAL_MILLIS = 1_000;
 
     /** The layer to order if none is complete. */
-    private static final int ANY_LAYER = 0;
+    private static final int FALLBACK_LAYER = 0;
 
     private final ModelEndpoint endpoint;
     private final IntSupplier layers;
-    private final LaidChunks laid;
+    private final StagedChunks stagedChunks;
     private final VersionFetches fetches;
     private final VersionDeadlines deadlines;
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
 
     /**
      * The versions of which this agent has ordered a complete layer, and those of which it has ordered an unverified
      * one.
      */
-    private final Set<Long> orderedWhole = new HashSet<>();
+    private final Set<Long> completeLayerVersions = new HashSet<>();
 
-    private final Set<Long> orderedAnyhow = new HashSet<>();
+    private final Set<Long> unverifiedLayerVersions = new HashSet<>();
 
     /** The versions that the endpoint held in its last report. */
-    private Map<String, Long> lastHeld = Map.of();
+    private Map<String, Long> heldVersions = Map.of();
 
-    private long loggedMillis = Long.MIN_VALUE / 2;
-    private final AtomicLong logged = new AtomicLong();
+    private long lastLoggedMillis = Long.MIN_VALUE / 2;
+    private final AtomicLong logCount = new AtomicLong();
 
     Retirement(
             ModelEndpoint endpoint,
             IntSupplier layers,
-            LaidChunks laid,
+            StagedChunks stagedChunks,
             VersionFetches fetches,
             VersionDeadlines deadlines,
-            LongSupplier steadyMillis) {
+            LongSupplier monotonicMillis) {
         this.endpoint = endpoint;
         this.layers = layers;
-        this.laid = laid;
+        this.stagedChunks = stagedChunks;
         this.fetches = fetches;
         this.deadlines = deadlines;
-        this.steadyMillis = steadyMillis;
+        this.monotonicMillis = monotonicMillis;
     }
 
     // -- whether a retirement is due
@@ -77,90 +77,90 @@
      * Whether the endpoint must stop serving the version that it holds by the time a cordon closed now would take
      * effect.
      */
-    boolean due(String model, long held) {
-        return held > 0 && deadlines.leastAllowed(model, Cordon.MILLIS) > held;
+    boolean isDue(String model, long held) {
+        return held > 0 && deadlines.minAllowedVersion(model, Cordon.LEAD_MILLIS) > held;
     }
 
     /** Called when the endpoint has restarted. It no longer holds any layer that was ordered before. */
-    void startedAgain() {
-        orderedWhole.clear();
-        orderedAnyhow.clear();
+    void onRestart() {
+        completeLayerVersions.clear();
+        unverifiedLayerVersions.clear();
     }
 
     /** Updates the versions that the endpoint holds. */
-    void holds(Map<String, Long> models) {
-        lastHeld = models;
+    void updateHeld(Map<String, Long> models) {
+        heldVersions = models;
     }
 
     /** Logs why no order can be given now, if a retirement is due. */
-    void hindered(String why) {
-        lastHeld.forEach((model, held) -> {
-            if (due(model, held)) {
-                impossible(model, held, why);
+    void reportBlocked(String reason) {
+        heldVersions.forEach((model, held) -> {
+            if (isDue(model, held)) {
+                logImpossible(model, held, reason);
             }
         });
     }
 
-    private void impossible(String model, long held, String why) {
-        long now = steadyMillis.getAsLong();
-        if (now - loggedMillis >= LOG_AGAIN_MILLIS) {
-            loggedMillis = now;
-            logged.incrementAndGet();
-            LOG.warn("event=retire_impossible model={} held={} why=\"{}\"", model, held, why);
+    private void logImpossible(String model, long held, String reason) {
+        long now = monotonicMillis.getAsLong();
+        if (now - lastLoggedMillis >= LOG_INTERVAL_MILLIS) {
+            lastLoggedMillis = now;
+            logCount.incrementAndGet();
+            LOG.warn("event=retire_impossible model={} held={} why=\"{}\"", model, held, reason);
         }
     }
 
     /** The number of log lines about impossible retirements. Can be called by any thread. */
-    long timesImpossible() {
-        return logged.get();
+    long impossibleCount() {
+        return logCount.get();
     }
 
     // -- retiring
 
     /** Orders one layer of a newer version: the newest version with a complete layer, or else an unverified layer. */
-    void retire(String model, long held, Report now) {
+    void retire(String model, long held, Report report) {
         for (ChunkSet set : fetches.newerThan(model, held)) {
-            OptionalInt layer = wholeLayer(set);
+            OptionalInt layer = firstCompleteLayer(set);
             if (layer.isPresent()
-                    && laid.layAgain(set, firstChunk(set, layer.getAsInt()), endChunk(set, layer.getAsInt()))) {
-                orderedWhole.add(set.version());
-                orderLayer(model, held, set.version(), layer.getAsInt(), now);
+                    && stagedChunks.restage(set, firstChunk(set, layer.getAsInt()), endChunk(set, layer.getAsInt()))) {
+                completeLayerVersions.add(set.version());
+                orderLayer(model, held, set.version(), layer.getAsInt(), report);
                 return;
             }
         }
-        retireAnyhow(model, held, now);
+        retireWithUnverifiedLayer(model, held, report);
     }
 
-    private void retireAnyhow(String model, long held, Report now) {
+    private void retireWithUnverifiedLayer(String model, long held, Report report) {
         // A single layer would be the whole version and would be served.
         if (layers.getAsInt() <= 1) {
-            impossible(model, held, "a version has no more than one layer");
+            logImpossible(model, held, "the model has only one layer");
             return;
         }
-        long newer = deadlines.oldestNewer(model, held);
-        orderedAnyhow.add(newer);
-        orderLayer(model, held, newer, ANY_LAYER, now);
+        long newer = deadlines.firstNewer(model, held);
+        unverifiedLayerVersions.add(newer);
+        orderLayer(model, held, newer, FALLBACK_LAYER, report);
     }
 
-    private void orderLayer(String model, long held, long version, int layer, Report now) {
-        switch (endpoint.startLayer(model, version, layer, now.orders())) {
-            case Result.Success<OrderEnd>(OrderEnd end)
-            when end == OrderEnd.BEGUN ->
+    private void orderLayer(String model, long held, long version, int layer, Report report) {
+        switch (endpoint.startLayer(model, version, layer, report.orders())) {
+            case Result.Success<OrderEnd>(OrderEnd outcome)
+            when outcome == OrderEnd.BEGUN ->
                 LOG.warn(
                         "event=retired model={} from={} towards={} layer={} whole={}",
                         model,
                         held,
                         version,
                         layer,
-                        !orderedAnyhow.contains(version));
-            case Result.Success<OrderEnd>(OrderEnd end) -> impossible(model, held, "the endpoint answered " + end);
-            case Result.Failure<OrderEnd>(Fault fault) -> impossible(model, held, fault.toString());
+                        !unverifiedLayerVersions.contains(version));
+            case Result.Success<OrderEnd>(OrderEnd outcome) -> logImpossible(model, held, "the endpoint answered " + outcome);
+            case Result.Failure<OrderEnd>(Fault fault) -> logImpossible(model, held, fault.toString());
         }
     }
 
-    private OptionalInt wholeLayer(ChunkSet set) {
+    private OptionalInt firstCompleteLayer(ChunkSet set) {
         for (int layer = 0; layer < layers.getAsInt(); layer++) {
-            if (set.hasAll(firstChunk(set, layer), endChunk(set, layer))) {
+            if (set.hasRange(firstChunk(set, layer), endChunk(set, layer))) {
                 return OptionalInt.of(layer);
             }
         }
@@ -179,25 +179,25 @@
     // -- discarding unverified layers
 
     /** Whether the endpoint may hold layers of a version that were loaded from chunks of another version. */
-    boolean distrusts(ChunkSet set, Report now) {
-        boolean holdsSome = now.parts().getOrDefault(set.model(), 0L) == set.version();
-        return holdsSome && !(orderedWhole.contains(set.version()) && !orderedAnyhow.contains(set.version()));
+    boolean mayHoldUnverifiedLayers(ChunkSet set, Report report) {
+        boolean holdsLayers = report.parts().getOrDefault(set.model(), 0L) == set.version();
+        return holdsLayers && !(completeLayerVersions.contains(set.version()) && !unverifiedLayerVersions.contains(set.version()));
     }
 
     /** Makes the endpoint discard its layers of a version, so that it loads all of them again. */
-    void giveUp(ChunkSet set, Report now) {
-        OptionalLong third = deadlines.otherThan(set.model(), set.version());
-        if (third.isEmpty()) {
-            impossible(set.model(), 0, "no third version is known, to give up layers of version " + set.version());
+    void discardLayers(ChunkSet set, Report report) {
+        OptionalLong otherVersion = deadlines.anyOtherVersion(set.model(), set.version());
+        if (otherVersion.isEmpty()) {
+            logImpossible(set.model(), 0, "no other version is known to replace the unverified layers of version " + set.version());
             return;
         }
-        orderedAnyhow.add(third.getAsLong());
-        Result<OrderEnd> end = endpoint.startLayer(set.model(), third.getAsLong(), ANY_LAYER, now.orders());
+        unverifiedLayerVersions.add(otherVersion.getAsLong());
+        Result<OrderEnd> outcome = endpoint.startLayer(set.model(), otherVersion.getAsLong(), FALLBACK_LAYER, report.orders());
         LOG.info(
                 "event=layers_given_up model={} version={} by={} end={}",
                 set.model(),
                 set.version(),
-                third.getAsLong(),
-                end);
+                otherVersion.getAsLong(),
+                outcome);
     }
 }
--- a/src/main/java/org/micabarrow/weights/CurrentSources.java
+++ b/src/main/java/org/micabarrow/weights/SourceSelector.java
@@ -13,18 +13,18 @@
  * Selects the source from which each missing chunk of a version is fetched next: an agent, in order of preference, or
  * the origin after the last agent. Agents that did not answer are skipped for a while. Thread-safe.
  */
-final class CurrentSources {
+final class SourceSelector {
 
     /** The name of the origin among the sources. */
     static final String ORIGIN = "origin";
 
     /** How long an agent that did not answer is skipped, in milliseconds. */
-    private static final long PASSED_OVER_MILLIS = 8_000;
+    private static final long SKIP_MILLIS = 8_000;
 
     private final IntFunction<ChunkSources> sources;
     private final ChunkSet set;
-    private final Map<String, Long> silentUntil;
-    private final LongSupplier steadyMillis;
+    private final Map<String, Long> unresponsiveUntil;
+    private final LongSupplier monotonicMillis;
     private final AtomicIntegerArray positions;
 
     /**
@@ -36,89 +36,89 @@
      *     caller
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    CurrentSources(
-            IntFunction<ChunkSources> sources, ChunkSet set, Map<String, Long> silentUntil, LongSupplier steadyMillis) {
+    SourceSelector(
+            IntFunction<ChunkSources> sources, ChunkSet set, Map<String, Long> unresponsiveUntil, LongSupplier monotonicMillis) {
         this.sources = sources;
         this.set = set;
-        this.silentUntil = silentUntil;
-        this.steadyMillis = steadyMillis;
+        this.unresponsiveUntil = unresponsiveUntil;
+        this.monotonicMillis = monotonicMillis;
         this.positions = new AtomicIntegerArray(set.digests().size());
     }
 
     // -- queries
 
     /** The sources to fetch from: the agents of this region, and the current source of each missing chunk. */
-    Set<String> toAsk() {
-        ChunkSources now = now();
-        Set<String> all = new LinkedHashSet<>();
-        now.near().stream().filter(agent -> !silent(agent)).forEach(all::add);
+    Set<String> activeSources() {
+        ChunkSources currentSources = currentSources();
+        Set<String> active = new LinkedHashSet<>();
+        currentSources.sameRegion().stream().filter(agent -> !isUnresponsive(agent)).forEach(active::add);
         for (int i = 0; i < positions.length(); i++) {
             if (set.chunk(i).isEmpty()) {
-                all.add(source(now, i));
+                active.add(source(currentSources, i));
             }
         }
-        return all;
+        return active;
     }
 
     /** The chunks to request from a source. */
-    BitSet wantedFrom(String source) {
-        ChunkSources now = now();
-        BitSet own = new BitSet();
+    BitSet chunksWantedFrom(String source) {
+        ChunkSources currentSources = currentSources();
+        BitSet assigned = new BitSet();
         BitSet missing = new BitSet();
         for (int i = 0; i < positions.length(); i++) {
             if (set.chunk(i).isEmpty()) {
                 missing.set(i);
-                own.set(i, source(now, i).equals(source));
+                assigned.set(i, source(currentSources, i).equals(source));
             }
         }
         // An agent of this region that has served all chunks requested from it may have chunks that a slower one has
         // not served.
-        return own.isEmpty() && now.near().contains(source) && !silent(source) ? missing : own;
+        return assigned.isEmpty() && currentSources.sameRegion().contains(source) && !isUnresponsive(source) ? missing : assigned;
     }
 
-    private ChunkSources now() {
+    private ChunkSources currentSources() {
         return sources.apply(positions.length());
     }
 
-    private String source(ChunkSources now, int index) {
-        List<String> agents = now.of(index);
+    private String source(ChunkSources currentSources, int index) {
+        List<String> agents = currentSources.of(index);
         int position = positions.get(index);
-        while (position < agents.size() && silent(agents.get(position))) {
+        while (position < agents.size() && isUnresponsive(agents.get(position))) {
             position++;
         }
         return position < agents.size() ? agents.get(position) : ORIGIN;
     }
 
-    private boolean silent(String agent) {
-        return silentUntil.getOrDefault(agent, Long.MIN_VALUE) > steadyMillis.getAsLong();
+    private boolean isUnresponsive(String agent) {
+        return unresponsiveUntil.getOrDefault(agent, Long.MIN_VALUE) > monotonicMillis.getAsLong();
     }
 
     // -- updates
 
     /** Switches a chunk to its next source. */
-    void askNext(int index) {
+    void useNextSource(int index) {
         positions.incrementAndGet(index);
     }
 
     /** Switches a chunk back to its first source. */
-    void askFirst(int index) {
+    void useFirstSource(int index) {
         positions.set(index, 0);
     }
 
     /** Switches those of the given chunks whose current source is the given one to their next source. */
-    void leave(String source, BitSet indexes) {
-        ChunkSources now = now();
-        indexes.stream().filter(i -> isCurrent(now, i, source)).forEach(this::askNext);
+    void advancePast(String source, BitSet indexes) {
+        ChunkSources currentSources = currentSources();
+        indexes.stream().filter(i -> isCurrent(currentSources, i, source)).forEach(this::useNextSource);
     }
 
-    private boolean isCurrent(ChunkSources now, int index, String source) {
-        List<String> agents = now.of(index);
+    private boolean isCurrent(ChunkSources currentSources, int index, String source) {
+        List<String> agents = currentSources.of(index);
         int position = positions.get(index);
         return position < agents.size() && agents.get(position).equals(source);
     }
 
     /** Skips an agent that did not answer for a while. */
-    void passOver(String source) {
-        silentUntil.put(source, steadyMillis.getAsLong() + PASSED_OVER_MILLIS);
+    void markUnresponsive(String source) {
+        unresponsiveUntil.put(source, monotonicMillis.getAsLong() + SKIP_MILLIS);
     }
 }
--- a/src/main/java/org/micabarrow/weights/LaidChunks.java
+++ b/src/main/java/org/micabarrow/weights/StagedChunks.java
@@ -14,13 +14,13 @@
  * The chunks staged beside an endpoint, from which it loads weights. Stages the chunks of the version being fetched as
  * they arrive, and reads them back, since staged chunks may become corrupted. Used by one thread, except {@link #readInto}.
  */
-final class LaidChunks {
+final class StagedChunks {
 
-    private static final Logger LOG = LoggerFactory.getLogger(LaidChunks.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StagedChunks.class);
 
     private final ModelEndpoint endpoint;
-    private final BitSet laid = new BitSet();
-    private Optional<ChunkSet> from = Optional.empty();
+    private final BitSet stagedChunks = new BitSet();
+    private Optional<ChunkSet> stagedSet = Optional.empty();
     private OptionalLong startedMillis = OptionalLong.empty();
 
     /**
@@ -28,7 +28,7 @@
      *
      * @param endpoint the endpoint
      */
-    LaidChunks(ModelEndpoint endpoint) {
+    StagedChunks(ModelEndpoint endpoint) {
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
     }
 
@@ -38,21 +38,21 @@
      * Records the endpoint's start time. After a restart, all chunks must be staged again: staged chunks survive a
      * crash of the endpoint but not a loss of power.
      *
-     * @param now the start time as a Unix timestamp in milliseconds; empty if the endpoint does not report it
+     * @param reported the start time as a Unix timestamp in milliseconds; empty if the endpoint does not report it
      * @return whether the endpoint has restarted
      */
-    boolean startedAgain(OptionalLong now) {
-        OptionalLong before = startedMillis;
-        if (now.isEmpty() || now.equals(before)) {
+    boolean detectRestart(OptionalLong reported) {
+        OptionalLong previous = startedMillis;
+        if (reported.isEmpty() || reported.equals(previous)) {
             return false;
         }
-        startedMillis = now;
-        if (before.isEmpty()) {
+        startedMillis = reported;
+        if (previous.isEmpty()) {
             return false;
         }
-        LOG.warn("event=endpoint_restarted started={} before={}", now.getAsLong(), before.getAsLong());
-        from = Optional.empty();
-        laid.clear();
+        LOG.warn("event=endpoint_restarted started={} before={}", reported.getAsLong(), previous.getAsLong());
+        stagedSet = Optional.empty();
+        stagedChunks.clear();
         return true;
     }
 
@@ -62,15 +62,15 @@
      * Stages the chunks of a version that have arrived since the last call, while {@code mayContinue} holds. Chunks
      * staged for another version no longer count.
      */
-    void layNew(ChunkSet set, BooleanSupplier goesOn) {
-        if (from.filter(set::equals).isEmpty()) {
-            from = Optional.of(set);
-            laid.clear();
+    void stageNew(ChunkSet set, BooleanSupplier mayContinue) {
+        if (stagedSet.filter(set::equals).isEmpty()) {
+            stagedSet = Optional.of(set);
+            stagedChunks.clear();
         }
-        for (int i = 0; i < set.digests().size() && goesOn.getAsBoolean(); i++) {
-            if (!laid.get(i) && set.chunk(i).isPresent() && lay(set, i)) {
-                laid.set(i);
-                if (all(set)) {
+        for (int i = 0; i < set.digests().size() && mayContinue.getAsBoolean(); i++) {
+            if (!stagedChunks.get(i) && set.chunk(i).isPresent() && stageChunk(set, i)) {
+                stagedChunks.set(i);
+                if (isComplete(set)) {
                     LOG.info("event=staged model={} version={}", set.model(), set.version());
                 }
             }
@@ -78,68 +78,68 @@
     }
 
     /** Stages chunks again, since staged ones may be corrupted. Returns whether all of them were staged. */
-    boolean layAgain(ChunkSet set, int first, int end) {
-        if (from.filter(set::equals).isEmpty()) {
-            laid.clear(first, end);
+    boolean restage(ChunkSet set, int first, int end) {
+        if (stagedSet.filter(set::equals).isEmpty()) {
+            stagedChunks.clear(first, end);
         }
         for (int i = first; i < end; i++) {
-            if (!lay(set, i)) {
+            if (!stageChunk(set, i)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean lay(ChunkSet set, int index) {
-        Result<Boolean> done =
+    private boolean stageChunk(ChunkSet set, int index) {
+        Result<Boolean> result =
                 endpoint.stage(set.model(), index, set.chunk(index).orElseThrow());
-        done.cause()
+        result.cause()
                 .ifPresent(fault -> LOG.warn(
                         "event=stage_failed model={} version={} chunk={} why=\"{}\"",
                         set.model(),
                         set.version(),
                         index,
                         fault));
-        return done.toOptional().isPresent();
+        return result.toOptional().isPresent();
     }
 
     // -- state
 
     /** Whether all chunks of the version being staged are staged. */
-    boolean all(ChunkSet set) {
-        return laid.cardinality() == set.digests().size();
+    boolean isComplete(ChunkSet set) {
+        return stagedChunks.cardinality() == set.digests().size();
     }
 
     /** The number of the version's chunks that are not staged yet. */
-    int missing(ChunkSet set) {
-        return set.digests().size() - laid.cardinality();
+    int missingCount(ChunkSet set) {
+        return set.digests().size() - stagedChunks.cardinality();
     }
 
     // -- reading back
 
     /** Reads all chunks back and stages corrupted ones again. Returns whether all were intact in this pass. */
-    boolean verify(ChunkSet set) {
-        int mended = 0;
+    boolean verifyAndRepair(ChunkSet set) {
+        int repaired = 0;
         for (int i = 0; i < set.digests().size(); i++) {
-            Result<Optional<byte[]>> lies = endpoint.staged(set.model(), i);
-            if (lies instanceof Result.Failure<Optional<byte[]>>(Fault fault)) {
+            Result<Optional<byte[]>> readBack = endpoint.staged(set.model(), i);
+            if (readBack instanceof Result.Failure<Optional<byte[]>>(Fault fault)) {
                 LOG.warn("event=read_back_failed chunk={} why=\"{}\"", i, fault);
                 return false;
             }
             int index = i;
-            boolean right = lies.toOptional()
+            boolean intact = readBack.toOptional()
                     .flatMap(one -> one)
-                    .filter(bytes -> set.right(index, bytes))
+                    .filter(bytes -> set.matchesDigest(index, bytes))
                     .isPresent();
-            if (!right) {
-                mended++;
-                lay(set, i);
+            if (!intact) {
+                repaired++;
+                stageChunk(set, i);
             }
         }
-        if (mended > 0) {
-            LOG.info("event=chunks_mended model={} version={} chunks={}", set.model(), set.version(), mended);
+        if (repaired > 0) {
+            LOG.info("event=chunks_mended model={} version={} chunks={}", set.model(), set.version(), repaired);
         }
-        return mended == 0;
+        return repaired == 0;
     }
 
     /** Adds those staged chunks to a set that match its digests. */
@@ -155,7 +155,7 @@
                 "event=read_back model={} version={} chunks={} of={}",
                 set.model(),
                 set.version(),
-                set.present(),
+                set.presentCount(),
                 set.digests().size());
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -17,21 +17,21 @@
      * The fraction of the staleness limit after which an endpoint must stop serving the older version if no newer one
      * is complete.
      */
-    private static final double RETIRE_PART = 0.84;
+    private static final double RETIRE_FRACTION = 0.84;
 
     /** The position of the agent that gives its order last. */
-    private static final ReplicaKeeper.Place LAST = new ReplicaKeeper.Place(1, 2);
+    private static final ReplicaKeeper.Place LAST_POSITION = new ReplicaKeeper.Place(1, 2);
 
     /**
      * How long after its scheduled time an agent with corrupted chunks may still give its order, in milliseconds: two
      * verification passes.
      */
-    private static final long READING_BACK_MILLIS = 200;
+    private static final long READ_BACK_MILLIS = 200;
 
     private final Supplier<View> view;
     private final IntSupplier layers;
-    private final long boundMillis;
-    private final LongSupplier steadyMillis;
+    private final long maxStalenessMillis;
+    private final LongSupplier monotonicMillis;
 
     /**
      * The newest version in use in a view. Cached, because agents check twenty times a second while views change only
@@ -49,11 +49,11 @@
      * @param maxStalenessMillis how long older versions may be served after a newer one was named
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    VersionDeadlines(Supplier<View> view, IntSupplier layers, long boundMillis, LongSupplier steadyMillis) {
+    VersionDeadlines(Supplier<View> view, IntSupplier layers, long maxStalenessMillis, LongSupplier monotonicMillis) {
         this.view = view;
         this.layers = layers;
-        this.boundMillis = boundMillis;
-        this.steadyMillis = steadyMillis;
+        this.maxStalenessMillis = maxStalenessMillis;
+        this.monotonicMillis = monotonicMillis;
     }
 
     /** The newest named version; the first version if none was named. */
@@ -62,14 +62,14 @@
     }
 
     /** The minimum version that an endpoint may serve or load after {@code aheadMillis} milliseconds. */
-    long leastAllowed(String model, long aheadMillis) {
-        View now = view.get();
-        long due = now.leastVersion(model, retireMillis(), steadyMillis.getAsLong() + aheadMillis);
-        return sawNewestNamed(now, model) ? due : Math.max(due, newestInUse(now, model));
+    long minAllowedVersion(String model, long aheadMillis) {
+        View current = view.get();
+        long minVersion = current.leastVersion(model, retireAfterMillis(), monotonicMillis.getAsLong() + aheadMillis);
+        return sawNewestBeingNamed(current, model) ? minVersion : Math.max(minVersion, newestInUse(current, model));
     }
 
-    private static boolean sawNewestNamed(View now, String model) {
-        return now.newestTarget(model).filter(View.Target::seenNamed).isPresent();
+    private static boolean sawNewestBeingNamed(View current, String model) {
+        return current.newestTarget(model).filter(View.Target::seenNamed).isPresent();
     }
 
     /**
@@ -77,17 +77,17 @@
      * start, or has not read of any yet, cannot know how long ago they were named; an endpoint needs at least 0.45 of
      * the staleness limit to load a new version.
      */
-    private long newestInUse(View now, String model) {
-        InUse known = inUse;
-        if (known.view() != now || !known.model().equals(model) || known.layers() != layers.getAsInt()) {
-            known = new InUse(now, model, layers.getAsInt(), newestHeld(now, model));
-            inUse = known;
+    private long newestInUse(View current, String model) {
+        InUse cached = inUse;
+        if (cached.view() != current || !cached.model().equals(model) || cached.layers() != layers.getAsInt()) {
+            cached = new InUse(current, model, layers.getAsInt(), newestHeld(current, model));
+            inUse = cached;
         }
-        return known.version();
+        return cached.version();
     }
 
-    private long newestHeld(View now, String model) {
-        return now.endpoints().values().stream()
+    private long newestHeld(View current, String model) {
+        return current.endpoints().values().stream()
                 .filter(endpoint -> endpoint.layers() >= layers.getAsInt())
                 .mapToLong(endpoint -> endpoint.models().getOrDefault(model, 0L))
                 .max()
@@ -97,18 +97,18 @@
     /**
      * The first version named after one that may no longer be served; if none is known, the minimum allowed version.
      */
-    long oldestNewer(String model, long version) {
+    long firstNewer(String model, long version) {
         return view.get()
                 .newerNamed(model, version)
                 .map(View.Target::version)
-                .orElseGet(() -> leastAllowed(model, Cordon.MILLIS));
+                .orElseGet(() -> minAllowedVersion(model, Cordon.LEAD_MILLIS));
     }
 
     /**
      * Any version other than the given one: the newest named version, else the first version; empty if both are the
      * given one.
      */
-    OptionalLong otherThan(String model, long version) {
+    OptionalLong anyOtherVersion(String model, long version) {
         return LongStream.of(newest(model), FIRST_VERSION)
                 .filter(other -> other != version)
                 .findFirst();
@@ -118,7 +118,7 @@
     long retireAt(String model, long version) {
         return view.get()
                 .newerNamed(model, version - 1)
-                .map(named -> named.learnedMillis() + retireMillis())
+                .map(target -> target.learnedMillis() + retireAfterMillis())
                 .orElse(Long.MIN_VALUE);
     }
 
@@ -128,25 +128,25 @@
     long servesUntil(String model, long version) {
         return view.get()
                 .newerNamed(model, version)
-                .map(named -> named.learnedMillis() + retireMillis() - Cordon.MILLIS)
+                .map(target -> target.learnedMillis() + retireAfterMillis() - Cordon.LEAD_MILLIS)
                 .orElse(Long.MAX_VALUE / 2);
     }
 
-    private long retireMillis() {
-        return Math.round(boundMillis * RETIRE_PART);
+    private long retireAfterMillis() {
+        return Math.round(maxStalenessMillis * RETIRE_FRACTION);
     }
 
     /**
      * The oldest version that is newer than the held one, older than the newest, and may still be served; empty if
      * there is none.
      */
-    OptionalLong olderThanNewest(String model, long held) {
-        View now = view.get();
+    OptionalLong oldestUsableBeforeNewest(String model, long held) {
+        View current = view.get();
         long newest = newest(model);
-        long least = now.leastVersion(model, boundMillis, steadyMillis.getAsLong());
-        return now.newerNamed(model, held).stream()
+        long minVersion = current.leastVersion(model, maxStalenessMillis, monotonicMillis.getAsLong());
+        return current.newerNamed(model, held).stream()
                 .mapToLong(View.Target::version)
-                .filter(version -> version < newest && version >= least)
+                .filter(version -> version < newest && version >= minVersion)
                 .findFirst();
     }
 
@@ -155,14 +155,14 @@
      * to read back corrupted chunks.
      */
     boolean lastOrderPassed(String model, long held) {
-        return steadyMillis.getAsLong() >= orderAt(model, held, LAST) + READING_BACK_MILLIS;
+        return monotonicMillis.getAsLong() >= orderAt(model, held, LAST_POSITION) + READ_BACK_MILLIS;
     }
 
     /** When an agent is scheduled to order its endpoint to load a version newer than the held one. */
     long orderAt(String model, long held, ReplicaKeeper.Place place) {
         return view.get()
                 .newerNamed(model, held)
-                .map(newer -> OrderTimes.at(newer.learnedMillis(), boundMillis, place.position(), place.count()))
+                .map(target -> OrderSchedule.orderMillis(target.learnedMillis(), maxStalenessMillis, place.position(), place.count()))
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -26,34 +26,34 @@
      * The maximum number of versions kept: the one that the endpoint holds, and two that were named in quick
      * succession.
      */
-    private static final int SETS_KEPT = 3;
+    private static final int MAX_SETS = 3;
 
     /**
      * The pause after no chunk of any version could be fetched, in milliseconds; the origin may be unavailable for
      * seconds.
      */
-    private static final long AGAIN_MILLIS = 300;
+    private static final long RETRY_MILLIS = 300;
 
     private final ChunkFetcher fetcher;
     private final VersionDeadlines deadlines;
-    private final LongSupplier steadyMillis;
-    private final OverlapChoice overlap;
+    private final LongSupplier monotonicMillis;
+    private final OverlapPolicy overlapPolicy;
     private final Deque<ChunkSet> sets = new ArrayDeque<>();
 
     /** The progress of the current or last fetch. */
-    private volatile Optional<FetchProgress> fetching = Optional.empty();
+    private volatile Optional<FetchProgress> currentFetch = Optional.empty();
 
-    VersionFetches(ChunkFetcher fetcher, VersionDeadlines deadlines, LongSupplier steadyMillis) {
+    VersionFetches(ChunkFetcher fetcher, VersionDeadlines deadlines, LongSupplier monotonicMillis) {
         this.fetcher = fetcher;
         this.deadlines = deadlines;
-        this.steadyMillis = steadyMillis;
-        this.overlap = new OverlapChoice(this, deadlines, steadyMillis);
+        this.monotonicMillis = monotonicMillis;
+        this.overlapPolicy = new OverlapPolicy(this, deadlines, monotonicMillis);
     }
 
     // -- available versions
 
     /** The chunks of a version, complete or not; empty if this agent has none. */
-    Optional<ChunkSet> set(String model, long version) {
+    Optional<ChunkSet> chunkSet(String model, long version) {
         synchronized (sets) {
             return sets.stream()
                     .filter(one -> one.model().equals(model) && one.version() == version)
@@ -61,8 +61,8 @@
         }
     }
 
-    private Optional<ChunkSet> begun(String model, long version) {
-        Result<ChunkSet> set = setFor(model, version);
+    private Optional<ChunkSet> getOrCreateLogged(String model, long version) {
+        Result<ChunkSet> set = getOrCreate(model, version);
         set.cause()
                 .ifPresent(fault ->
                         LOG.warn("event=digests_missed model={} version={} why=\"{}\"", model, version, fault));
@@ -70,23 +70,23 @@
     }
 
     /** The set of a version, created if there is none; a failure if no source has the version's digests. */
-    Result<ChunkSet> setFor(String model, long version) {
-        Optional<ChunkSet> known = set(model, version);
-        if (known.isPresent()) {
-            return Result.success(known.get());
+    Result<ChunkSet> getOrCreate(String model, long version) {
+        Optional<ChunkSet> existing = chunkSet(model, version);
+        if (existing.isPresent()) {
+            return Result.success(existing.get());
         }
-        return fetcher.begin(model, version).map(this::kept);
+        return fetcher.createSet(model, version).map(this::putIfAbsent);
     }
 
     /** Keeps a new set, unless another thread has already added the same version. */
-    private ChunkSet kept(ChunkSet fresh) {
+    private ChunkSet putIfAbsent(ChunkSet fresh) {
         synchronized (sets) {
-            Optional<ChunkSet> known = set(fresh.model(), fresh.version());
-            if (known.isPresent()) {
-                return known.get();
+            Optional<ChunkSet> existing = chunkSet(fresh.model(), fresh.version());
+            if (existing.isPresent()) {
+                return existing.get();
             }
             sets.addFirst(fresh);
-            while (sets.size() > SETS_KEPT) {
+            while (sets.size() > MAX_SETS) {
                 sets.removeLast();
             }
         }
@@ -94,8 +94,8 @@
     }
 
     /** The newest version that has been started and may be served; its chunks are staged as they arrive. */
-    Optional<ChunkSet> newestBegun(String model, long held, long least) {
-        return newest(model, set -> set.version() > held && set.version() >= least);
+    Optional<ChunkSet> newestStarted(String model, long held, long minVersion) {
+        return newest(model, set -> set.version() > held && set.version() >= minVersion);
     }
 
     /** The known versions newer than a given one, complete or not, newest first. */
@@ -109,15 +109,15 @@
     }
 
     /** The newest complete version that is newer than the held one and not older than {@code minVersion}. */
-    Optional<ChunkSet> newestWhole(String model, long held, long least) {
-        return newest(model, set -> set.version() > held && set.version() >= least && set.complete());
+    Optional<ChunkSet> newestComplete(String model, long held, long minVersion) {
+        return newest(model, set -> set.version() > held && set.version() >= minVersion && set.isComplete());
     }
 
-    private Optional<ChunkSet> newest(String model, Predicate<ChunkSet> which) {
+    private Optional<ChunkSet> newest(String model, Predicate<ChunkSet> condition) {
         synchronized (sets) {
             return sets.stream()
                     .filter(set -> set.model().equals(model))
-                    .filter(which)
+                    .filter(condition)
                     .max(Comparator.comparingLong(ChunkSet::version));
         }
     }
@@ -129,7 +129,7 @@
      * fetched.
      */
     long expectedMillis(ChunkSet set, int chunks) {
-        return fetching.filter(progress -> progress.isOf(set))
+        return currentFetch.filter(progress -> progress.isFor(set))
                 .map(progress -> progress.expectedMillis(chunks))
                 .orElse(Long.MAX_VALUE);
     }
@@ -138,22 +138,22 @@
      * The expected time until a version is complete, in milliseconds; {@link Long#MAX_VALUE} if it is not being
      * fetched.
      */
-    long missingMillis(String model, long version) {
-        return set(model, version)
-                .map(set -> expectedMillis(set, set.digests().size() - set.present()))
+    long remainingMillis(String model, long version) {
+        return chunkSet(model, version)
+                .map(set -> expectedMillis(set, set.digests().size() - set.presentCount()))
                 .orElse(Long.MAX_VALUE);
     }
 
     // -- fetching
 
     /** Fetches missing chunks of the version that should replace the held one. */
-    void fetchFor(String model, long held) throws InterruptedException {
+    void fetchNewerThan(String model, long held) throws InterruptedException {
         if (held >= deadlines.newest(model)) {
             return;
         }
-        boolean moves = fetchNewest(model, held) || fetchOlder(model, held);
-        if (!moves) {
-            Thread.sleep(AGAIN_MILLIS);
+        boolean progressed = fetchNewest(model, held) || fetchOlder(model, held);
+        if (!progressed) {
+            Thread.sleep(RETRY_MILLIS);
         }
     }
 
@@ -163,27 +163,27 @@
      */
     private boolean fetchNewest(String model, long held) throws InterruptedException {
         long newest = deadlines.newest(model);
-        Optional<ChunkSet> set = begun(model, newest);
-        if (set.isEmpty() || set.get().complete()) {
+        Optional<ChunkSet> set = getOrCreateLogged(model, newest);
+        if (set.isEmpty() || set.get().isComplete()) {
             return set.isPresent();
         }
-        boolean came = fetch(set.get(), newestWanted(model, held, newest));
-        return came && !(deadlines.newest(model) == newest && overlap.choseOlder(model, held));
+        boolean received = fetch(set.get(), shouldContinueNewest(model, held, newest));
+        return received && !(deadlines.newest(model) == newest && overlapPolicy.prefersOlder(model, held));
     }
 
     /** Whether to continue fetching a version that was the newest when its fetch started. */
-    Predicate<FetchProgress> newestWanted(String model, long held, long newest) {
+    Predicate<FetchProgress> shouldContinueNewest(String model, long held, long newest) {
         return progress -> deadlines.newest(model) == newest
-                ? !overlap.olderFirst(model, held, progress, false)
-                : !progress.stalled() && worthFinishing(progress.set());
+                ? !overlapPolicy.shouldFetchOlderFirst(model, held, progress, false)
+                : !progress.isStalled() && isHalfPresent(progress.set());
     }
 
     /**
      * Whether so many chunks of a version are present that completing it is better than leaving the endpoint on the
      * previous one.
      */
-    private static boolean worthFinishing(ChunkSet set) {
-        return set.present() * 2 >= set.digests().size();
+    private static boolean isHalfPresent(ChunkSet set) {
+        return set.presentCount() * 2 >= set.digests().size();
     }
 
     /**
@@ -192,49 +192,49 @@
      * of either version serve nothing until the origin is back.
      */
     private boolean fetchOlder(String model, long held) throws InterruptedException {
-        OptionalLong older = overlap.olderNeeded(model, held);
-        Optional<ChunkSet> set = older.isPresent() ? begun(model, older.getAsLong()) : Optional.empty();
-        return set.isPresent() && fetch(set.get(), olderWanted(model, held, older.getAsLong()));
+        OptionalLong older = overlapPolicy.olderToFetch(model, held);
+        Optional<ChunkSet> set = older.isPresent() ? getOrCreateLogged(model, older.getAsLong()) : Optional.empty();
+        return set.isPresent() && fetch(set.get(), shouldContinueOlder(model, held, older.getAsLong()));
     }
 
     /** Whether to continue fetching a version that was named before the newest. */
-    Predicate<FetchProgress> olderWanted(String model, long held, long version) {
-        return progress -> overlap.olderNeeded(model, held).equals(OptionalLong.of(version))
-                && !progress.stalled()
-                && (overlap.olderFirst(model, held, progress, true) || overlap.comesFaster(model, progress));
+    Predicate<FetchProgress> shouldContinueOlder(String model, long held, long version) {
+        return progress -> overlapPolicy.olderToFetch(model, held).equals(OptionalLong.of(version))
+                && !progress.isStalled()
+                && (overlapPolicy.shouldFetchOlderFirst(model, held, progress, true) || overlapPolicy.isMuchFaster(model, progress));
     }
 
     private boolean fetch(ChunkSet set, Predicate<FetchProgress> wanted) throws InterruptedException {
-        int before = set.present();
-        FetchProgress progress = begins(set);
-        fetcher.fetch(set, untilFirstNo(() -> wanted.test(progress)));
-        overlap.ended(progress);
-        return set.present() > before;
+        int before = set.presentCount();
+        FetchProgress progress = startProgress(set);
+        fetcher.fetch(set, stopOnceFalse(() -> wanted.test(progress)));
+        overlapPolicy.onFetchEnded(progress);
+        return set.presentCount() > before;
     }
 
     /** Starts to measure the fetch of a version. */
-    FetchProgress begins(ChunkSet set) {
-        FetchProgress progress = new FetchProgress(set, steadyMillis);
-        overlap.changes(set, fetching);
-        fetching = Optional.of(progress);
+    FetchProgress startProgress(ChunkSet set) {
+        FetchProgress progress = new FetchProgress(set, monotonicMillis);
+        overlapPolicy.onSwitch(set, currentFetch);
+        currentFetch = Optional.of(progress);
         return progress;
     }
 
     /** Decides between versions that overlap. */
-    OverlapChoice overlap() {
-        return overlap;
+    OverlapPolicy overlapPolicy() {
+        return overlapPolicy;
     }
 
     /**
      * Returns a condition that stays false once it was false: several threads evaluate it, and a chunk that arrives
      * late would otherwise make some of them continue.
      */
-    private static BooleanSupplier untilFirstNo(BooleanSupplier wanted) {
-        AtomicBoolean told = new AtomicBoolean();
+    private static BooleanSupplier stopOnceFalse(BooleanSupplier wanted) {
+        AtomicBoolean stopped = new AtomicBoolean();
         return () -> {
-            synchronized (told) {
-                told.compareAndSet(false, !told.get() && !wanted.getAsBoolean());
-                return !told.get();
+            synchronized (stopped) {
+                stopped.compareAndSet(false, !stopped.get() && !wanted.getAsBoolean());
+                return !stopped.get();
             }
         };
     }
--- a/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
@@ -17,7 +17,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** Whom an agent asks for the digests of a version while the origin is not to be had. */
+/** Which agents are queried for the digests of a version while the origin is unavailable. */
 class ChunkFetcherTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
@@ -28,7 +28,7 @@
 
     private final FakePeers peers = new FakePeers();
 
-    /** Peers of whom one has the digests. */
+    /** Peers of which one has the digests. */
     private static final class FakePeers implements ChunkPeers {
 
         private final List<String> asked = new ArrayList<>();
@@ -46,7 +46,7 @@
         }
     }
 
-    /** An origin that has nothing. */
+    /** An origin without any version. */
     private static final class EmptyOrigin implements WeightOrigin {
 
         @Override
@@ -64,7 +64,7 @@
         return Result.failure(Fault.of(Fault.Step.FETCH, whom, Fault.Reason.NOT_FOUND, "none"));
     }
 
-    private ChunkFetcher fetcher(FollowedSources sources) {
+    private ChunkFetcher fetcher(ChunkSourcesCache sources) {
         return new ChunkFetcher(new ChunkFetcher.Parts(
                 peers, new EmptyOrigin(), () -> Optional.of("origin:80"), sources, bytes -> {}, () -> 0));
     }
@@ -74,7 +74,7 @@
         List<Agent> agents = List.of(FAR, SELF, NEAR, ALSO_NEAR);
         for (Agent self : List.of(SELF, NEAR, ALSO_NEAR)) {
             peers.asked.clear();
-            fetcher(ChunkSources.following(self, () -> agents)).begin("m", 2);
+            fetcher(ChunkSources.following(self, () -> agents)).createSet("m", 2);
             assertEquals(3, peers.asked.size(), "asked by " + self);
             assertEquals(FAR.address(), peers.asked.getLast(), "asked by " + self);
             assertEquals(
@@ -88,23 +88,23 @@
     void shouldTakeDigestsOfFirstAgentThatHasThem() {
         peers.holder = NEAR.address();
         Result<ChunkSet> set =
-                fetcher(ChunkSources.following(SELF, () -> List.of(NEAR, FAR))).begin("m", 2);
+                fetcher(ChunkSources.following(SELF, () -> List.of(NEAR, FAR))).createSet("m", 2);
         assertEquals(DIGESTS, set.toOptional().orElseThrow().digests());
         assertEquals(List.of(NEAR.address()), peers.asked);
     }
 
     @Test
     void shouldSayWhyWhenNobodyHasDigests() {
-        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, List::of)).begin("m", 2);
+        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, List::of)).createSet("m", 2);
         assertTrue(set.cause().isPresent());
         assertEquals(List.of(), peers.asked);
     }
 
     @Test
     void shouldKeepSourcesOfVersionWhenDigestsOfAnotherAreAskedFor() {
-        FollowedSources sources = ChunkSources.following(SELF, () -> List.of(NEAR, FAR));
+        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(NEAR, FAR));
         ChunkSources before = sources.apply(DIGESTS.size());
-        fetcher(sources).begin("m", 2);
+        fetcher(sources).createSet("m", 2);
         assertSame(before, sources.apply(DIGESTS.size()));
     }
 }
--- a/src/test/java/org/micabarrow/weights/ChunkSetTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSetTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.micabarrow.state.Digest;
 
-/** Which chunks an agent gives to those that ask it for any of some. */
+/** Which chunk an agent serves when another requests any one of several. */
 class ChunkSetTest {
 
     private static final int CHUNKS = 64;
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -22,7 +22,7 @@
 import org.micabarrow.state.Digest;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** Who fetches which chunk from whom. */
+/** Which agent fetches which chunk from where. */
 class ChunkSourcesTest {
 
     private static final int CHUNKS = 64;
@@ -105,7 +105,10 @@
         assertTrue(moved <= CHUNKS / 4, moved + " chunks of agents that stayed are fetched by others");
     }
 
-    /** Who leads, worked out the plain way: of the agents with room, the one whose digest with the chunk is least. */
+    /**
+     * Reference implementation of the leader assignment: among agents with remaining capacity, the one with the
+     * smallest digest of agent and chunk.
+     */
     private static Map<Integer, Agent> plainLeads(List<Agent> agents, List<Integer> chunks) {
         Map<Integer, Agent> leads = new HashMap<>();
         for (int index : chunks) {
@@ -125,7 +128,7 @@
         return Digest.of(agent.address() + "/" + index);
     }
 
-    /** The sources of one agent, worked out the plain way from who leads. */
+    /** Reference implementation of the sources of one agent, given the leaders. */
     private static List<String> plainSources(Agent self, List<Agent> region, Agent originLead, Agent lead, int index) {
         List<String> sources = new ArrayList<>();
         if (!lead.equals(self)) {
@@ -172,12 +175,12 @@
     @Test
     void shouldStayInItsRegionWhenItsAddressIsListedUnderAnother() {
         Agent self = new Agent("10.0.0.1:7000", "region-a");
-        Agent near = new Agent("10.0.0.2:7000", "region-a");
+        Agent sameRegion = new Agent("10.0.0.2:7000", "region-a");
         Agent far = new Agent("10.1.0.1:7000", "region-b");
         Agent misplaced = new Agent(self.address(), "region-b");
-        ChunkSources right = ChunkSources.of(self, List.of(near, far, self), CHUNKS);
-        ChunkSources misled = ChunkSources.of(self, List.of(near, far, misplaced), CHUNKS);
-        assertEquals(List.of(near.address()), misled.near());
+        ChunkSources right = ChunkSources.of(self, List.of(sameRegion, far, self), CHUNKS);
+        ChunkSources misled = ChunkSources.of(self, List.of(sameRegion, far, misplaced), CHUNKS);
+        assertEquals(List.of(sameRegion.address()), misled.sameRegion());
         for (int index = 0; index < CHUNKS; index++) {
             assertEquals(right.of(index), misled.of(index), "chunk " + index);
         }
@@ -210,9 +213,9 @@
         List<Agent> all = agents(List.of(2, 2));
         AtomicReference<List<Agent>> seen = new AtomicReference<>(all);
         IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), seen::get);
-        assertEquals(List.of(all.get(1).address()), sources.apply(CHUNKS).near());
+        assertEquals(List.of(all.get(1).address()), sources.apply(CHUNKS).sameRegion());
         seen.set(List.of(all.get(0), all.get(2), all.get(3)));
-        assertEquals(List.of(), sources.apply(CHUNKS).near());
+        assertEquals(List.of(), sources.apply(CHUNKS).sameRegion());
     }
 
     @Test
--- a/src/test/java/org/micabarrow/weights/CurrentSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/CurrentSourcesTest.java
@@ -12,8 +12,8 @@
 import org.micabarrow.state.Digest;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** One version of two chunks, asked for by an agent with one other agent nearby. */
-class CurrentSourcesTest {
+/** One version of two chunks, fetched by an agent with one other agent in its region. */
+class SourceSelectorTest {
 
     private static final Agent SELF = new Agent("b:1", "region-a");
     private static final String OTHER = "a:1";
@@ -23,8 +23,8 @@
     private final AtomicLong now = new AtomicLong();
     private final ChunkSet set = new ChunkSet("model-a", 2, List.of(Digest.of(FIRST), Digest.of(SECOND)));
     private final ChunkSources sources = ChunkSources.of(SELF, List.of(SELF, new Agent(OTHER, "region-a")), 2);
-    private final CurrentSources current =
-            new CurrentSources(count -> sources, set, new ConcurrentHashMap<>(), now::get);
+    private final SourceSelector current =
+            new SourceSelector(count -> sources, set, new ConcurrentHashMap<>(), now::get);
 
     private static BitSet chunks(int... indexes) {
         BitSet all = new BitSet();
@@ -38,38 +38,38 @@
     void shouldAskFirstSourcesWhenNothingIsHere() {
         assertEquals(List.of(OTHER), sources.of(0));
         assertEquals(List.of(), sources.of(1));
-        assertEquals(chunks(0), current.wantedFrom(OTHER));
-        assertEquals(chunks(1), current.wantedFrom(CurrentSources.ORIGIN));
-        assertEquals(Set.of(OTHER, CurrentSources.ORIGIN), current.toAsk());
+        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
+        assertEquals(chunks(1), current.chunksWantedFrom(SourceSelector.ORIGIN));
+        assertEquals(Set.of(OTHER, SourceSelector.ORIGIN), current.activeSources());
     }
 
     @Test
     void shouldAskNextSourceWhenOneIsLeft() {
-        current.leave(OTHER, chunks(0, 1));
-        assertEquals(chunks(0, 1), current.wantedFrom(CurrentSources.ORIGIN));
+        current.advancePast(OTHER, chunks(0, 1));
+        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
     }
 
     @Test
     void shouldAskFirstSourceAgainWhenOriginFailed() {
-        current.askNext(0);
-        assertEquals(chunks(0, 1), current.wantedFrom(CurrentSources.ORIGIN));
-        current.askFirst(0);
-        assertEquals(chunks(0), current.wantedFrom(OTHER));
+        current.useNextSource(0);
+        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
+        current.useFirstSource(0);
+        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
     }
 
     @Test
     void shouldAskAgentNearbyForWhatOthersOweWhenItHasGivenItsOwn() {
         set.put(0, FIRST);
-        assertEquals(chunks(1), current.wantedFrom(OTHER));
+        assertEquals(chunks(1), current.chunksWantedFrom(OTHER));
     }
 
     @Test
     void shouldPassOverAgentForAWhileWhenItDidNotAnswer() {
-        current.passOver(OTHER);
-        assertEquals(Set.of(CurrentSources.ORIGIN), current.toAsk());
-        assertEquals(chunks(0, 1), current.wantedFrom(CurrentSources.ORIGIN));
-        assertTrue(current.wantedFrom(OTHER).isEmpty());
+        current.markUnresponsive(OTHER);
+        assertEquals(Set.of(SourceSelector.ORIGIN), current.activeSources());
+        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
+        assertTrue(current.chunksWantedFrom(OTHER).isEmpty());
         now.addAndGet(60_000);
-        assertEquals(chunks(0), current.wantedFrom(OTHER));
+        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
     }
 }
--- a/src/test/java/org/micabarrow/weights/FakeEndpoint.java
+++ b/src/test/java/org/micabarrow/weights/FakeEndpoint.java
@@ -13,8 +13,8 @@
 import org.micabarrow.state.Result;
 
 /**
- * An endpoint that takes layers unchecked, and keeps those that it has of a version when it is ordered to take up all of it:
- * the worst that an endpoint may do with a layer that was not whole.
+ * An endpoint that loads layers without verification, and that keeps the layers that it already has of a version when
+ * it is ordered to load all of it: the worst behaviour possible with an unverified layer.
  */
 final class FakeEndpoint implements ModelEndpoint {
 
@@ -28,14 +28,14 @@
     /** The version of which it holds all layers, 0 for none. */
     long held;
 
-    /** The version of which it holds some layers only, 0 for none. */
+    /** The version of which it holds only some layers, 0 for none. */
     long part;
 
     boolean busy;
     boolean silent;
     boolean readsBack = true;
 
-    /** The next orders that are refused, and those of which the answer is lost. */
+    /** The number of next orders that are refused, and of those whose answer is lost. */
     int refuses;
 
     int losesAnswers;
@@ -45,7 +45,7 @@
     private final BitSet layers = new BitSet();
     private final BitSet wrong = new BitSet();
 
-    /** Whether it serves with a layer that was taken while one of its chunks was not the version's. */
+    /** Whether it serves with a layer that was loaded while one of its chunks was of another version. */
     boolean servesWrongLayer() {
         return held != 0 && !wrong.isEmpty();
     }
@@ -59,7 +59,7 @@
                 holding(held), holding(part), busy, orders.size(), 0, 0, startedMillis, false, OptionalDouble.empty()));
     }
 
-    /** Starts again, after a crash or a loss of power, which takes what was laid too. */
+    /** Restarts after a crash or a loss of power; a loss of power also deletes the staged chunks. */
     void startAgain(boolean lostPower) {
         startedMillis = OptionalLong.of(startedMillis.getAsLong() + 1);
         orders.clear();
--- a/src/test/java/org/micabarrow/weights/FakeOrigin.java
+++ b/src/test/java/org/micabarrow/weights/FakeOrigin.java
@@ -8,12 +8,12 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 
-/** An origin whose versions differ in every chunk, and which gives no more than it is told to. */
+/** An origin whose versions differ in every chunk, and whose available versions and chunks can be limited. */
 final class FakeOrigin implements WeightOrigin {
 
     static final int CHUNKS = 8;
 
-    /** How far the clock goes on with each question for a chunk that is withheld. */
+    /** How far the clock advances with each request for a chunk that is withheld. */
     private static final long QUESTION_MILLIS = 200;
 
     private final AtomicLong now;
--- a/src/test/java/org/micabarrow/weights/FetchChoiceTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchChoiceTest.java
@@ -8,13 +8,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.micabarrow.weights.FetchChoice.Candidate;
-import org.micabarrow.weights.FetchChoice.Newest;
-import org.micabarrow.weights.FetchChoice.OlderFirst;
-import org.micabarrow.weights.FetchChoice.Situation;
+import org.micabarrow.weights.FetchDecision.Candidate;
+import org.micabarrow.weights.FetchDecision.Newest;
+import org.micabarrow.weights.FetchDecision.OlderFirst;
+import org.micabarrow.weights.FetchDecision.Situation;
 
-/** Of two versions that overlap, the one is fetched first that costs less service; the times are seconds of a day of 55 agents. */
-class FetchChoiceTest {
+/**
+ * Of two overlapping versions, the one that costs less service time is fetched first. The times are those of a day with
+ * 55 agents, in milliseconds.
+ */
+class FetchDecisionTest {
 
     private static final int CHUNKS = 64;
     private static final long HELD_UNTIL = 24_200;
@@ -25,12 +28,12 @@
         return new Candidate(2, CHUNKS, missing, 0, 50);
     }
 
-    private static Candidate newest(int missing, long awaitedMillis) {
-        return new Candidate(3, CHUNKS, missing, awaitedMillis, 50);
+    private static Candidate newest(int missing, long delayMillis) {
+        return new Candidate(3, CHUNKS, missing, delayMillis, 50);
     }
 
-    private static FetchChoice choose(long nowMillis, Candidate older, Candidate newest, long current) {
-        return FetchChoice.of(new Situation(nowMillis, HELD_UNTIL, older, OLDER_UNTIL, newest, current));
+    private static FetchDecision choose(long nowMillis, Candidate older, Candidate newest, long current) {
+        return FetchDecision.of(new Situation(nowMillis, HELD_UNTIL, older, OLDER_UNTIL, newest, current));
     }
 
     @Test
@@ -63,16 +66,16 @@
     @Test
     void shouldCountWhatIsNeverHadAsFarAway() {
         Candidate never = new Candidate(2, CHUNKS, 10, 0, Double.POSITIVE_INFINITY);
-        FetchChoice choice = choose(21_000, never, newest(54, AWAY), 3);
+        FetchDecision choice = choose(21_000, never, newest(54, AWAY), 3);
         assertInstanceOf(Newest.class, choice);
-        assertEquals(FetchChoice.HORIZON_MILLIS, choice.otherLostMillis());
+        assertEquals(FetchDecision.HORIZON_MILLIS, choice.otherLostMillis());
     }
 
     static LongStream seeds() {
         return LongStream.range(0, 500);
     }
 
-    /** Whatever is told, the choice is one of both, loses no less than a change takes, and does not swing by what it brings about. */
+    /** For random situations, the decision does not change as a result of itself. */
     @ParameterizedTest
     @MethodSource("seeds")
     void shouldStayWithItsChoiceWhenNothingElseChanges(long seed) {
@@ -81,8 +84,8 @@
         Candidate newest =
                 new Candidate(3, CHUNKS, 1 + random.nextInt(CHUNKS), random.nextInt(2) * AWAY, 5 + random.nextInt(400));
         long now = 18_000 + random.nextInt(9_000);
-        FetchChoice first = choose(now, older, newest, 2 + random.nextInt(2));
-        FetchChoice again = choose(now, older, newest, first.version());
+        FetchDecision first = choose(now, older, newest, 2 + random.nextInt(2));
+        FetchDecision again = choose(now, older, newest, first.version());
         assertEquals(first.version(), again.version(), () -> first + " then " + again);
     }
 }
--- a/src/test/java/org/micabarrow/weights/FetchRunTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchRunTest.java
@@ -18,17 +18,17 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** Whom an agent asks for chunks when the origin goes away for longer than agents wait for one another. */
+/** Which sources are used when the origin is unavailable for longer than agents wait for each other. */
 class FetchRunTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
     private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
     private static final int CHUNKS = 8;
 
-    /** How far the clock goes on with each question. */
+    /** How far the clock advances with each request. */
     private static final long QUESTION_MILLIS = 100;
 
-    /** For how many questions the origin is away: ten seconds of the clock. */
+    /** The number of requests for which the origin is unavailable: ten seconds of the clock. */
     private static final int QUESTIONS_AWAY = 100;
 
     private final AtomicLong clock = new AtomicLong();
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Waits for the origin itself, and gives its own chunks once that is back. */
+    /** A peer that waits for the origin too, and serves its own chunks once the origin is back. */
     private final class Peer implements ChunkPeers {
 
         @Override
@@ -81,12 +81,12 @@
     @Test
     @Timeout(60)
     void shouldLeaveOthersChunksToThemWhenOriginComesBack() throws Exception {
-        FollowedSources sources = ChunkSources.following(SELF, () -> List.of(SELF, NEAR));
+        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SELF, NEAR));
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
                 new Peer(), new Origin(), () -> Optional.of("origin:80"), sources, bytes -> {}, clock::get));
-        ChunkSet set = fetcher.begin("m", 2).toOptional().orElseThrow();
+        ChunkSet set = fetcher.createSet("m", 2).toOptional().orElseThrow();
         fetcher.fetch(set, () -> true);
-        assertTrue(set.complete());
+        assertTrue(set.isComplete());
         assertEquals(CHUNKS / 2, fromOrigin.size(), "each of two agents leads for half of the chunks");
     }
 }
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/KeeperFixture.java
@@ -16,8 +16,8 @@
 import org.micabarrow.views.ViewKeeper;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** A keeper with an endpoint, an origin and a clock of its own, without other agents. */
-abstract class KeeperFixture {
+/** A controller with its own endpoint, origin and clock, without other agents. */
+abstract class ReplicaControllerFixture {
 
     static final long BOUND = 8_000;
 
@@ -31,7 +31,7 @@
     final ReplicaKeeper keeper = newKeeper();
     private final List<Thread> fetching = new ArrayList<>();
 
-    /** A keeper that knows nothing of what one before it has done. */
+    /** Creates a controller without any state of a previous one. */
     final ReplicaKeeper newKeeper() {
         return new ReplicaKeeper(new ReplicaKeeper.Parts(
                 () -> Optional.of("m"),
@@ -51,7 +51,7 @@
                 now::get));
     }
 
-    /** Reads the offset of a record as the version that an endpoint holds, and its value as the number of layers. */
+    /** Decodes the offset of a record as the version that an endpoint holds, and its value as the number of layers. */
     static final class EndpointsOnly implements RecordDecoder {
 
         @Override
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Another endpoint enters itself with layers of a version. */
+    /** Adds a store entry of another endpoint that holds layers of a version. */
     void anotherHolds(long version, int layers) {
         views.apply(
                 Topic.ENDPOINTS,
@@ -92,14 +92,14 @@
                 version + 1);
     }
 
-    /** Steps as if entries had been told to send nothing, and again when all of them know. */
+    /** Steps twice, with the cordon's lead time in between. */
     void stepTwice() {
         keeper.step();
-        now.addAndGet(Cordon.MILLIS);
+        now.addAndGet(Cordon.LEAD_MILLIS);
         keeper.step();
     }
 
-    /** Fetches a version on a thread of its own; returns once some chunks are here. */
+    /** Fetches a version on a separate thread. Returns once the given number of chunks is present. */
     Thread fetchBeside(long version, int chunks) {
         Thread thread = new Thread(() -> {
             try {
@@ -120,7 +120,7 @@
     }
 
     void awaitPresent(long version, int chunks) {
-        while (keeper.set("m", version).map(ChunkSet::present).orElse(-1) < chunks) {
+        while (keeper.set("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/org/micabarrow/weights/LaidChunksTest.java
+++ b/src/test/java/org/micabarrow/weights/LaidChunksTest.java
@@ -15,15 +15,15 @@
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Result;
 
-/** What was laid beside an endpoint counts for one start of it. */
-class LaidChunksTest {
+/** Staged chunks count only until the endpoint restarts. */
+class StagedChunksTest {
 
     private static final int CHUNKS = 4;
     private static final OptionalLong FIRST = OptionalLong.of(5_000);
     private static final OptionalLong SECOND = OptionalLong.of(9_000);
 
     private final Map<Integer, byte[]> staged = new HashMap<>();
-    private final LaidChunks laid = new LaidChunks(new Place());
+    private final StagedChunks laid = new StagedChunks(new Place());
     private final ChunkSet set = new ChunkSet(
             "m",
             2,
@@ -33,7 +33,7 @@
         return new byte[] {2, (byte) index};
     }
 
-    /** Where chunks are laid. */
+    /** An endpoint that stores staged chunks in a map. */
     private final class Place implements ModelEndpoint {
 
         @Override
@@ -66,33 +66,33 @@
     @BeforeEach
     void layAll() {
         IntStream.range(0, CHUNKS).forEach(i -> set.put(i, chunk(i)));
-        laid.startedAgain(FIRST);
-        laid.layNew(set, () -> true);
+        laid.detectRestart(FIRST);
+        laid.stageNew(set, () -> true);
         assertTrue(laid.all(set));
     }
 
     @Test
     void shouldLayAgainWhatPowerLossTook() {
         staged.clear();
-        assertTrue(laid.startedAgain(SECOND));
+        assertTrue(laid.detectRestart(SECOND));
         assertEquals(CHUNKS, laid.missing(set));
         assertFalse(laid.all(set));
-        laid.layNew(set, () -> true);
-        assertTrue(laid.verify(set));
+        laid.stageNew(set, () -> true);
+        assertTrue(laid.verifyAndRepair(set));
     }
 
     @Test
     void shouldLayNothingAgainWhileStartIsTheSame() {
         staged.clear();
-        List.of(FIRST, OptionalLong.empty(), FIRST).forEach(start -> assertFalse(laid.startedAgain(start)));
-        laid.layNew(set, () -> true);
+        List.of(FIRST, OptionalLong.empty(), FIRST).forEach(start -> assertFalse(laid.detectRestart(start)));
+        laid.stageNew(set, () -> true);
         assertEquals(0, staged.size());
     }
 
     @Test
     void shouldNotTakeFirstStartThatIsToldForAnother() {
-        LaidChunks fresh = new LaidChunks(new Place());
-        assertFalse(fresh.startedAgain(OptionalLong.empty()));
-        assertFalse(fresh.startedAgain(FIRST));
+        StagedChunks fresh = new StagedChunks(new Place());
+        assertFalse(fresh.detectRestart(OptionalLong.empty()));
+        assertFalse(fresh.detectRestart(FIRST));
     }
 }
--- a/src/test/java/org/micabarrow/weights/OrderTimesTest.java
+++ b/src/test/java/org/micabarrow/weights/OrderTimesTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /** When the agents of a region give their orders. */
-class OrderTimesTest {
+class OrderScheduleTest {
 
     private static final long BOUND = 8_000;
     private static final int AGENTS = 5;
 
     private static long at(int position) {
-        return OrderTimes.at(0, BOUND, position, AGENTS);
+        return OrderSchedule.orderMillis(0, BOUND, position, AGENTS);
     }
 
     @Test
@@ -25,11 +25,11 @@
 
     @Test
     void shouldCloseLastCordonBeforeOlderVersionMayNotAnswerAnyMore() {
-        assertTrue(at(AGENTS - 1) - Cordon.MILLIS < 0.88 * BOUND, "entries demand the version from 0.88 on");
+        assertTrue(at(AGENTS - 1) - Cordon.LEAD_MILLIS < 0.88 * BOUND, "entries demand the version from 0.88 on");
     }
 
     @Test
     void shouldOrderAtFirstTimeWhenAlone() {
-        assertEquals(at(0), OrderTimes.at(0, BOUND, 0, 1));
+        assertEquals(at(0), OrderSchedule.orderMillis(0, BOUND, 0, 1));
     }
 }
--- a/src/test/java/org/micabarrow/weights/OverlapPlay.java
+++ b/src/test/java/org/micabarrow/weights/OverlapPlay.java
@@ -20,11 +20,12 @@
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
- * Plays a fleet on which two versions are named one after the other while the origin is away for a window, in steps of a clock of
- * its own, without a network. Keepers and what chooses are the real ones; how chunks go from agent to agent is a plain model: each
- * link carries so many a step, the origin gives each chunk once, and an agent asks a few others at random for what it lacks.
+ * Simulates a fleet in which two versions are named one after the other while the origin is unavailable for a period.
+ * Runs in steps of a simulated clock, without a network. The controllers and the fetch policy are the real ones. The
+ * transfer of chunks is modelled: each link carries a fixed number of chunks per step, the origin serves each chunk
+ * once, and an agent requests missing chunks from a few random other agents.
  */
-final class OverlapPlay {
+final class OverlapSimulation {
 
     static final long BOUND = 8_000;
     static final int CHUNKS = 64;
@@ -33,22 +34,22 @@
     private static final long PLAY_MILLIS = 18_000;
     private static final int PEERS_ASKED = 6;
 
-    /** For how long an endpoint is busy with an order: while its requests end, or while it only warms up. */
+    /** How long an endpoint is busy with an order: while its requests finish, or while it only warms up. */
     private static final long BUSY_SERVING_MILLIS = 1_300;
 
     private static final long BUSY_IDLE_MILLIS = 300;
     private static final Map<Long, List<String>> DIGESTS = new ConcurrentHashMap<>();
 
     /**
-     * A day.
+     * The parameters of a simulation.
      *
-     * @param seed for what comes by chance
-     * @param agents how many there are
-     * @param chunkMillis how long a chunk takes on an agent's link; half as long on the origin's
-     * @param thirdAfterMillis when version 3 is named, after version 2
-     * @param awayFromMillis when the origin goes away, after version 2 was named
-     * @param awayMillis for how long
-     * @param trouble the chance a step that some agent starts again or stands still
+     * @param seed the random seed
+     * @param agents the number of agents
+     * @param chunkMillis the time for a chunk on an agent's link; half of it on the origin's link
+     * @param thirdAfterMillis when version 3 is named, relative to version 2
+     * @param awayFromMillis when the origin becomes unavailable, relative to the naming of version 2
+     * @param awayMillis for how long the origin is unavailable
+     * @param trouble the probability per step that some agent restarts or is paused
      */
     record Day(
             long seed,
@@ -60,7 +61,7 @@
             double trouble) {
 
         static Day of(long seed) {
-            // The first draws of neighbouring seeds are alike otherwise.
+            // A plain Random returns similar first values for neighbouring seeds.
             SplittableRandom random = new SplittableRandom(seed);
             int agents = (int) Math.round(4 * Math.pow(75, random.nextDouble()));
             double mbits = 2 * Math.pow(20, random.nextDouble());
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Which version an agent fetches; 0 for none. */
+    /** Selects the version that an agent fetches; 0 for none. */
     interface Policy {
         long version(Member member);
     }
@@ -92,7 +93,7 @@
     private long served;
     int chunksOfOrigin;
 
-    OverlapPlay(Day day, Policy policy) {
+    OverlapSimulation(Day day, Policy policy) {
         this.day = day;
         this.policy = policy;
         this.random = new Random(day.seed());
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Reads nothing: versions are told to the keeper directly. */
+    /** Decodes no records: versions are passed to the view keeper directly. */
     static final class NoRecords implements RecordDecoder {
 
         @Override
@@ -124,7 +125,7 @@
         return Result.failure(Fault.of(Fault.Step.FETCH, "nobody", Fault.Reason.NOT_FOUND, "none"));
     }
 
-    /** Tells digests; chunks are put into sets by the play. */
+    /** Serves digests; the simulation adds chunks to the sets itself. */
     private record Digests(boolean ofKeeper) implements WeightOrigin {
 
         @Override
@@ -231,7 +232,7 @@
         }
 
         ChunkSet set(long version) {
-            return fetches.setFor("m", version).toOptional().orElseThrow();
+            return fetches.getOrCreate("m", version).toOptional().orElseThrow();
         }
 
         private boolean stands() {
@@ -246,12 +247,15 @@
             set(version).put(index, FakeOrigin.chunk(version, index));
             int group = index * FakeOrigin.CHUNKS / CHUNKS;
             int size = CHUNKS / FakeOrigin.CHUNKS;
-            if (set(version).hasAll(group * size, (group + 1) * size)) {
+            if (set(version).hasRange(group * size, (group + 1) * size)) {
                 keeperSet(version).put(group, FakeOrigin.chunk(version, group));
             }
         }
 
-        /** Begins a version in the keeper without a thread that fetches: reading back begins what the endpoint says it holds. */
+        /**
+         * Adds a version to the controller without a thread that fetches it: reading back adds the version that the
+         * endpoint reports.
+         */
         private ChunkSet keeperSet(long version) {
             if (keeper.set("m", version).isEmpty()) {
                 long held = endpoint.held;
@@ -302,9 +306,9 @@
         }
     }
 
-    // -- the play
+    // -- simulation
 
-    /** Plays; the part of the endpoints' time in which they served. */
+    /** Runs the simulation. Returns the fraction of the endpoints' time in which they served. */
     double service() {
         long end = now.get() + BEFORE_MILLIS + PLAY_MILLIS;
         secondNamed = now.get() + BEFORE_MILLIS;
@@ -379,7 +383,7 @@
     private boolean fromPeer(Member member, ChunkSet set, BitSet missing) {
         for (int i = 0; i < PEERS_ASKED; i++) {
             Member peer = members.get(random.nextInt(members.size()));
-            Optional<ChunkSet> theirs = peer.fetches.set("m", set.version());
+            Optional<ChunkSet> theirs = peer.fetches.chunkSet("m", set.version());
             if (peer == member || peer.up < 1 || peer.stands() || theirs.isEmpty()) {
                 continue;
             }
@@ -403,7 +407,7 @@
                 .orElse(-1);
     }
 
-    /** A chunk that has not left the origin, or that nobody has any more. */
+    /** Takes a chunk from the origin that it has not served yet, or that no agent has any more. */
     private boolean fromOrigin(Member member, BitSet missing) {
         if (!originAnswers() || originCredit < 1) {
             return false;
@@ -427,7 +431,7 @@
         return members.stream()
                 .filter(one -> !one.stands())
                 .noneMatch(one -> one.fetches
-                        .set("m", version)
+                        .chunkSet("m", version)
                         .flatMap(set -> set.chunk(index))
                         .isPresent());
     }
--- a/src/test/java/org/micabarrow/weights/OverlapPolicies.java
+++ b/src/test/java/org/micabarrow/weights/OverlapPolicies.java
@@ -5,18 +5,21 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Predicate;
-import org.micabarrow.weights.OverlapPlay.Member;
-import org.micabarrow.weights.OverlapPlay.Policy;
+import org.micabarrow.weights.OverlapSimulation.Member;
+import org.micabarrow.weights.OverlapSimulation.Policy;
 
-/** Ways to choose which of two versions is fetched: the real one, and plain ones of which the best is known afterwards. */
-final class OverlapPolicies {
+/**
+ * Policies for the order in which two versions are fetched: the real one, and simple ones of which the best is known
+ * only afterwards.
+ */
+final class SimulationPolicies {
 
     private static final long GRID_MILLIS = 3_000;
     private static final long LAST_MILLIS = 12_000;
 
-    private OverlapPolicies() {}
+    private SimulationPolicies() {}
 
-    /** The real choice, as {@link VersionFetches} follows it. */
+    /** The real policy, as {@link VersionFetches} applies it. */
     static Policy real() {
         return member -> {
             long held = member.held();
@@ -25,13 +28,13 @@
                 end(member, held, newest);
             }
             if (member.progress.isEmpty()) {
-                OptionalLong older = member.fetches.overlap().olderNeeded("m", held);
+                OptionalLong older = member.fetches.overlapPolicy().olderToFetch("m", held);
                 long version = member.onOlder && older.isPresent() ? older.getAsLong() : newest;
                 member.onOlder = version != newest;
-                if (member.set(version).complete()) {
+                if (member.set(version).isComplete()) {
                     return 0;
                 }
-                member.progress = Optional.of(member.fetches.begins(member.set(version)));
+                member.progress = Optional.of(member.fetches.startProgress(member.set(version)));
             }
             return member.progress.orElseThrow().set().version();
         };
@@ -41,23 +44,26 @@
         FetchProgress progress = member.progress.orElseThrow();
         long version = progress.set().version();
         Predicate<FetchProgress> wanted = member.onOlder
-                ? member.fetches.olderWanted("m", held, version)
-                : member.fetches.newestWanted("m", held, version);
-        return !progress.set().complete() && version > held && wanted.test(progress);
+                ? member.fetches.shouldContinueOlder("m", held, version)
+                : member.fetches.shouldContinueNewest("m", held, version);
+        return !progress.set().isComplete() && version > held && wanted.test(progress);
     }
 
     private static void end(Member member, long held, long newest) {
         FetchProgress progress = member.progress.orElseThrow();
         boolean wasNewest = progress.set().version() == newest;
-        boolean turns = progress.came() == 0 || member.fetches.overlap().choseOlder("m", held);
-        member.fetches.overlap().ended(progress);
-        member.onOlder = !member.onOlder && wasNewest && !progress.set().complete() && turns;
+        boolean turns = progress.fetchedCount() == 0 || member.fetches.overlapPolicy().prefersOlder("m", held);
+        member.fetches.overlapPolicy().onFetchEnded(progress);
+        member.onOlder = !member.onOlder && wasNewest && !progress.set().isComplete() && turns;
         member.progress = Optional.empty();
     }
 
-    /** Ways that need no knowledge of the day; the best of them for a day is what one who knows all of it would take. */
+    /**
+     * Simple policies that do not depend on the day. The best of them for a day approximates a policy that knows all
+     * its events.
+     */
     static List<Policy> plain() {
-        List<Policy> all = new ArrayList<>(List.of(OverlapPolicies::newest, OverlapPolicies::olderFirst));
+        List<Policy> all = new ArrayList<>(List.of(SimulationPolicies::newest, SimulationPolicies::olderFirst));
         for (long turn = GRID_MILLIS; turn <= LAST_MILLIS; turn += GRID_MILLIS) {
             long at = turn;
             all.add(member -> member.sinceSecondNamed() < at ? olderFirst(member) : newest(member));
@@ -67,11 +73,11 @@
     }
 
     private static long newest(Member member) {
-        return member.set(member.newest()).complete() ? 0 : member.newest();
+        return member.set(member.newest()).isComplete() ? 0 : member.newest();
     }
 
     private static long olderFirst(Member member) {
-        OptionalLong older = member.fetches.overlap().olderNeeded("m", member.held());
+        OptionalLong older = member.fetches.overlapPolicy().olderToFetch("m", member.held());
         return older.isPresent() ? older.getAsLong() : newest(member);
     }
 }
--- a/src/test/java/org/micabarrow/weights/OverlapSeedsTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSeedsTest.java
@@ -6,19 +6,22 @@
 import java.util.function.LongFunction;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.weights.OverlapPlay.Day;
+import org.micabarrow.weights.OverlapSimulation.Day;
 
 /**
- * Fleets of 4 to 300 agents with links of 2 to 40 Mbit/s, on which two versions are named 0.1 to 8 s apart while the origin is away
- * for any window; agents start again and stand still. The play itself ends with an error if an endpoint serves a version that is
- * past its bound, goes back to an older one, or serves a layer that was not whole.
+ * Fleets of 4 to 300 agents with links of 2 to 40 Mbit/s, in which two versions are named 0.1 to 8 s apart while the
+ * origin is unavailable for a random period, and agents restart and are paused. The simulation fails if an endpoint
+ * serves a version past its limit, returns to an older one, or serves an unverified layer.
  */
-class OverlapSeedsTest {
+class OverlapSimulationTest {
 
     private static final int DAYS = 32;
     private static final int MORE_DAYS = 150;
 
-    /** What the service is to be, of that of the best plain way, which is known only after the day: on average, and at worst. */
+    /**
+     * The required service relative to that of the best simple policy, which is known only afterwards: on average and
+     * at least.
+     */
     private static final double MEAN_PART = 0.95;
 
     private static final double LEAST_PART = 0.70;
@@ -31,9 +34,9 @@
     }
 
     private static Played play(Day day) {
-        double real = new OverlapPlay(day, OverlapPolicies.real()).service();
-        double best = OverlapPolicies.plain().stream()
-                .mapToDouble(policy -> new OverlapPlay(day, policy).service())
+        double real = new OverlapSimulation(day, SimulationPolicies.real()).service();
+        double best = SimulationPolicies.plain().stream()
+                .mapToDouble(policy -> new OverlapSimulation(day, policy).service())
                 .max()
                 .orElseThrow();
         return new Played(day, real, best);
@@ -41,7 +44,7 @@
 
     private static void assertNearBest(LongStream seeds, LongFunction<Day> day) {
         List<Played> all =
-                seeds.parallel().mapToObj(day).map(OverlapSeedsTest::play).toList();
+                seeds.parallel().mapToObj(day).map(OverlapSimulationTest::play).toList();
         double mean = all.stream().mapToDouble(Played::part).average().orElseThrow();
         assertTrue(mean >= MEAN_PART, () -> "on average " + mean + " of the best: " + all);
         all.forEach(one -> assertTrue(one.part() >= LEAST_PART, () -> one.part() + " of the best: " + one));
@@ -52,7 +55,7 @@
         assertNearBest(LongStream.range(0, DAYS), Day::of);
     }
 
-    /** As on a day of 55 agents on which hardly anything was served for ten seconds. */
+    /** Like a day with 55 agents on which hardly anything was served for ten seconds. */
     @Test
     void shouldServeNearlyAsMuchAsTheBestWayWhenOriginGoesAwayJustAfterTheSecondNaming() {
         assertNearBest(
@@ -72,6 +75,6 @@
         LongStream.range(DAYS, DAYS + MORE_DAYS)
                 .parallel()
                 .mapToObj(Day::of)
-                .forEach(day -> new OverlapPlay(day, OverlapPolicies.real()).service());
+                .forEach(day -> new OverlapSimulation(day, SimulationPolicies.real()).service());
     }
 }
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -21,8 +21,8 @@
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
- * Two versions are named one soon after the other, and the origin goes away between them: other agents hold all chunks of the
- * older one, and of the newest only those that left the origin in time.
+ * Two versions are named in quick succession, and the origin becomes unavailable in between: other agents have all
+ * chunks of the older version, but only those of the newest that the origin served in time.
  */
 @Timeout(60)
 class OverlappingFetchTest {
@@ -31,7 +31,7 @@
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
     private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
 
-    /** How far the clock goes on with each question that brings nothing. */
+    /** How far the clock advances with each request that returns no chunk. */
     private static final long QUESTION_MILLIS = 100;
 
     private static final long LOOK_MILLIS = 50;
@@ -39,7 +39,7 @@
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final FakeOrigin origin = new FakeOrigin(now);
     private final Peer peer = new Peer();
-    private final ViewKeeper views = new ViewKeeper(new OverlapPlay.NoRecords(), now::get);
+    private final ViewKeeper views = new ViewKeeper(new OverlapSimulation.NoRecords(), now::get);
     private final VersionDeadlines deadlines =
             new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, BOUND, now::get);
     private final VersionFetches fetches = new VersionFetches(
@@ -53,10 +53,13 @@
             deadlines,
             now::get);
 
-    /** All other agents in one: holds some of the first chunks of each version, and gives one at most each so often. */
+    /**
+     * Represents all other agents: has some of the first chunks of each version, and serves each version at a limited
+     * rate.
+     */
     private final class Peer implements ChunkPeers {
 
-        /** How long a chunk takes on the link. */
+        /** The time for a chunk on the link. */
         private long chunkMillis = 40;
 
         private LongConsumer onAsked = version -> {};
@@ -88,11 +91,11 @@
     }
 
     private int present(long version) {
-        return fetches.set("m", version).map(ChunkSet::present).orElse(-1);
+        return fetches.chunkSet("m", version).map(ChunkSet::presentCount).orElse(-1);
     }
 
     private void putFirst(long version, int chunks) {
-        ChunkSet set = fetches.setFor("m", version).toOptional().orElseThrow();
+        ChunkSet set = fetches.getOrCreate("m", version).toOptional().orElseThrow();
         for (int i = 0; i < chunks; i++) {
             set.put(i, FakeOrigin.chunk(version, i));
         }
@@ -111,7 +114,7 @@
     @Test
     void shouldTurnBackToOlderVersionWhenNewestBringsNoMoreThanLeftTheOrigin() throws Exception {
         peer.holds.put(3L, 2);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
         assertEquals(FakeOrigin.CHUNKS, present(2), "all of it is with other agents");
         assertTrue(present(3) > 0 && present(3) <= 2, "chunks of the newest: " + present(3));
     }
@@ -120,7 +123,7 @@
     void shouldTurnBackToOlderVersionWhenNewestComesTooSlowlyToServe() throws Exception {
         peer.holds.put(3L, FakeOrigin.CHUNKS - 1);
         peer.everyMillis.put(3L, 600L);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
         assertEquals(FakeOrigin.CHUNKS, present(2));
         assertTrue(present(3) < FakeOrigin.CHUNKS - 1, "chunks of the newest: " + present(3));
     }
@@ -128,16 +131,16 @@
     @Test
     void shouldGoOnWithNewestOnceOlderVersionIsHere() throws Exception {
         peer.holds.put(3L, 2);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
         peer.holds.put(3L, FakeOrigin.CHUNKS);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
         assertEquals(FakeOrigin.CHUNKS, present(3));
     }
 
     @Test
     void shouldGoStraightToNewestWhenItComes() throws Exception {
         peer.holds.put(3L, FakeOrigin.CHUNKS);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
         assertEquals(FakeOrigin.CHUNKS, present(3));
         assertEquals(3, present(2));
     }
@@ -155,9 +158,9 @@
                 views.want("m", 5);
             }
         };
-        fetches.fetchFor("m", 3);
+        fetches.fetchNewerThan("m", 3);
         assertTrue(present(4) < FakeOrigin.CHUNKS / 2 + 1, "left for version 5 with " + present(4));
-        fetches.fetchFor("m", 3);
+        fetches.fetchNewerThan("m", 3);
         assertEquals(FakeOrigin.CHUNKS, present(4));
         assertTrue(present(5) <= 1, "chunks of the newest: " + present(5));
     }
@@ -172,24 +175,24 @@
                 views.want("m", 4);
             }
         };
-        fetches.fetchFor("m", 1);
-        fetches.fetchFor("m", 1);
+        fetches.fetchNewerThan("m", 1);
+        fetches.fetchNewerThan("m", 1);
         assertEquals(FakeOrigin.CHUNKS, present(4));
     }
 
-    // -- without threads: chunks are put as if they came
+    // -- without threads: chunks are added as if they had been fetched
 
-    /** Chunks of a version come for two windows of its pace, one each so often. */
+    /** Adds chunks of a version at a fixed rate for two measuring windows. */
     private FetchProgress comes(long version, long everyMillis) {
-        FetchProgress progress = fetches.begins(fetches.set("m", version).orElseThrow());
+        FetchProgress progress = fetches.startProgress(fetches.chunkSet("m", version).orElseThrow());
         long next = now.get() + everyMillis;
         for (long end = now.get() + 1_200; now.get() < end; now.addAndGet(LOOK_MILLIS)) {
             if (now.get() >= next) {
                 ChunkSet set = progress.set();
-                set.put(set.present(), FakeOrigin.chunk(version, set.present()));
+                set.put(set.presentCount(), FakeOrigin.chunk(version, set.presentCount()));
                 next += everyMillis;
             }
-            progress.silentMillis();
+            progress.idleMillis();
         }
         return progress;
     }
@@ -201,21 +204,21 @@
 
     @Test
     void shouldStayWithOlderVersionThatComesSlowlyWhileNothingOfNewestComes() {
-        // So late that what is missing of version 2 is not here at this pace before it must stop.
+        // So late that at this rate version 2 is not complete before it must stop being served.
         letTimePass(3_500);
-        fetches.overlap().ended(comes(3, 2_000));
+        fetches.overlapPolicy().onFetchEnded(comes(3, 2_000));
         FetchProgress older = comes(2, 400);
-        assertTrue(fetches.olderWanted("m", 1, 2).test(older));
+        assertTrue(fetches.shouldContinueOlder("m", 1, 2).test(older));
     }
 
     @Test
     void shouldStayWithNewestWhenItIsTheLinkThatIsSlow() {
-        // At this pace version 2 cannot be here in time, but it could if its chunks came as fast as usual.
+        // At this rate version 2 cannot be complete in time, but it could at the typical rate.
         letTimePass(1_500);
-        fetches.overlap().ended(comes(3, 600));
+        fetches.overlapPolicy().onFetchEnded(comes(3, 600));
         FetchProgress older = comes(2, 600);
-        assertFalse(fetches.olderWanted("m", 1, 2).test(older));
-        fetches.overlap().ended(older);
-        assertTrue(fetches.newestWanted("m", 1, 3).test(comes(3, 600)));
+        assertFalse(fetches.shouldContinueOlder("m", 1, 2).test(older));
+        fetches.overlapPolicy().onFetchEnded(older);
+        assertTrue(fetches.shouldContinueNewest("m", 1, 3).test(comes(3, 600)));
     }
 }
--- a/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** An endpoint is brought to the wanted version, and never takes up what is not whole and right. */
-class ReplicaKeeperTest extends KeeperFixture {
+/** An endpoint is brought to the target version, and never loads a version that is incomplete or corrupted. */
+class ReplicaKeeperTest extends ReplicaControllerFixture {
 
     @Test
     void shouldBeSettledOnlyWhileEndpointServesNewestVersion() {
@@ -37,7 +37,7 @@
         origin.knowsUpTo = 2;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::present).orElse(0));
+                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::presentCount).orElse(0));
     }
 
     @Test
@@ -47,16 +47,16 @@
         views.want("m", 3);
         origin.givesUpTo = 2;
         fetch();
-        assertEquals(0, keeper.set("m", 3).map(ChunkSet::present).orElse(-1));
+        assertEquals(0, keeper.set("m", 3).map(ChunkSet::presentCount).orElse(-1));
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::present).orElse(0));
+                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::presentCount).orElse(0));
         origin.givesUpTo = 3;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 3).map(ChunkSet::present).orElse(0), "then the newest again");
+                FakeOrigin.CHUNKS, keeper.set("m", 3).map(ChunkSet::presentCount).orElse(0), "then the newest again");
     }
 
-    /** Version 2 whole, and six of eight chunks of version 3 here a second after the fetching of it began. */
+    /** Version 2 is complete, and six of eight chunks of version 3 are present one second after its fetch started. */
     private Thread fetchMostOfThird() throws InterruptedException {
         endpoint.held = 1;
         views.want("m", 2);
@@ -121,7 +121,7 @@
     void shouldNotHoldBackChunksOfOrigin() throws Exception {
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 1).map(ChunkSet::present).orElse(0));
+                FakeOrigin.CHUNKS, keeper.set("m", 1).map(ChunkSet::presentCount).orElse(0));
         assertEquals(0, pacedBytes);
     }
 
@@ -146,7 +146,7 @@
         keeper.step();
         assertTrue(keeper.closing());
         assertEquals(1, toldClosing);
-        now.addAndGet(Cordon.MILLIS - 1);
+        now.addAndGet(Cordon.LEAD_MILLIS - 1);
         keeper.step();
         assertEquals(List.of(), endpoint.orders, "an entry may not have heard yet");
         now.addAndGet(1);
@@ -172,7 +172,7 @@
         now.addAndGet(-BOUND / 2 + 3_400);
         keeper.step();
         assertTrue(keeper.closing());
-        now.addAndGet(Cordon.MILLIS);
+        now.addAndGet(Cordon.LEAD_MILLIS);
         keeper.step();
         assertEquals(List.of(), endpoint.orders, "a chunk is missing");
         origin.gives = FakeOrigin.CHUNKS;
@@ -274,7 +274,8 @@
         stepTwice();
         keeper.step();
         fetching.interrupt();
-        // Without chunk 0 the first whole layer is the second; the older version, here whole, is not taken up again.
+        // Without chunk 0 the first complete layer is the second. The older version, complete here, is not loaded
+        // again.
         assertEquals(List.of("start 2 layer 1"), endpoint.orders);
     }
 
@@ -286,7 +287,7 @@
         }
         keeper.refresh();
         keeper.readBack();
-        assertEquals(FakeOrigin.CHUNKS, keeper.set("m", 1).orElseThrow().present());
+        assertEquals(FakeOrigin.CHUNKS, keeper.set("m", 1).orElseThrow().presentCount());
         assertEquals(0, origin.given);
     }
 
--- a/src/test/java/org/micabarrow/weights/RetirementSeedsTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSeedsTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * However chunks come, orders go wrong, endpoints and agents start again: no old version is served past its bound, no layer serves that
- * was not whole, and the newest version is served once all is well.
+ * However chunks arrive, orders fail, and endpoints and agents restart: no old version is served past its limit, no
+ * unverified layer is served, and the newest version is served once the failures end.
  */
-class RetirementSeedsTest extends KeeperFixture {
+class RetirementSimulationTest extends ReplicaControllerFixture {
 
     private static final int SEEDS = 300;
     private static final long LOOK_MILLIS = 50;
@@ -70,7 +70,10 @@
         assertTrue(endpoint.held != 2 || now.get() - thirdNamedMillis <= BOUND, () -> "too late: " + endpoint.orders);
     }
 
-    /** A refused order, a lost answer, a chunk that turns bad where it lies, an endpoint or an agent that starts again. */
+    /**
+     * A refused order, a lost answer, a staged chunk that becomes corrupted, or a restart of the endpoint or of the
+     * agent.
+     */
     private void trouble(Random random) {
         if (random.nextDouble() >= TROUBLE) {
             return;
@@ -84,7 +87,7 @@
         }
     }
 
-    /** Any chunk that is missing; the first one begins the version. */
+    /** Adds a random missing chunk. The first chunk creates the version's set. */
     private void chunkComes(long version, Random random) {
         if (agent.set("m", version).isEmpty()) {
             begin(version);
@@ -96,7 +99,7 @@
                 .ifPresent(index -> set.put(index, FakeOrigin.chunk(version, index)));
     }
 
-    /** Begins a version without a thread that fetches it: reading back begins what the endpoint says that it holds. */
+    /** Adds a version without a thread that fetches it: reading back adds the version that the endpoint reports. */
     private void begin(long version) {
         long held = endpoint.held;
         endpoint.held = version;
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -9,18 +9,18 @@
 import org.micabarrow.views.Topic;
 
 /**
- * An endpoint stops serving a version that may no longer answer, whatever has come over the network.
+ * An endpoint stops serving a version in time, whatever has been fetched.
  *
- * <p>What users saw: requests were begun on an old version 0.5 to 2 s after the bound. Order of events: versions 2 and 3 were
- * named 2 s apart; the links of one region carried next to nothing from then on; entries gave their requests up in time, but
- * these were on their way to the endpoint, which began them when they came. Cause: an agent stopped its endpoint by a layer of
- * the newest version only. One had 23 of 64 chunks of version 2 and two of version 3, so it did nothing, and did not say so.
- * Evidence: no line {@code event=retired} in its log until 10 s after version 2 was named; those agents that had a layer of
- * version 3 wrote theirs 6.77 s after.
+ * <p>Guards against requests being started on an old version 0.5 to 2 s after the limit. Versions 2 and 3 were named 2
+ * s apart while the links of one region carried almost nothing. Entries gave up their requests in time, but the
+ * endpoint started those already on their way when they arrived. The agent could stop its endpoint only by a layer of
+ * the newest version. One agent had 23 of 64 chunks of version 2 and two of version 3, so it did nothing and logged
+ * nothing: there was no {@code event=retired} until 10 s after version 2 was named, while agents with a layer of
+ * version 3 logged it after 6.77 s.
  */
-class RetirementTest extends KeeperFixture {
+class RetirementTest extends ReplicaControllerFixture {
 
-    /** From the naming until the endpoint has stopped, when the agent looks every 50 ms. */
+    /** The time from the naming until the endpoint has stopped, if the agent checks every 50 ms. */
     private static final long STOPPED_MILLIS = 7_000;
 
     private static final long LOOK_MILLIS = 50;
@@ -41,19 +41,19 @@
         keeper.readBack();
     }
 
-    /** What most cases begin with: the endpoint holds version 1, and version 2 is named. */
+    /** The initial state of most cases: the endpoint holds version 1, and version 2 is named. */
     private void secondIsNamedWhileFirstIsHeld() {
         holdsFirstVersion();
         views.want("m", 2);
     }
 
-    /** All chunks of version 2 come but the last. */
+    /** All chunks of version 2 arrive except the last. */
     private void lastChunkIsMissing() {
         origin.gives = FakeOrigin.CHUNKS - 1;
         fetchBeside(2, FakeOrigin.CHUNKS - 1);
     }
 
-    /** Requests are kept away, since the last chunk is expected soon. */
+    /** The cordon is closed, since the last chunk is expected soon. */
     private void lastChunkIsExpectedSoon() {
         lastChunkIsMissing();
         now.addAndGet(3_400);
@@ -61,7 +61,7 @@
         assertTrue(keeper.closing(), "the last chunk is expected soon");
     }
 
-    /** All chunks of the named versions come, and what follows is done. */
+    /** All chunks of the named versions arrive, and the resulting steps are taken. */
     private void allComes() throws InterruptedException {
         fetch();
         stepFor(1_000);
