--- a/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
@@ -21,9 +21,9 @@
 class ChunkFetcherTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
-    private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
-    private static final Agent ALSO_NEAR = new Agent("10.0.0.3:7000", "region-a");
-    private static final Agent FAR = new Agent("10.1.0.1:7000", "region-b");
+    private static final Agent SAME_REGION = new Agent("10.0.0.2:7000", "region-a");
+    private static final Agent ALSO_SAME_REGION = new Agent("10.0.0.3:7000", "region-a");
+    private static final Agent OTHER_REGION = new Agent("10.1.0.1:7000", "region-b");
     private static final List<String> DIGESTS = List.of(Digest.of(new byte[] {1}), Digest.of(new byte[] {2}));
 
     private final FakePeers peers = new FakePeers();
@@ -31,18 +31,18 @@
     /** Peers of which one has the digests. */
     private static final class FakePeers implements ChunkPeers {
 
-        private final List<String> asked = new ArrayList<>();
+        private final List<String> queried = new ArrayList<>();
         private String holder = "nobody";
 
         @Override
         public Result<List<String>> digests(String agent, String model, long version) {
-            asked.add(agent);
-            return agent.equals(holder) ? Result.success(DIGESTS) : none(agent);
+            queried.add(agent);
+            return agent.equals(holder) ? Result.success(DIGESTS) : notFound(agent);
         }
 
         @Override
         public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            return none(agent);
+            return notFound(agent);
         }
     }
 
@@ -51,17 +51,17 @@
 
         @Override
         public Result<List<String>> digests(String address, String model, long version) {
-            return none(address);
+            return notFound(address);
         }
 
         @Override
         public Result<byte[]> chunk(String address, String model, long version, int index) {
-            return none(address);
+            return notFound(address);
         }
     }
 
-    private static <T> Result<T> none(String whom) {
-        return Result.failure(Fault.of(Fault.Step.FETCH, whom, Fault.Reason.NOT_FOUND, "none"));
+    private static <T> Result<T> notFound(String peer) {
+        return Result.failure(Fault.of(Fault.Step.FETCH, peer, Fault.Reason.NOT_FOUND, "none"));
     }
 
     private ChunkFetcher fetcher(ChunkSourcesCache sources) {
@@ -70,39 +70,39 @@
     }
 
     @Test
-    void shouldAskAgentsNearbyAndOneOfAnotherRegionWhenOriginHasNoDigests() {
-        List<Agent> agents = List.of(FAR, SELF, NEAR, ALSO_NEAR);
-        for (Agent self : List.of(SELF, NEAR, ALSO_NEAR)) {
-            peers.asked.clear();
+    void shouldQueryAgentsOfSameRegionAndOneOfAnotherWhenOriginHasNoDigests() {
+        List<Agent> agents = List.of(OTHER_REGION, SELF, SAME_REGION, ALSO_SAME_REGION);
+        for (Agent self : List.of(SELF, SAME_REGION, ALSO_SAME_REGION)) {
+            peers.queried.clear();
             fetcher(ChunkSources.following(self, () -> agents)).createSet("m", 2);
-            assertEquals(3, peers.asked.size(), "asked by " + self);
-            assertEquals(FAR.address(), peers.asked.getLast(), "asked by " + self);
+            assertEquals(3, peers.queried.size(), "queried by " + self);
+            assertEquals(OTHER_REGION.address(), peers.queried.getLast(), "queried by " + self);
             assertEquals(
-                    Set.of(SELF.address(), NEAR.address(), ALSO_NEAR.address(), FAR.address()),
-                    Stream.concat(peers.asked.stream(), Stream.of(self.address()))
+                    Set.of(SELF.address(), SAME_REGION.address(), ALSO_SAME_REGION.address(), OTHER_REGION.address()),
+                    Stream.concat(peers.queried.stream(), Stream.of(self.address()))
                             .collect(Collectors.toSet()));
         }
     }
 
     @Test
-    void shouldTakeDigestsOfFirstAgentThatHasThem() {
-        peers.holder = NEAR.address();
+    void shouldReturnDigestsOfFirstAgentThatHasThem() {
+        peers.holder = SAME_REGION.address();
         Result<ChunkSet> set =
-                fetcher(ChunkSources.following(SELF, () -> List.of(NEAR, FAR))).createSet("m", 2);
+                fetcher(ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION))).createSet("m", 2);
         assertEquals(DIGESTS, set.toOptional().orElseThrow().digests());
-        assertEquals(List.of(NEAR.address()), peers.asked);
+        assertEquals(List.of(SAME_REGION.address()), peers.queried);
     }
 
     @Test
-    void shouldSayWhyWhenNobodyHasDigests() {
+    void shouldFailWithCauseWhenNoSourceHasDigests() {
         Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, List::of)).createSet("m", 2);
         assertTrue(set.cause().isPresent());
-        assertEquals(List.of(), peers.asked);
+        assertEquals(List.of(), peers.queried);
     }
 
     @Test
-    void shouldKeepSourcesOfVersionWhenDigestsOfAnotherAreAskedFor() {
-        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(NEAR, FAR));
+    void shouldKeepCachedSourcesWhenDigestsOfAnotherVersionAreFetched() {
+        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION));
         ChunkSources before = sources.apply(DIGESTS.size());
         fetcher(sources).createSet("m", 2);
         assertSame(before, sources.apply(DIGESTS.size()));
--- a/src/test/java/org/micabarrow/weights/ChunkSetTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSetTest.java
@@ -21,7 +21,7 @@
         return new byte[] {(byte) index};
     }
 
-    private static ChunkSet whole() {
+    private static ChunkSet completeSet() {
         List<String> digests = IntStream.range(0, CHUNKS)
                 .mapToObj(index -> Digest.of(chunk(index)))
                 .toList();
@@ -30,36 +30,36 @@
         return set;
     }
 
-    private static BitSet upTo(int end) {
+    private static BitSet range(int end) {
         BitSet wanted = new BitSet();
         wanted.set(0, end);
         return wanted;
     }
 
     @Test
-    void shouldNotGiveTheSameChunkAsAllOthersWhenOneAsksManyAgents() {
-        Set<Integer> given = new HashSet<>();
+    void shouldServeDifferentChunksWhenManyAgentsGetSameRequest() {
+        Set<Integer> served = new HashSet<>();
         for (int agent = 0; agent < AGENTS; agent++) {
-            given.add(whole().give(upTo(CHUNKS)).orElseThrow());
+            served.add(completeSet().give(range(CHUNKS)).orElseThrow());
         }
-        assertTrue(given.size() > AGENTS / 4, "chunks " + given);
+        assertTrue(served.size() > AGENTS / 4, "chunks " + served);
     }
 
     @Test
-    void shouldGiveEachChunkOnceBeforeItGivesOneTwice() {
-        ChunkSet set = whole();
-        Set<Integer> given = new HashSet<>();
+    void shouldServeEachChunkOnceBeforeServingOneTwice() {
+        ChunkSet set = completeSet();
+        Set<Integer> served = new HashSet<>();
         for (int i = 0; i < CHUNKS; i++) {
-            given.add(set.give(upTo(CHUNKS)).orElseThrow());
+            served.add(set.give(range(CHUNKS)).orElseThrow());
         }
-        assertEquals(CHUNKS, given.size());
+        assertEquals(CHUNKS, served.size());
     }
 
     @Test
-    void shouldGiveNothingButWhatIsWanted() {
-        ChunkSet set = whole();
+    void shouldServeOnlyWantedChunks() {
+        ChunkSet set = completeSet();
         for (int i = 0; i < CHUNKS; i++) {
-            assertTrue(set.give(upTo(3)).orElseThrow() < 3);
+            assertTrue(set.give(range(3)).orElseThrow() < 3);
         }
         assertTrue(set.give(new BitSet()).isEmpty());
     }
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -62,7 +62,7 @@
     }
 
     @Property(seed = "42", tries = 100)
-    void shouldCrossIntoEachRegionOnce(
+    void shouldTransferEachChunkIntoEachRegionOnce(
             @ForAll @Size(min = 2, max = 4) List<@IntRange(min = 1, max = 9) Integer> sizes) {
         List<Agent> all = agents(sizes);
         Map<String, String> regions = new HashMap<>();
@@ -82,24 +82,24 @@
     }
 
     @Property(seed = "42", tries = 50)
-    void shouldSpreadChunksEvenlyHoweverUnevenTheRegionsAre(
+    void shouldSpreadChunksEvenlyWhenRegionsAreUneven(
             @ForAll @Size(min = 1, max = 4) List<@IntRange(min = 1, max = 9) Integer> sizes) {
         List<Agent> all = agents(sizes);
-        Map<String, Integer> parts = new HashMap<>();
-        fromOrigin(all).values().forEach(agents -> agents.forEach(agent -> parts.merge(agent, 1, Integer::sum)));
-        int most = parts.values().stream().mapToInt(one -> one).max().orElse(0);
-        assertTrue(most <= Math.ceilDiv(CHUNKS, all.size()), "one agent fetches " + most + " chunks from the origin");
+        Map<String, Integer> chunkCounts = new HashMap<>();
+        fromOrigin(all).values().forEach(agents -> agents.forEach(agent -> chunkCounts.merge(agent, 1, Integer::sum)));
+        int maxChunks = chunkCounts.values().stream().mapToInt(one -> one).max().orElse(0);
+        assertTrue(maxChunks <= Math.ceilDiv(CHUNKS, all.size()), "one agent fetches " + maxChunks + " chunks from the origin");
     }
 
     @Property(seed = "42", tries = 50)
-    void shouldChangeLittleForTheOthersWhenOneAgentGoes(
+    void shouldReassignFewChunksWhenOneAgentGoes(
             @ForAll @Size(min = 2, max = 4) List<@IntRange(min = 2, max = 9) Integer> sizes) {
         List<Agent> all = agents(sizes);
         Map<Integer, List<String>> before = fromOrigin(all);
-        String gone = all.getFirst().address();
+        String removed = all.getFirst().address();
         Map<Integer, List<String>> after = fromOrigin(all.subList(1, all.size()));
         long moved = before.entrySet().stream()
-                .filter(one -> !one.getValue().equals(List.of(gone)))
+                .filter(one -> !one.getValue().equals(List.of(removed)))
                 .filter(one -> !one.getValue().equals(after.get(one.getKey())))
                 .count();
         assertTrue(moved <= CHUNKS / 4, moved + " chunks of agents that stayed are fetched by others");
@@ -109,63 +109,63 @@
      * Reference implementation of the leader assignment: among agents with remaining capacity, the one with the
      * smallest digest of agent and chunk.
      */
-    private static Map<Integer, Agent> plainLeads(List<Agent> agents, List<Integer> chunks) {
-        Map<Integer, Agent> leads = new HashMap<>();
+    private static Map<Integer, Agent> referenceLeaders(List<Agent> agents, List<Integer> chunks) {
+        Map<Integer, Agent> leaders = new HashMap<>();
         for (int index : chunks) {
-            Agent least = null;
+            Agent smallest = null;
             for (Agent agent : agents) {
-                boolean room = Collections.frequency(leads.values(), agent) * agents.size() < chunks.size();
-                if (room && (least == null || plainRank(agent, index).compareTo(plainRank(least, index)) < 0)) {
-                    least = agent;
+                boolean hasCapacity = Collections.frequency(leaders.values(), agent) * agents.size() < chunks.size();
+                if (hasCapacity && (smallest == null || referenceRank(agent, index).compareTo(referenceRank(smallest, index)) < 0)) {
+                    smallest = agent;
                 }
             }
-            leads.put(index, least);
+            leaders.put(index, smallest);
         }
-        return leads;
+        return leaders;
     }
 
-    private static String plainRank(Agent agent, int index) {
+    private static String referenceRank(Agent agent, int index) {
         return Digest.of(agent.address() + "/" + index);
     }
 
     /** Reference implementation of the sources of one agent, given the leaders. */
-    private static List<String> plainSources(Agent self, List<Agent> region, Agent originLead, Agent lead, int index) {
+    private static List<String> referenceSources(Agent self, List<Agent> region, Agent originLeader, Agent leader, int index) {
         List<String> sources = new ArrayList<>();
-        if (!lead.equals(self)) {
-            sources.add(lead.address());
+        if (!leader.equals(self)) {
+            sources.add(leader.address());
             region.stream()
-                    .filter(agent -> !agent.equals(lead))
-                    .filter(agent -> plainRank(agent, index).compareTo(plainRank(self, index)) < 0)
-                    .sorted(Comparator.comparing(agent -> plainRank(agent, index)))
+                    .filter(agent -> !agent.equals(leader))
+                    .filter(agent -> referenceRank(agent, index).compareTo(referenceRank(self, index)) < 0)
+                    .sorted(Comparator.comparing(agent -> referenceRank(agent, index)))
                     .forEach(agent -> sources.add(agent.address()));
         }
-        if (!originLead.region().equals(self.region())) {
-            sources.add(originLead.address());
+        if (!originLeader.region().equals(self.region())) {
+            sources.add(originLeader.address());
         }
         return sources;
     }
 
     @Property(seed = "42", tries = 30)
-    void shouldAskLeadsFirstAndThenOthersAsTheyRank(
+    void shouldListLeaderFirstAndThenOthersByRank(
             @ForAll @Size(min = 1, max = 4) List<@IntRange(min = 1, max = 9) Integer> sizes,
             @ForAll @IntRange(max = CHUNKS) int chunks) {
         List<Agent> all = agents(sizes);
-        List<Integer> every = IntStream.range(0, chunks).boxed().toList();
-        Map<Integer, Agent> originLeads = plainLeads(all, every);
+        List<Integer> indexes = IntStream.range(0, chunks).boxed().toList();
+        Map<Integer, Agent> originLeaders = referenceLeaders(all, indexes);
         for (Agent self : all) {
             List<Agent> region = all.stream()
                     .filter(one -> one.region().equals(self.region()))
                     .toList();
-            Map<Integer, Agent> leads = new HashMap<>(originLeads);
-            leads.putAll(plainLeads(
+            Map<Integer, Agent> leaders = new HashMap<>(originLeaders);
+            leaders.putAll(referenceLeaders(
                     region,
-                    every.stream()
-                            .filter(index -> !region.contains(originLeads.get(index)))
+                    indexes.stream()
+                            .filter(index -> !region.contains(originLeaders.get(index)))
                             .toList()));
             ChunkSources sources = ChunkSources.of(self, all, chunks);
-            for (int index : every) {
+            for (int index : indexes) {
                 assertEquals(
-                        plainSources(self, region, originLeads.get(index), leads.get(index), index),
+                        referenceSources(self, region, originLeaders.get(index), leaders.get(index), index),
                         sources.of(index),
                         self + ", chunk " + index);
             }
@@ -173,58 +173,58 @@
     }
 
     @Test
-    void shouldStayInItsRegionWhenItsAddressIsListedUnderAnother() {
+    void shouldUseOwnRegionWhenItsAddressIsListedUnderAnother() {
         Agent self = new Agent("10.0.0.1:7000", "region-a");
         Agent sameRegion = new Agent("10.0.0.2:7000", "region-a");
-        Agent far = new Agent("10.1.0.1:7000", "region-b");
+        Agent otherRegion = new Agent("10.1.0.1:7000", "region-b");
         Agent misplaced = new Agent(self.address(), "region-b");
-        ChunkSources right = ChunkSources.of(self, List.of(sameRegion, far, self), CHUNKS);
-        ChunkSources misled = ChunkSources.of(self, List.of(sameRegion, far, misplaced), CHUNKS);
-        assertEquals(List.of(sameRegion.address()), misled.sameRegion());
+        ChunkSources expected = ChunkSources.of(self, List.of(sameRegion, otherRegion, self), CHUNKS);
+        ChunkSources actual = ChunkSources.of(self, List.of(sameRegion, otherRegion, misplaced), CHUNKS);
+        assertEquals(List.of(sameRegion.address()), actual.sameRegion());
         for (int index = 0; index < CHUNKS; index++) {
-            assertEquals(right.of(index), misled.of(index), "chunk " + index);
+            assertEquals(expected.of(index), actual.of(index), "chunk " + index);
         }
     }
 
     @Test
-    void shouldHaveSourcesWhenItsAddressIsListedUnderAnotherRegionAndNobodyIsNear() {
+    void shouldUseOwnRegionWhenItsAddressIsListedUnderAnotherAndItIsAloneThere() {
         Agent self = new Agent("10.0.0.1:7000", "region-a");
-        Agent far = new Agent("10.1.0.1:7000", "region-b");
+        Agent otherRegion = new Agent("10.1.0.1:7000", "region-b");
         Agent misplaced = new Agent(self.address(), "region-b");
-        ChunkSources misled = ChunkSources.of(self, List.of(far, misplaced), CHUNKS);
-        ChunkSources right = ChunkSources.of(self, List.of(far, self), CHUNKS);
+        ChunkSources actual = ChunkSources.of(self, List.of(otherRegion, misplaced), CHUNKS);
+        ChunkSources expected = ChunkSources.of(self, List.of(otherRegion, self), CHUNKS);
         for (int index = 0; index < CHUNKS; index++) {
-            assertEquals(right.of(index), misled.of(index), "chunk " + index);
+            assertEquals(expected.of(index), actual.of(index), "chunk " + index);
         }
     }
 
     @Test
     void shouldKeepSourcesWhenOnlyTheOrderOfAgentsChanges() {
         List<Agent> all = agents(List.of(2, 2));
-        AtomicReference<List<Agent>> seen = new AtomicReference<>(all);
-        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), seen::get);
+        AtomicReference<List<Agent>> known = new AtomicReference<>(all);
+        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), known::get);
         ChunkSources first = sources.apply(CHUNKS);
-        seen.set(all.reversed());
+        known.set(all.reversed());
         assertSame(first, sources.apply(CHUNKS));
     }
 
     @Test
-    void shouldWorkSourcesOutAgainWhenAgentGoes() {
+    void shouldRecomputeSourcesWhenAgentGoes() {
         List<Agent> all = agents(List.of(2, 2));
-        AtomicReference<List<Agent>> seen = new AtomicReference<>(all);
-        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), seen::get);
+        AtomicReference<List<Agent>> known = new AtomicReference<>(all);
+        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), known::get);
         assertEquals(List.of(all.get(1).address()), sources.apply(CHUNKS).sameRegion());
-        seen.set(List.of(all.get(0), all.get(2), all.get(3)));
+        known.set(List.of(all.get(0), all.get(2), all.get(3)));
         assertEquals(List.of(), sources.apply(CHUNKS).sameRegion());
     }
 
     @Test
-    void shouldNotCountOnAgentWhoseEndpointLeaves() {
-        EndpointEntry stays = EndpointEntry.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
-        EndpointEntry leaves = EndpointEntry.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
-        EndpointEntry again = EndpointEntry.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
+    void shouldExcludeAgentWhenItsEndpointIsDraining() {
+        EndpointEntry serving = EndpointEntry.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
+        EndpointEntry draining = EndpointEntry.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
+        EndpointEntry sameInstance = EndpointEntry.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
         assertEquals(
                 List.of(new Agent("10.0.0.1:7000", "region-a")),
-                Agent.beside(List.of(stays, leaves, again), 7_000, Map.of("hall-a", "region-a")));
+                Agent.beside(List.of(serving, draining, sameInstance), 7_000, Map.of("hall-a", "region-a")));
     }
 }
--- a/src/test/java/org/micabarrow/weights/FakeEndpoint.java
+++ b/src/test/java/org/micabarrow/weights/FakeEndpoint.java
@@ -20,7 +20,7 @@
 
     static final int LAYERS = 4;
 
-    private static final int CHUNKS_A_LAYER = FakeOrigin.CHUNKS / LAYERS;
+    private static final int CHUNKS_PER_LAYER = FakeOrigin.CHUNKS / LAYERS;
 
     final Map<Integer, byte[]> staged = new HashMap<>();
     final List<String> orders = new ArrayList<>();
@@ -29,54 +29,54 @@
     long held;
 
     /** The version of which it holds only some layers, 0 for none. */
-    long part;
+    long partialVersion;
 
     boolean busy;
-    boolean silent;
-    boolean readsBack = true;
+    boolean unresponsive;
+    boolean readable = true;
 
     /** The number of next orders that are refused, and of those whose answer is lost. */
-    int refuses;
+    int refusals;
 
-    int losesAnswers;
+    int lostAnswers;
     Runnable onStage = () -> {};
 
     private OptionalLong startedMillis = OptionalLong.of(5_000);
-    private final BitSet layers = new BitSet();
-    private final BitSet wrong = new BitSet();
+    private final BitSet loadedLayers = new BitSet();
+    private final BitSet unverifiedLayers = new BitSet();
 
     /** Whether it serves with a layer that was loaded while one of its chunks was of another version. */
-    boolean servesWrongLayer() {
-        return held != 0 && !wrong.isEmpty();
+    boolean servesUnverifiedLayer() {
+        return held != 0 && !unverifiedLayers.isEmpty();
     }
 
     @Override
     public Result<Report> report() {
-        if (silent) {
-            return lost(Fault.Step.STATUS);
+        if (unresponsive) {
+            return noAnswer(Fault.Step.STATUS);
         }
         return Result.success(new Report(
-                holding(held), holding(part), busy, orders.size(), 0, 0, startedMillis, false, OptionalDouble.empty()));
+                modelsOf(held), modelsOf(partialVersion), busy, orders.size(), 0, 0, startedMillis, false, OptionalDouble.empty()));
     }
 
     /** Restarts after a crash or a loss of power; a loss of power also deletes the staged chunks. */
-    void startAgain(boolean lostPower) {
+    void restart(boolean lostPower) {
         startedMillis = OptionalLong.of(startedMillis.getAsLong() + 1);
         orders.clear();
-        layers.clear();
-        wrong.clear();
+        loadedLayers.clear();
+        unverifiedLayers.clear();
         held = 0;
-        part = 0;
+        partialVersion = 0;
         if (lostPower) {
             staged.clear();
         }
     }
 
-    private static Map<String, Long> holding(long version) {
+    private static Map<String, Long> modelsOf(long version) {
         return version == 0 ? Map.of() : Map.of("m", version);
     }
 
-    private static <T> Result<T> lost(Fault.Step step) {
+    private static <T> Result<T> noAnswer(Fault.Step step) {
         return Result.failure(Fault.of(step, "endpoint", Fault.Reason.UNREACHABLE, "no answer"));
     }
 
@@ -89,49 +89,49 @@
 
     @Override
     public Result<Optional<byte[]>> staged(String model, int index) {
-        return readsBack ? Result.success(Optional.ofNullable(staged.get(index))) : lost(Fault.Step.STAGE);
+        return readable ? Result.success(Optional.ofNullable(staged.get(index))) : noAnswer(Fault.Step.STAGE);
     }
 
     @Override
     public Result<OrderEnd> start(String model, long version, long ordersSeen) {
-        return order("start " + version, version, 0, LAYERS, ordersSeen);
+        return acceptOrder("start " + version, version, 0, LAYERS, ordersSeen);
     }
 
     @Override
     public Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen) {
-        return order("start " + version + " layer " + layer, version, layer, layer + 1, ordersSeen);
+        return acceptOrder("start " + version + " layer " + layer, version, layer, layer + 1, ordersSeen);
     }
 
-    private Result<OrderEnd> order(String text, long version, int from, int end, long ordersSeen) {
-        if (silent) {
-            return lost(Fault.Step.ORDER);
+    private Result<OrderEnd> acceptOrder(String description, long version, int from, int end, long ordersSeen) {
+        if (unresponsive) {
+            return noAnswer(Fault.Step.ORDER);
         }
-        if (refuses > 0 || ordersSeen != orders.size()) {
-            refuses--;
+        if (refusals > 0 || ordersSeen != orders.size()) {
+            refusals--;
             return Result.success(OrderEnd.CONFLICT);
         }
-        orders.add(text);
-        take(version, from, end);
-        return losesAnswers-- > 0 ? lost(Fault.Step.ORDER) : Result.success(OrderEnd.BEGUN);
+        orders.add(description);
+        loadLayers(version, from, end);
+        return lostAnswers-- > 0 ? noAnswer(Fault.Step.ORDER) : Result.success(OrderEnd.BEGUN);
     }
 
-    private void take(long version, int from, int end) {
-        if (version != Math.max(held, part)) {
-            layers.clear();
-            wrong.clear();
+    private void loadLayers(long version, int from, int end) {
+        if (version != Math.max(held, partialVersion)) {
+            loadedLayers.clear();
+            unverifiedLayers.clear();
         }
         for (int layer = from; layer < end; layer++) {
-            if (!layers.get(layer) && !isWhole(version, layer)) {
-                wrong.set(layer);
+            if (!loadedLayers.get(layer) && !isVerified(version, layer)) {
+                unverifiedLayers.set(layer);
             }
-            layers.set(layer);
+            loadedLayers.set(layer);
         }
-        held = layers.cardinality() == LAYERS ? version : 0;
-        part = held == 0 ? version : 0;
+        held = loadedLayers.cardinality() == LAYERS ? version : 0;
+        partialVersion = held == 0 ? version : 0;
     }
 
-    private boolean isWhole(long version, int layer) {
-        for (int i = layer * CHUNKS_A_LAYER; i < (layer + 1) * CHUNKS_A_LAYER; i++) {
+    private boolean isVerified(long version, int layer) {
+        for (int i = layer * CHUNKS_PER_LAYER; i < (layer + 1) * CHUNKS_PER_LAYER; i++) {
             if (!Arrays.equals(staged.get(i), FakeOrigin.chunk(version, i))) {
                 return false;
             }
--- a/src/test/java/org/micabarrow/weights/FakeOrigin.java
+++ b/src/test/java/org/micabarrow/weights/FakeOrigin.java
@@ -14,16 +14,16 @@
     static final int CHUNKS = 8;
 
     /** How far the clock advances with each request for a chunk that is withheld. */
-    private static final long QUESTION_MILLIS = 200;
+    private static final long REQUEST_MILLIS = 200;
 
     private final AtomicLong now;
-    final AtomicInteger digestsAsked = new AtomicInteger();
-    int given;
-    volatile long knowsUpTo = Long.MAX_VALUE;
-    volatile long givesUpTo = Long.MAX_VALUE;
-    int spoilFirst;
-    volatile int gives = Integer.MAX_VALUE;
-    int givesFrom;
+    final AtomicInteger digestRequests = new AtomicInteger();
+    int servedCount;
+    volatile long maxKnownVersion = Long.MAX_VALUE;
+    volatile long maxServedVersion = Long.MAX_VALUE;
+    int corruptFirst;
+    volatile int servedEnd = Integer.MAX_VALUE;
+    int servedStart;
 
     FakeOrigin(AtomicLong now) {
         this.now = now;
@@ -34,32 +34,32 @@
     }
 
     static ChunkSet emptySet(long version) {
-        List<String> all = new ArrayList<>();
+        List<String> digests = new ArrayList<>();
         for (int i = 0; i < CHUNKS; i++) {
-            all.add(Digest.of(chunk(version, i)));
+            digests.add(Digest.of(chunk(version, i)));
         }
-        return new ChunkSet("m", version, all);
+        return new ChunkSet("m", version, digests);
     }
 
     @Override
     public Result<List<String>> digests(String address, String model, long version) {
-        digestsAsked.incrementAndGet();
-        if (version > knowsUpTo) {
-            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "away"));
+        digestRequests.incrementAndGet();
+        if (version > maxKnownVersion) {
+            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "unavailable"));
         }
         return Result.success(emptySet(version).digests());
     }
 
     @Override
     public synchronized Result<byte[]> chunk(String address, String model, long version, int index) {
-        if (version > givesUpTo) {
-            now.addAndGet(QUESTION_MILLIS);
-            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "away"));
+        if (version > maxServedVersion) {
+            now.addAndGet(REQUEST_MILLIS);
+            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "unavailable"));
         }
-        if (index >= gives || index < givesFrom) {
-            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.NOT_FOUND, "not given"));
+        if (index >= servedEnd || index < servedStart) {
+            return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.NOT_FOUND, "withheld"));
         }
-        given++;
-        return Result.success(spoilFirst-- > 0 ? new byte[] {9, 9} : chunk(version, index));
+        servedCount++;
+        return Result.success(corruptFirst-- > 0 ? new byte[] {9, 9} : chunk(version, index));
     }
 }
--- a/src/test/java/org/micabarrow/weights/FetchChoiceTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchDecisionTest.java
@@ -20,9 +20,9 @@
 class FetchDecisionTest {
 
     private static final int CHUNKS = 64;
-    private static final long HELD_UNTIL = 24_200;
-    private static final long OLDER_UNTIL = 26_200;
-    private static final long AWAY = 3_000;
+    private static final long HELD_UNTIL_MILLIS = 24_200;
+    private static final long OLDER_UNTIL_MILLIS = 26_200;
+    private static final long OUTAGE_MILLIS = 3_000;
 
     private static Candidate older(int missing) {
         return new Candidate(2, CHUNKS, missing, 0, 50);
@@ -32,43 +32,43 @@
         return new Candidate(3, CHUNKS, missing, delayMillis, 50);
     }
 
-    private static FetchDecision choose(long nowMillis, Candidate older, Candidate newest, long current) {
-        return FetchDecision.of(new Situation(nowMillis, HELD_UNTIL, older, OLDER_UNTIL, newest, current));
+    private static FetchDecision decide(long nowMillis, Candidate older, Candidate newest, long current) {
+        return FetchDecision.of(new Situation(nowMillis, HELD_UNTIL_MILLIS, older, OLDER_UNTIL_MILLIS, newest, current));
     }
 
     @Test
-    void shouldTakeNewestWhenItComes() {
-        assertInstanceOf(Newest.class, choose(20_100, older(40), newest(CHUNKS, 0), 3));
+    void shouldFetchNewestWhenItArrives() {
+        assertInstanceOf(Newest.class, decide(20_100, older(40), newest(CHUNKS, 0), 3));
     }
 
     @Test
-    void shouldTakeOlderWhenNothingOfNewestComes() {
-        assertInstanceOf(OlderFirst.class, choose(21_000, older(38), newest(54, AWAY), 3));
+    void shouldFetchOlderWhenNewestIsStalled() {
+        assertInstanceOf(OlderFirst.class, decide(21_000, older(38), newest(54, OUTAGE_MILLIS), 3));
     }
 
     @Test
-    void shouldStayWithOlderWhenHalfOfItIsHere() {
-        assertInstanceOf(OlderFirst.class, choose(20_100, older(CHUNKS / 2), newest(CHUNKS, 0), 2));
+    void shouldContinueOlderWhenHalfOfItIsPresent() {
+        assertInstanceOf(OlderFirst.class, decide(20_100, older(CHUNKS / 2), newest(CHUNKS, 0), 2));
     }
 
     @Test
-    void shouldNotTakeOlderWhenItCouldNotServeAnyMore() {
-        assertInstanceOf(Newest.class, choose(25_000, older(38), newest(54, AWAY), 3));
-        assertInstanceOf(Newest.class, choose(25_000, older(30), newest(54, AWAY), 2));
+    void shouldFetchNewestWhenOlderWouldBeTooLate() {
+        assertInstanceOf(Newest.class, decide(25_000, older(38), newest(54, OUTAGE_MILLIS), 3));
+        assertInstanceOf(Newest.class, decide(25_000, older(30), newest(54, OUTAGE_MILLIS), 2));
     }
 
     @Test
-    void shouldTakeNewestWhenWaitingForItLosesLessThanOlderTakes() {
+    void shouldFetchNewestWhenWaitingForItLosesLess() {
         Candidate slow = new Candidate(2, CHUNKS, 10, 0, 300);
-        assertInstanceOf(Newest.class, choose(23_000, slow, newest(4, 200), 3));
+        assertInstanceOf(Newest.class, decide(23_000, slow, newest(4, 200), 3));
     }
 
     @Test
-    void shouldCountWhatIsNeverHadAsFarAway() {
+    void shouldLimitEstimateWhenVersionNeverArrives() {
         Candidate never = new Candidate(2, CHUNKS, 10, 0, Double.POSITIVE_INFINITY);
-        FetchDecision choice = choose(21_000, never, newest(54, AWAY), 3);
-        assertInstanceOf(Newest.class, choice);
-        assertEquals(FetchDecision.HORIZON_MILLIS, choice.otherLostMillis());
+        FetchDecision decision = decide(21_000, never, newest(54, OUTAGE_MILLIS), 3);
+        assertInstanceOf(Newest.class, decision);
+        assertEquals(FetchDecision.HORIZON_MILLIS, decision.otherLostMillis());
     }
 
     static LongStream seeds() {
@@ -78,14 +78,14 @@
     /** For random situations, the decision does not change as a result of itself. */
     @ParameterizedTest
     @MethodSource("seeds")
-    void shouldStayWithItsChoiceWhenNothingElseChanges(long seed) {
+    void shouldKeepDecisionWhenNothingElseChanges(long seed) {
         Random random = new Random(seed);
         Candidate older = new Candidate(2, CHUNKS, random.nextInt(CHUNKS + 1), 0, 5 + random.nextInt(400));
         Candidate newest =
-                new Candidate(3, CHUNKS, 1 + random.nextInt(CHUNKS), random.nextInt(2) * AWAY, 5 + random.nextInt(400));
+                new Candidate(3, CHUNKS, 1 + random.nextInt(CHUNKS), random.nextInt(2) * OUTAGE_MILLIS, 5 + random.nextInt(400));
         long now = 18_000 + random.nextInt(9_000);
-        FetchDecision first = choose(now, older, newest, 2 + random.nextInt(2));
-        FetchDecision again = choose(now, older, newest, first.version());
+        FetchDecision first = decide(now, older, newest, 2 + random.nextInt(2));
+        FetchDecision again = decide(now, older, newest, first.version());
         assertEquals(first.version(), again.version(), () -> first + " then " + again);
     }
 }
--- a/src/test/java/org/micabarrow/weights/FetchRunTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchRunTest.java
@@ -22,17 +22,17 @@
 class FetchRunTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
-    private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
+    private static final Agent SAME_REGION = new Agent("10.0.0.2:7000", "region-a");
     private static final int CHUNKS = 8;
 
     /** How far the clock advances with each request. */
-    private static final long QUESTION_MILLIS = 100;
+    private static final long REQUEST_MILLIS = 100;
 
     /** The number of requests for which the origin is unavailable: ten seconds of the clock. */
-    private static final int QUESTIONS_AWAY = 100;
+    private static final int FAILED_REQUESTS = 100;
 
     private final AtomicLong clock = new AtomicLong();
-    private final AtomicInteger askedInVain = new AtomicInteger();
+    private final AtomicInteger originRequests = new AtomicInteger();
     private final Set<Integer> fromOrigin = ConcurrentHashMap.newKeySet();
 
     private static byte[] chunk(int index) {
@@ -50,9 +50,9 @@
 
         @Override
         public Result<byte[]> chunk(String address, String model, long version, int index) {
-            clock.addAndGet(QUESTION_MILLIS);
-            if (askedInVain.incrementAndGet() <= QUESTIONS_AWAY) {
-                return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "away"));
+            clock.addAndGet(REQUEST_MILLIS);
+            if (originRequests.incrementAndGet() <= FAILED_REQUESTS) {
+                return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "unavailable"));
             }
             fromOrigin.add(index);
             return Result.success(FetchRunTest.chunk(index));
@@ -69,7 +69,7 @@
 
         @Override
         public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            clock.addAndGet(QUESTION_MILLIS);
+            clock.addAndGet(REQUEST_MILLIS);
             if (fromOrigin.size() < CHUNKS / 2) {
                 return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_READY, "still fetching"));
             }
@@ -80,8 +80,8 @@
 
     @Test
     @Timeout(60)
-    void shouldLeaveOthersChunksToThemWhenOriginComesBack() throws Exception {
-        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SELF, NEAR));
+    void shouldFetchOnlyOwnChunksFromOriginWhenItIsBack() throws Exception {
+        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SELF, SAME_REGION));
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
                 new Peer(), new Origin(), () -> Optional.of("origin:80"), sources, bytes -> {}, clock::get));
         ChunkSet set = fetcher.createSet("m", 2).toOptional().orElseThrow();
--- a/src/test/java/org/micabarrow/weights/OverlapPlay.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -27,12 +27,12 @@
  */
 final class OverlapSimulation {
 
-    static final long BOUND = 8_000;
+    static final long MAX_STALENESS_MILLIS = 8_000;
     static final int CHUNKS = 64;
     private static final int STEP_MILLIS = 50;
-    private static final long BEFORE_MILLIS = 1_000;
-    private static final long PLAY_MILLIS = 18_000;
-    private static final int PEERS_ASKED = 6;
+    private static final long WARM_UP_MILLIS = 1_000;
+    private static final long RUN_MILLIS = 18_000;
+    private static final int PEERS_PER_CHUNK = 6;
 
     /** How long an endpoint is busy with an order: while its requests finish, or while it only warms up. */
     private static final long BUSY_SERVING_MILLIS = 1_300;
@@ -46,26 +46,26 @@
      * @param seed the random seed
      * @param agents the number of agents
      * @param chunkMillis the time for a chunk on an agent's link; half of it on the origin's link
-     * @param thirdAfterMillis when version 3 is named, relative to version 2
-     * @param awayFromMillis when the origin becomes unavailable, relative to the naming of version 2
-     * @param awayMillis for how long the origin is unavailable
-     * @param trouble the probability per step that some agent restarts or is paused
+     * @param thirdNamedAfterMillis when version 3 is named, relative to version 2
+     * @param outageStartMillis when the origin becomes unavailable, relative to the naming of version 2
+     * @param outageMillis for how long the origin is unavailable
+     * @param failureRate the probability per step that some agent restarts or is paused
      */
-    record Day(
+    record Scenario(
             long seed,
             int agents,
             double chunkMillis,
-            long thirdAfterMillis,
-            long awayFromMillis,
-            long awayMillis,
-            double trouble) {
+            long thirdNamedAfterMillis,
+            long outageStartMillis,
+            long outageMillis,
+            double failureRate) {
 
-        static Day of(long seed) {
+        static Scenario of(long seed) {
             // A plain Random returns similar first values for neighbouring seeds.
             SplittableRandom random = new SplittableRandom(seed);
             int agents = (int) Math.round(4 * Math.pow(75, random.nextDouble()));
             double mbits = 2 * Math.pow(20, random.nextDouble());
-            return new Day(
+            return new Scenario(
                     seed,
                     agents,
                     262 / mbits,
@@ -78,32 +78,32 @@
 
     /** Selects the version that an agent fetches; 0 for none. */
     interface Policy {
-        long version(Member member);
+        long version(SimulatedAgent agent);
     }
 
-    private final Day day;
+    private final Scenario scenario;
     private final Policy policy;
     private final Random random;
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new NoRecords(), now::get);
-    private final List<Member> members = new ArrayList<>();
-    private final Map<Long, BitSet> left = Map.of(2L, new BitSet(), 3L, new BitSet());
+    private final ViewKeeper views = new ViewKeeper(new EmptyDecoder(), now::get);
+    private final List<SimulatedAgent> simulatedAgents = new ArrayList<>();
+    private final Map<Long, BitSet> servedByOrigin = Map.of(2L, new BitSet(), 3L, new BitSet());
     private double originCredit;
-    private long secondNamed;
-    private long served;
-    int chunksOfOrigin;
+    private long secondNamedMillis;
+    private long servedSteps;
+    int originChunks;
 
-    OverlapSimulation(Day day, Policy policy) {
-        this.day = day;
+    OverlapSimulation(Scenario scenario, Policy policy) {
+        this.scenario = scenario;
         this.policy = policy;
-        this.random = new Random(day.seed());
-        for (int i = 0; i < day.agents(); i++) {
-            members.add(new Member(i));
+        this.random = new Random(scenario.seed());
+        for (int i = 0; i < scenario.agents(); i++) {
+            simulatedAgents.add(new SimulatedAgent(i));
         }
     }
 
     /** Decodes no records: versions are passed to the view keeper directly. */
-    static final class NoRecords implements RecordDecoder {
+    static final class EmptyDecoder implements RecordDecoder {
 
         @Override
         public boolean isManifest(String key) {
@@ -117,33 +117,33 @@
 
         @Override
         public Result<EndpointEntry> endpoint(StoredRecord record) {
-            return none();
+            return notFound();
         }
     }
 
-    private static <T> Result<T> none() {
+    private static <T> Result<T> notFound() {
         return Result.failure(Fault.of(Fault.Step.FETCH, "nobody", Fault.Reason.NOT_FOUND, "none"));
     }
 
     /** Serves digests; the simulation adds chunks to the sets itself. */
-    private record Digests(boolean ofKeeper) implements WeightOrigin {
+    private record DigestOrigin(boolean forController) implements WeightOrigin {
 
         @Override
         public Result<List<String>> digests(String address, String model, long version) {
-            return Result.success(ofKeeper ? FakeOrigin.emptySet(version).digests() : digestsOf(version));
+            return Result.success(forController ? FakeOrigin.emptySet(version).digests() : digestsOf(version));
         }
 
         @Override
         public Result<byte[]> chunk(String address, String model, long version, int index) {
-            return none();
+            return notFound();
         }
     }
 
     private static List<String> digestsOf(long version) {
         return DIGESTS.computeIfAbsent(
                 version,
-                which -> IntStream.range(0, CHUNKS)
-                        .mapToObj(index -> Digest.of(FakeOrigin.chunk(which, index)))
+                digestVersion -> IntStream.range(0, CHUNKS)
+                        .mapToObj(index -> Digest.of(FakeOrigin.chunk(digestVersion, index)))
                         .toList());
     }
 
@@ -151,37 +151,37 @@
 
         @Override
         public Result<List<String>> digests(String agent, String model, long version) {
-            return none();
+            return notFound();
         }
 
         @Override
         public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            return none();
+            return notFound();
         }
     }
 
-    // -- an agent with its endpoint
+    // -- agents
 
     /** An agent with its endpoint. */
-    final class Member {
+    final class SimulatedAgent {
 
         final FakeEndpoint endpoint = new FakeEndpoint();
         final VersionDeadlines deadlines =
-                new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, BOUND, now::get);
-        private final int place;
+                new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, MAX_STALENESS_MILLIS, now::get);
+        private final int position;
         VersionFetches fetches;
         Optional<FetchProgress> progress = Optional.empty();
-        boolean onOlder;
-        private ReplicaKeeper keeper;
-        private double down;
-        private double up;
-        private long busyUntil;
-        private long standsUntil;
-        private long fetched;
-        private long firstHeld = 1;
-
-        private Member(int place) {
-            this.place = place;
+        boolean fetchingOlder;
+        private ReplicaKeeper controller;
+        private double downlinkCredit;
+        private double uplinkCredit;
+        private long busyUntilMillis;
+        private long pausedUntilMillis;
+        private long fetchedVersion;
+        private long newestHeld = 1;
+
+        private SimulatedAgent(int position) {
+            this.position = position;
             endpoint.held = 1;
             for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
                 endpoint.staged.put(i, FakeOrigin.chunk(1, i));
@@ -190,25 +190,25 @@
         }
 
         private void startAgent() {
-            keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+            controller = new ReplicaKeeper(new ReplicaKeeper.Parts(
                     () -> Optional.of("m"),
                     () -> FakeEndpoint.LAYERS,
                     endpoint,
                     fetcher(true),
                     views::view,
-                    () -> new ReplicaKeeper.Place(place, day.agents()),
+                    () -> new ReplicaKeeper.Place(position, scenario.agents()),
                     () -> {},
-                    BOUND,
+                    MAX_STALENESS_MILLIS,
                     now::get));
             fetches = new VersionFetches(fetcher(false), deadlines, now::get);
             progress = Optional.empty();
-            onOlder = false;
+            fetchingOlder = false;
         }
 
-        private ChunkFetcher fetcher(boolean ofKeeper) {
+        private ChunkFetcher fetcher(boolean forController) {
             return new ChunkFetcher(new ChunkFetcher.Parts(
                     new NoPeers(),
-                    new Digests(ofKeeper),
+                    new DigestOrigin(forController),
                     () -> Optional.of("origin:80"),
                     ChunkSources.following(new Agent("a", "r"), List::of),
                     bytes -> {},
@@ -224,7 +224,7 @@
         }
 
         long sinceSecondNamed() {
-            return now.get() - secondNamed;
+            return now.get() - secondNamedMillis;
         }
 
         long newest() {
@@ -235,20 +235,20 @@
             return fetches.getOrCreate("m", version).toOptional().orElseThrow();
         }
 
-        private boolean stands() {
-            return now.get() < standsUntil;
+        private boolean isPaused() {
+            return now.get() < pausedUntilMillis;
         }
 
         private boolean serves() {
-            return endpoint.held > 0 && !endpoint.busy && !keeper.closing() && !stands();
+            return endpoint.held > 0 && !endpoint.busy && !controller.closing() && !isPaused();
         }
 
-        private void take(long version, int index) {
+        private void addChunk(long version, int index) {
             set(version).put(index, FakeOrigin.chunk(version, index));
             int group = index * FakeOrigin.CHUNKS / CHUNKS;
             int size = CHUNKS / FakeOrigin.CHUNKS;
             if (set(version).hasRange(group * size, (group + 1) * size)) {
-                keeperSet(version).put(group, FakeOrigin.chunk(version, group));
+                controllerSet(version).put(group, FakeOrigin.chunk(version, group));
             }
         }
 
@@ -256,52 +256,52 @@
          * Adds a version to the controller without a thread that fetches it: reading back adds the version that the
          * endpoint reports.
          */
-        private ChunkSet keeperSet(long version) {
-            if (keeper.set("m", version).isEmpty()) {
+        private ChunkSet controllerSet(long version) {
+            if (controller.set("m", version).isEmpty()) {
                 long held = endpoint.held;
                 endpoint.held = version;
-                keeper.refresh();
-                keeper.readBack();
+                controller.refresh();
+                controller.readBack();
                 endpoint.held = held;
-                keeper.refresh();
+                controller.refresh();
             }
-            return keeper.set("m", version).orElseThrow();
+            return controller.set("m", version).orElseThrow();
         }
 
         private void step() {
-            endpoint.busy = now.get() < busyUntil;
+            endpoint.busy = now.get() < busyUntilMillis;
             int orders = endpoint.orders.size();
-            boolean served = serves() || keeper.closing() && endpoint.held > 0;
-            keeper.refresh();
-            keeper.step();
+            boolean wasServing = serves() || controller.closing() && endpoint.held > 0;
+            controller.refresh();
+            controller.step();
             if (endpoint.orders.size() > orders) {
-                busyUntil = now.get() + (served ? BUSY_SERVING_MILLIS : BUSY_IDLE_MILLIS);
+                busyUntilMillis = now.get() + (wasServing ? BUSY_SERVING_MILLIS : BUSY_IDLE_MILLIS);
                 endpoint.busy = true;
             }
-            firstHeld = Math.max(firstHeld, endpoint.held);
-            check();
+            newestHeld = Math.max(newestHeld, endpoint.held);
+            checkInvariants();
         }
 
-        private void check() {
-            long least = views.view().leastVersion("m", BOUND, now.get());
+        private void checkInvariants() {
+            long least = views.view().leastVersion("m", MAX_STALENESS_MILLIS, now.get());
             if (endpoint.held != 0 && !endpoint.busy && endpoint.held < least) {
-                throw new AssertionError("serves " + endpoint.held + " when " + least + " is due: " + day);
+                throw new AssertionError("serves " + endpoint.held + " although " + least + " is required: " + scenario);
             }
-            if (endpoint.held != 0 && endpoint.held < firstHeld) {
-                throw new AssertionError("back to " + endpoint.held + " from " + firstHeld + ": " + day);
+            if (endpoint.held != 0 && endpoint.held < newestHeld) {
+                throw new AssertionError("returned to " + endpoint.held + " from " + newestHeld + ": " + scenario);
             }
-            if (endpoint.servesWrongLayer()) {
-                throw new AssertionError("a layer that was not whole serves: " + day);
+            if (endpoint.servesUnverifiedLayer()) {
+                throw new AssertionError("an unverified layer is served: " + scenario);
             }
         }
 
-        private void trouble() {
+        private void injectFailure() {
             if (random.nextBoolean()) {
-                endpoint.startAgain(random.nextBoolean());
-                firstHeld = 0;
+                endpoint.restart(random.nextBoolean());
+                newestHeld = 0;
                 startAgent();
             } else {
-                standsUntil = now.get() + random.nextInt(6_000);
+                pausedUntilMillis = now.get() + random.nextInt(6_000);
             }
         }
     }
@@ -309,128 +309,128 @@
     // -- simulation
 
     /** Runs the simulation. Returns the fraction of the endpoints' time in which they served. */
-    double service() {
-        long end = now.get() + BEFORE_MILLIS + PLAY_MILLIS;
-        secondNamed = now.get() + BEFORE_MILLIS;
+    double run() {
+        long end = now.get() + WARM_UP_MILLIS + RUN_MILLIS;
+        secondNamedMillis = now.get() + WARM_UP_MILLIS;
         int steps = 0;
         for (; now.get() < end; now.addAndGet(STEP_MILLIS)) {
-            if (now.get() == secondNamed) {
+            if (now.get() == secondNamedMillis) {
                 views.want("m", 2);
             }
-            if (now.get() >= secondNamed + day.thirdAfterMillis()
+            if (now.get() >= secondNamedMillis + scenario.thirdNamedAfterMillis()
                     && views.view().newestTarget("m").stream().allMatch(target -> target.version() < 3)) {
                 views.want("m", 3);
             }
-            if (random.nextDouble() < day.trouble()) {
-                members.get(random.nextInt(members.size())).trouble();
+            if (random.nextDouble() < scenario.failureRate()) {
+                simulatedAgents.get(random.nextInt(simulatedAgents.size())).injectFailure();
             }
             step();
             steps++;
         }
-        return (double) served / ((long) steps * members.size());
+        return (double) servedSteps / ((long) steps * simulatedAgents.size());
     }
 
     private void step() {
-        originCredit = Math.min(4, originCredit + STEP_MILLIS * 2 / day.chunkMillis());
-        for (Member member : members) {
-            member.down = credit(member.down);
-            member.up = credit(member.up);
-            if (!member.stands()) {
-                member.fetched = member.held() >= member.newest() ? 0 : policy.version(member);
+        originCredit = Math.min(4, originCredit + STEP_MILLIS * 2 / scenario.chunkMillis());
+        for (SimulatedAgent agent : simulatedAgents) {
+            agent.downlinkCredit = credit(agent.downlinkCredit);
+            agent.uplinkCredit = credit(agent.uplinkCredit);
+            if (!agent.isPaused()) {
+                agent.fetchedVersion = agent.held() >= agent.newest() ? 0 : policy.version(agent);
             }
         }
-        int first = random.nextInt(members.size());
+        int first = random.nextInt(simulatedAgents.size());
         for (int round = 0; round < STEP_MILLIS / 5; round++) {
             boolean moved = false;
-            for (int i = 0; i < members.size(); i++) {
-                moved |= fetchOne(members.get((first + i) % members.size()));
+            for (int i = 0; i < simulatedAgents.size(); i++) {
+                moved |= fetchChunk(simulatedAgents.get((first + i) % simulatedAgents.size()));
             }
             if (!moved) {
                 break;
             }
         }
-        for (Member member : members) {
-            if (!member.stands()) {
-                member.step();
+        for (SimulatedAgent agent : simulatedAgents) {
+            if (!agent.isPaused()) {
+                agent.step();
             }
-            served += member.serves() ? 1 : 0;
+            servedSteps += agent.serves() ? 1 : 0;
         }
     }
 
     private double credit(double before) {
-        double more = STEP_MILLIS / day.chunkMillis();
+        double more = STEP_MILLIS / scenario.chunkMillis();
         return Math.min(Math.max(1, more), before + more);
     }
 
-    private boolean originAnswers() {
-        long since = now.get() - secondNamed;
-        return since < day.awayFromMillis() || since >= day.awayFromMillis() + day.awayMillis();
+    private boolean isOriginAvailable() {
+        long since = now.get() - secondNamedMillis;
+        return since < scenario.outageStartMillis() || since >= scenario.outageStartMillis() + scenario.outageMillis();
     }
 
-    private boolean fetchOne(Member member) {
-        if (member.fetched < 2 || member.stands() || member.down < 1) {
+    private boolean fetchChunk(SimulatedAgent agent) {
+        if (agent.fetchedVersion < 2 || agent.isPaused() || agent.downlinkCredit < 1) {
             return false;
         }
-        ChunkSet set = member.set(member.fetched);
+        ChunkSet set = agent.set(agent.fetchedVersion);
         BitSet missing = new BitSet();
         IntStream.range(0, CHUNKS).filter(i -> set.chunk(i).isEmpty()).forEach(missing::set);
         if (missing.isEmpty()) {
             return false;
         }
-        return fromPeer(member, set, missing) || fromOrigin(member, missing);
+        return fetchFromPeer(agent, set, missing) || fetchFromOrigin(agent, missing);
     }
 
-    private boolean fromPeer(Member member, ChunkSet set, BitSet missing) {
-        for (int i = 0; i < PEERS_ASKED; i++) {
-            Member peer = members.get(random.nextInt(members.size()));
-            Optional<ChunkSet> theirs = peer.fetches.chunkSet("m", set.version());
-            if (peer == member || peer.up < 1 || peer.stands() || theirs.isEmpty()) {
+    private boolean fetchFromPeer(SimulatedAgent agent, ChunkSet set, BitSet missing) {
+        for (int i = 0; i < PEERS_PER_CHUNK; i++) {
+            SimulatedAgent peer = simulatedAgents.get(random.nextInt(simulatedAgents.size()));
+            Optional<ChunkSet> peerSet = peer.fetches.chunkSet("m", set.version());
+            if (peer == agent || peer.uplinkCredit < 1 || peer.isPaused() || peerSet.isEmpty()) {
                 continue;
             }
-            int index = oneOf(theirs.get(), missing);
+            int index = findChunk(peerSet.get(), missing);
             if (index >= 0) {
-                peer.up--;
-                member.down--;
-                member.take(set.version(), index);
+                peer.uplinkCredit--;
+                agent.downlinkCredit--;
+                agent.addChunk(set.version(), index);
                 return true;
             }
         }
         return false;
     }
 
-    private int oneOf(ChunkSet theirs, BitSet missing) {
+    private int findChunk(ChunkSet peerSet, BitSet missing) {
         int start = random.nextInt(CHUNKS);
         return IntStream.range(0, CHUNKS)
                 .map(i -> (start + i) % CHUNKS)
-                .filter(i -> missing.get(i) && theirs.chunk(i).isPresent())
+                .filter(i -> missing.get(i) && peerSet.chunk(i).isPresent())
                 .findFirst()
                 .orElse(-1);
     }
 
     /** Takes a chunk from the origin that it has not served yet, or that no agent has any more. */
-    private boolean fromOrigin(Member member, BitSet missing) {
-        if (!originAnswers() || originCredit < 1) {
+    private boolean fetchFromOrigin(SimulatedAgent agent, BitSet missing) {
+        if (!isOriginAvailable() || originCredit < 1) {
             return false;
         }
-        BitSet gone = left.get(member.fetched);
+        BitSet alreadyServed = servedByOrigin.get(agent.fetchedVersion);
         for (int i = missing.nextSetBit(0); i >= 0; i = missing.nextSetBit(i + 1)) {
             int index = i;
-            if (!gone.get(i) || day.trouble() > 0 && nobodyHas(member.fetched, index)) {
-                gone.set(i);
+            if (!alreadyServed.get(i) || scenario.failureRate() > 0 && noAgentHas(agent.fetchedVersion, index)) {
+                alreadyServed.set(i);
                 originCredit--;
-                member.down--;
-                chunksOfOrigin++;
-                member.take(member.fetched, i);
+                agent.downlinkCredit--;
+                originChunks++;
+                agent.addChunk(agent.fetchedVersion, i);
                 return true;
             }
         }
         return false;
     }
 
-    private boolean nobodyHas(long version, int index) {
-        return members.stream()
-                .filter(one -> !one.stands())
-                .noneMatch(one -> one.fetches
+    private boolean noAgentHas(long version, int index) {
+        return simulatedAgents.stream()
+                .filter(other -> !other.isPaused())
+                .noneMatch(other -> other.fetches
                         .chunkSet("m", version)
                         .flatMap(set -> set.chunk(index))
                         .isPresent());
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -27,27 +27,27 @@
 @Timeout(60)
 class OverlappingFetchTest {
 
-    private static final long BOUND = 8_000;
+    private static final long MAX_STALENESS_MILLIS = 8_000;
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
-    private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
+    private static final Agent SAME_REGION = new Agent("10.0.0.2:7000", "region-a");
 
     /** How far the clock advances with each request that returns no chunk. */
-    private static final long QUESTION_MILLIS = 100;
+    private static final long REQUEST_MILLIS = 100;
 
-    private static final long LOOK_MILLIS = 50;
+    private static final long STEP_MILLIS = 50;
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final FakeOrigin origin = new FakeOrigin(now);
     private final Peer peer = new Peer();
-    private final ViewKeeper views = new ViewKeeper(new OverlapSimulation.NoRecords(), now::get);
+    private final ViewKeeper views = new ViewKeeper(new OverlapSimulation.EmptyDecoder(), now::get);
     private final VersionDeadlines deadlines =
-            new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, BOUND, now::get);
+            new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, MAX_STALENESS_MILLIS, now::get);
     private final VersionFetches fetches = new VersionFetches(
             new ChunkFetcher(new ChunkFetcher.Parts(
                     peer,
                     origin,
                     () -> Optional.of("origin:80"),
-                    ChunkSources.following(SELF, () -> List.of(SELF, NEAR)),
+                    ChunkSources.following(SELF, () -> List.of(SELF, SAME_REGION)),
                     bytes -> {},
                     now::get)),
             deadlines,
@@ -62,11 +62,11 @@
         /** The time for a chunk on the link. */
         private long chunkMillis = 40;
 
-        private LongConsumer onAsked = version -> {};
-        private LongConsumer onGiven = version -> {};
-        private final Map<Long, Integer> holds = new ConcurrentHashMap<>();
-        private final Map<Long, Long> everyMillis = new ConcurrentHashMap<>();
-        private final Map<Long, Long> gaveMillis = new ConcurrentHashMap<>();
+        private LongConsumer onRequest = version -> {};
+        private LongConsumer onServed = version -> {};
+        private final Map<Long, Integer> heldChunks = new ConcurrentHashMap<>();
+        private final Map<Long, Long> intervalMillis = new ConcurrentHashMap<>();
+        private final Map<Long, Long> lastServedMillis = new ConcurrentHashMap<>();
 
         @Override
         public Result<List<String>> digests(String agent, String model, long version) {
@@ -75,22 +75,22 @@
 
         @Override
         public synchronized Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            onAsked.accept(version);
+            onRequest.accept(version);
             int index = wanted.nextSetBit(0);
-            boolean early = now.get() - gaveMillis.getOrDefault(version, Long.MIN_VALUE / 2)
-                    < everyMillis.getOrDefault(version, 0L);
-            if (index < 0 || index >= holds.getOrDefault(version, 0) || early) {
-                now.addAndGet(QUESTION_MILLIS);
+            boolean tooEarly = now.get() - lastServedMillis.getOrDefault(version, Long.MIN_VALUE / 2)
+                    < intervalMillis.getOrDefault(version, 0L);
+            if (index < 0 || index >= heldChunks.getOrDefault(version, 0) || tooEarly) {
+                now.addAndGet(REQUEST_MILLIS);
                 return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_READY, "still fetching"));
             }
-            gaveMillis.put(version, now.get());
+            lastServedMillis.put(version, now.get());
             now.addAndGet(chunkMillis);
-            onGiven.accept(version);
+            onServed.accept(version);
             return Result.success(new Numbered(index, FakeOrigin.chunk(version, index)));
         }
     }
 
-    private int present(long version) {
+    private int presentCount(long version) {
         return fetches.chunkSet("m", version).map(ChunkSet::presentCount).orElse(-1);
     }
 
@@ -102,123 +102,123 @@
     }
 
     @BeforeEach
-    void nameTwoVersionsAndTakeOriginAway() {
+    void nameTwoVersionsAndStopOrigin() {
         views.want("m", 2);
         putFirst(2, 3);
         now.addAndGet(2_000);
         views.want("m", 3);
-        origin.givesUpTo = 1;
-        peer.holds.put(2L, FakeOrigin.CHUNKS);
+        origin.maxServedVersion = 1;
+        peer.heldChunks.put(2L, FakeOrigin.CHUNKS);
     }
 
     @Test
-    void shouldTurnBackToOlderVersionWhenNewestBringsNoMoreThanLeftTheOrigin() throws Exception {
-        peer.holds.put(3L, 2);
+    void shouldSwitchToOlderVersionWhenNewestIsStalled() throws Exception {
+        peer.heldChunks.put(3L, 2);
         fetches.fetchNewerThan("m", 1);
-        assertEquals(FakeOrigin.CHUNKS, present(2), "all of it is with other agents");
-        assertTrue(present(3) > 0 && present(3) <= 2, "chunks of the newest: " + present(3));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(2), "other agents have all of it");
+        assertTrue(presentCount(3) > 0 && presentCount(3) <= 2, "chunks of the newest: " + presentCount(3));
     }
 
     @Test
-    void shouldTurnBackToOlderVersionWhenNewestComesTooSlowlyToServe() throws Exception {
-        peer.holds.put(3L, FakeOrigin.CHUNKS - 1);
-        peer.everyMillis.put(3L, 600L);
+    void shouldSwitchToOlderVersionWhenNewestArrivesTooSlowly() throws Exception {
+        peer.heldChunks.put(3L, FakeOrigin.CHUNKS - 1);
+        peer.intervalMillis.put(3L, 600L);
         fetches.fetchNewerThan("m", 1);
-        assertEquals(FakeOrigin.CHUNKS, present(2));
-        assertTrue(present(3) < FakeOrigin.CHUNKS - 1, "chunks of the newest: " + present(3));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(2));
+        assertTrue(presentCount(3) < FakeOrigin.CHUNKS - 1, "chunks of the newest: " + presentCount(3));
     }
 
     @Test
-    void shouldGoOnWithNewestOnceOlderVersionIsHere() throws Exception {
-        peer.holds.put(3L, 2);
+    void shouldContinueNewestOnceOlderVersionIsComplete() throws Exception {
+        peer.heldChunks.put(3L, 2);
         fetches.fetchNewerThan("m", 1);
-        peer.holds.put(3L, FakeOrigin.CHUNKS);
+        peer.heldChunks.put(3L, FakeOrigin.CHUNKS);
         fetches.fetchNewerThan("m", 1);
-        assertEquals(FakeOrigin.CHUNKS, present(3));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(3));
     }
 
     @Test
-    void shouldGoStraightToNewestWhenItComes() throws Exception {
-        peer.holds.put(3L, FakeOrigin.CHUNKS);
+    void shouldFetchNewestDirectlyWhenItArrives() throws Exception {
+        peer.heldChunks.put(3L, FakeOrigin.CHUNKS);
         fetches.fetchNewerThan("m", 1);
-        assertEquals(FakeOrigin.CHUNKS, present(3));
-        assertEquals(3, present(2));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(3));
+        assertEquals(3, presentCount(2));
     }
 
     @Test
-    void shouldTurnBackToVersionThatWasLeftForNewestWhenThatDoesNotCome() throws Exception {
+    void shouldReturnToAbandonedVersionWhenNewestIsStalled() throws Exception {
         views.want("m", 4);
-        now.addAndGet(BOUND - 500);
+        now.addAndGet(MAX_STALENESS_MILLIS - 500);
         peer.chunkMillis = 400;
-        peer.holds.put(4L, FakeOrigin.CHUNKS);
-        peer.holds.put(5L, 1);
-        AtomicInteger given = new AtomicInteger();
-        peer.onGiven = version -> {
-            if (version == 4 && given.incrementAndGet() == 3) {
+        peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
+        peer.heldChunks.put(5L, 1);
+        AtomicInteger servedChunks = new AtomicInteger();
+        peer.onServed = version -> {
+            if (version == 4 && servedChunks.incrementAndGet() == 3) {
                 views.want("m", 5);
             }
         };
         fetches.fetchNewerThan("m", 3);
-        assertTrue(present(4) < FakeOrigin.CHUNKS / 2 + 1, "left for version 5 with " + present(4));
+        assertTrue(presentCount(4) < FakeOrigin.CHUNKS / 2 + 1, "abandoned for version 5 with " + presentCount(4));
         fetches.fetchNewerThan("m", 3);
-        assertEquals(FakeOrigin.CHUNKS, present(4));
-        assertTrue(present(5) <= 1, "chunks of the newest: " + present(5));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(4));
+        assertTrue(presentCount(5) <= 1, "chunks of the newest: " + presentCount(5));
     }
 
     @Test
-    void shouldNotStayWithHalfTakenVersionThatComesNoMoreWhenNewerIsNamed() throws Exception {
+    void shouldAbandonStalledVersionWhenNewerIsNamed() throws Exception {
         putFirst(2, FakeOrigin.CHUNKS);
         putFirst(3, FakeOrigin.CHUNKS - 1);
-        peer.holds.put(4L, FakeOrigin.CHUNKS);
-        peer.onAsked = version -> {
+        peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
+        peer.onRequest = version -> {
             if (version == 3) {
                 views.want("m", 4);
             }
         };
         fetches.fetchNewerThan("m", 1);
         fetches.fetchNewerThan("m", 1);
-        assertEquals(FakeOrigin.CHUNKS, present(4));
+        assertEquals(FakeOrigin.CHUNKS, presentCount(4));
     }
 
     // -- without threads: chunks are added as if they had been fetched
 
     /** Adds chunks of a version at a fixed rate for two measuring windows. */
-    private FetchProgress comes(long version, long everyMillis) {
+    private FetchProgress addAtRate(long version, long intervalMillis) {
         FetchProgress progress = fetches.startProgress(fetches.chunkSet("m", version).orElseThrow());
-        long next = now.get() + everyMillis;
-        for (long end = now.get() + 1_200; now.get() < end; now.addAndGet(LOOK_MILLIS)) {
-            if (now.get() >= next) {
+        long nextMillis = now.get() + intervalMillis;
+        for (long endMillis = now.get() + 1_200; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
+            if (now.get() >= nextMillis) {
                 ChunkSet set = progress.set();
                 set.put(set.presentCount(), FakeOrigin.chunk(version, set.presentCount()));
-                next += everyMillis;
+                nextMillis += intervalMillis;
             }
             progress.idleMillis();
         }
         return progress;
     }
 
-    private void letTimePass(long millis) {
+    private void advanceAndStartThird(long millis) {
         now.addAndGet(millis);
         putFirst(3, 0);
     }
 
     @Test
-    void shouldStayWithOlderVersionThatComesSlowlyWhileNothingOfNewestComes() {
+    void shouldContinueSlowOlderVersionWhileNewestIsStalled() {
         // So late that at this rate version 2 is not complete before it must stop being served.
-        letTimePass(3_500);
-        fetches.overlapPolicy().onFetchEnded(comes(3, 2_000));
-        FetchProgress older = comes(2, 400);
+        advanceAndStartThird(3_500);
+        fetches.overlapPolicy().onFetchEnded(addAtRate(3, 2_000));
+        FetchProgress older = addAtRate(2, 400);
         assertTrue(fetches.shouldContinueOlder("m", 1, 2).test(older));
     }
 
     @Test
-    void shouldStayWithNewestWhenItIsTheLinkThatIsSlow() {
+    void shouldContinueNewestWhenLinkIsSlow() {
         // At this rate version 2 cannot be complete in time, but it could at the typical rate.
-        letTimePass(1_500);
-        fetches.overlapPolicy().onFetchEnded(comes(3, 600));
-        FetchProgress older = comes(2, 600);
+        advanceAndStartThird(1_500);
+        fetches.overlapPolicy().onFetchEnded(addAtRate(3, 600));
+        FetchProgress older = addAtRate(2, 600);
         assertFalse(fetches.shouldContinueOlder("m", 1, 2).test(older));
         fetches.overlapPolicy().onFetchEnded(older);
-        assertTrue(fetches.shouldContinueNewest("m", 1, 3).test(comes(3, 600)));
+        assertTrue(fetches.shouldContinueNewest("m", 1, 3).test(addAtRate(3, 600)));
     }
 }
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -19,20 +19,20 @@
 /** A controller with its own endpoint, origin and clock, without other agents. */
 abstract class ReplicaControllerFixture {
 
-    static final long BOUND = 8_000;
+    static final long MAX_STALENESS_MILLIS = 8_000;
 
     final AtomicLong now = new AtomicLong(1_000_000);
     final FakeEndpoint endpoint = new FakeEndpoint();
     final FakeOrigin origin = new FakeOrigin(now);
-    final ViewKeeper views = new ViewKeeper(new EndpointsOnly(), now::get);
-    volatile int pacedBytes;
-    int toldClosing;
+    final ViewKeeper views = new ViewKeeper(new EndpointDecoder(), now::get);
+    volatile int throttledBytes;
+    int cordonNotifications;
     volatile ReplicaKeeper.Place place = new ReplicaKeeper.Place(0, 3);
-    final ReplicaKeeper keeper = newKeeper();
-    private final List<Thread> fetching = new ArrayList<>();
+    final ReplicaKeeper controller = newController();
+    private final List<Thread> fetchThreads = new ArrayList<>();
 
     /** Creates a controller without any state of a previous one. */
-    final ReplicaKeeper newKeeper() {
+    final ReplicaKeeper newController() {
         return new ReplicaKeeper(new ReplicaKeeper.Parts(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
@@ -42,17 +42,17 @@
                         origin,
                         () -> Optional.of("origin:80"),
                         ChunkSources.following(new Agent("a", "r"), List::of),
-                        bytes -> pacedBytes += bytes,
+                        bytes -> throttledBytes += bytes,
                         now::get)),
                 views::view,
                 () -> place,
-                () -> toldClosing++,
-                BOUND,
+                () -> cordonNotifications++,
+                MAX_STALENESS_MILLIS,
                 now::get));
     }
 
     /** Decodes the offset of a record as the version that an endpoint holds, and its value as the number of layers. */
-    static final class EndpointsOnly implements RecordDecoder {
+    static final class EndpointDecoder implements RecordDecoder {
 
         @Override
         public boolean isManifest(String key) {
@@ -85,7 +85,7 @@
     }
 
     /** Adds a store entry of another endpoint that holds layers of a version. */
-    void anotherHolds(long version, int layers) {
+    void addOtherEndpoint(long version, int layers) {
         views.apply(
                 Topic.ENDPOINTS,
                 List.of(new StoredRecord("i-other", version, new byte[] {(byte) layers})),
@@ -93,14 +93,14 @@
     }
 
     /** Steps twice, with the cordon's lead time in between. */
-    void stepTwice() {
-        keeper.step();
+    void stepThroughCordon() {
+        controller.step();
         now.addAndGet(Cordon.LEAD_MILLIS);
-        keeper.step();
+        controller.step();
     }
 
     /** Fetches a version on a separate thread. Returns once the given number of chunks is present. */
-    Thread fetchBeside(long version, int chunks) {
+    Thread fetchInBackground(long version, int chunks) {
         Thread thread = new Thread(() -> {
             try {
                 fetch();
@@ -108,7 +108,7 @@
                 Thread.currentThread().interrupt();
             }
         });
-        fetching.add(thread);
+        fetchThreads.add(thread);
         thread.start();
         awaitPresent(version, chunks);
         return thread;
@@ -116,17 +116,17 @@
 
     @AfterEach
     void stopFetching() {
-        fetching.forEach(Thread::interrupt);
+        fetchThreads.forEach(Thread::interrupt);
     }
 
     void awaitPresent(long version, int chunks) {
-        while (keeper.set("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
+        while (controller.set("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
             Thread.onSpinWait();
         }
     }
 
     void fetch() throws InterruptedException {
-        keeper.refresh();
-        keeper.fetch();
+        controller.refresh();
+        controller.fetch();
     }
 }
--- a/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
@@ -11,239 +11,239 @@
 class ReplicaKeeperTest extends ReplicaControllerFixture {
 
     @Test
-    void shouldBeSettledOnlyWhileEndpointServesNewestVersion() {
-        assertFalse(keeper.settled(), "nothing is known of the endpoint");
-        keeper.refresh();
-        assertFalse(keeper.settled(), "it holds nothing");
+    void shouldBeUpToDateOnlyWhileEndpointServesNewestVersion() {
+        assertFalse(controller.settled(), "no report yet");
+        controller.refresh();
+        assertFalse(controller.settled(), "the endpoint holds nothing");
         endpoint.held = 1;
-        keeper.refresh();
-        assertTrue(keeper.settled());
+        controller.refresh();
+        assertTrue(controller.settled());
         views.want("m", 2);
-        assertFalse(keeper.settled(), "a newer version is named");
+        assertFalse(controller.settled(), "a newer version is named");
     }
 
     @Test
-    void shouldStartEmptyEndpointAtOnceWithFirstVersion() throws Exception {
+    void shouldLoadFirstVersionImmediatelyWhenEndpointIsEmpty() throws Exception {
         fetch();
-        keeper.step();
+        controller.step();
         assertEquals(List.of("start 1"), endpoint.orders);
     }
 
     @Test
-    void shouldGoOnWithVersionBeforeWhenNobodyKnowsNewest() throws Exception {
+    void shouldFetchPreviousVersionWhenNoSourceKnowsNewest() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         views.want("m", 3);
-        origin.knowsUpTo = 2;
+        origin.maxKnownVersion = 2;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+                FakeOrigin.CHUNKS, controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
     }
 
     @Test
-    void shouldGoOnWithVersionBeforeWhenChunksOfNewestComeNoMore() throws Exception {
+    void shouldFetchPreviousVersionWhenNewestIsStalled() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         views.want("m", 3);
-        origin.givesUpTo = 2;
+        origin.maxServedVersion = 2;
         fetch();
-        assertEquals(0, keeper.set("m", 3).map(ChunkSet::presentCount).orElse(-1));
+        assertEquals(0, controller.set("m", 3).map(ChunkSet::presentCount).orElse(-1));
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 2).map(ChunkSet::presentCount).orElse(0));
-        origin.givesUpTo = 3;
+                FakeOrigin.CHUNKS, controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+        origin.maxServedVersion = 3;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 3).map(ChunkSet::presentCount).orElse(0), "then the newest again");
+                FakeOrigin.CHUNKS, controller.set("m", 3).map(ChunkSet::presentCount).orElse(0), "the newest is fetched again");
     }
 
     /** Version 2 is complete, and six of eight chunks of version 3 are present one second after its fetch started. */
-    private Thread fetchMostOfThird() throws InterruptedException {
+    private Thread fetchMostOfThirdVersion() throws InterruptedException {
         endpoint.held = 1;
         views.want("m", 2);
         fetch();
-        now.addAndGet(BOUND / 2);
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
         views.want("m", 3);
-        origin.gives = FakeOrigin.CHUNKS - 2;
-        Thread fetching = fetchBeside(3, FakeOrigin.CHUNKS - 2);
+        origin.servedEnd = FakeOrigin.CHUNKS - 2;
+        Thread fetching = fetchInBackground(3, FakeOrigin.CHUNKS - 2);
         now.addAndGet(1_000);
         return fetching;
     }
 
     @Test
-    void shouldGoPastVersionWhenNewerOneIsExpectedSoon() throws Exception {
+    void shouldSkipVersionWhenNewerOneIsExpectedSoon() throws Exception {
         place = new ReplicaKeeper.Place(2, 3);
-        Thread fetching = fetchMostOfThird();
+        Thread fetching = fetchMostOfThirdVersion();
         now.addAndGet(1_600);
-        stepTwice();
-        assertEquals(List.of("start 3 layer 0"), endpoint.orders, "it stops serving, and does not take up version 2");
-        origin.gives = FakeOrigin.CHUNKS;
+        stepThroughCordon();
+        assertEquals(List.of("start 3 layer 0"), endpoint.orders, "it stops serving and does not load version 2");
+        origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
-        keeper.refresh();
-        keeper.step();
+        controller.refresh();
+        controller.step();
         assertEquals(List.of("start 3 layer 0", "start 3"), endpoint.orders);
     }
 
     @Test
-    void shouldTakeVersionWhenNewerOneComesNoMore() throws Exception {
+    void shouldLoadVersionWhenNewerOneIsStalled() throws Exception {
         place = new ReplicaKeeper.Place(2, 3);
-        Thread fetching = fetchMostOfThird();
+        Thread fetching = fetchMostOfThirdVersion();
         now.addAndGet(1_600);
-        stepTwice();
+        stepThroughCordon();
         now.addAndGet(3_000);
-        keeper.refresh();
-        keeper.step();
+        controller.refresh();
+        controller.step();
         assertEquals(List.of("start 3 layer 0", "start 2"), endpoint.orders);
-        origin.gives = FakeOrigin.CHUNKS;
+        origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
     }
 
     @Test
-    void shouldTakeEveryVersionWhenItIsAmongTheFirstOfItsRegion() throws Exception {
-        Thread fetching = fetchMostOfThird();
-        stepTwice();
+    void shouldLoadEveryVersionWhenAgentIsAmongFirstOfItsRegion() throws Exception {
+        Thread fetching = fetchMostOfThirdVersion();
+        stepThroughCordon();
         assertEquals(List.of("start 2"), endpoint.orders);
-        origin.gives = FakeOrigin.CHUNKS;
+        origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
     }
 
     @Test
-    void shouldFetchNothingButNewestWhenTheOneBeforeMayAnswerNoMore() throws Exception {
+    void shouldFetchOnlyNewestWhenPreviousVersionHasExpired() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         views.want("m", 3);
-        now.addAndGet(BOUND + 1);
-        origin.knowsUpTo = 2;
+        now.addAndGet(MAX_STALENESS_MILLIS + 1);
+        origin.maxKnownVersion = 2;
         fetch();
-        assertTrue(keeper.set("m", 2).isEmpty());
+        assertTrue(controller.set("m", 2).isEmpty());
     }
 
     @Test
-    void shouldNotHoldBackChunksOfOrigin() throws Exception {
+    void shouldNotThrottleChunksOfOrigin() throws Exception {
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, keeper.set("m", 1).map(ChunkSet::presentCount).orElse(0));
-        assertEquals(0, pacedBytes);
+                FakeOrigin.CHUNKS, controller.set("m", 1).map(ChunkSet::presentCount).orElse(0));
+        assertEquals(0, throttledBytes);
     }
 
     @Test
-    void shouldWaitForItsTurnWhenEndpointServesOlderVersion() throws Exception {
+    void shouldWaitForScheduledTimeWhenEndpointServesOlderVersion() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         fetch();
-        keeper.step();
+        controller.step();
         assertEquals(List.of(), endpoint.orders);
-        now.addAndGet(BOUND / 2);
-        stepTwice();
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        stepThroughCordon();
         assertEquals(List.of("start 2"), endpoint.orders);
     }
 
     @Test
-    void shouldKeepNewRequestsAwayBeforeOrder() throws Exception {
+    void shouldCloseCordonBeforeOrder() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         fetch();
-        now.addAndGet(BOUND / 2);
-        keeper.step();
-        assertTrue(keeper.closing());
-        assertEquals(1, toldClosing);
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        controller.step();
+        assertTrue(controller.closing());
+        assertEquals(1, cordonNotifications);
         now.addAndGet(Cordon.LEAD_MILLIS - 1);
-        keeper.step();
-        assertEquals(List.of(), endpoint.orders, "an entry may not have heard yet");
+        controller.step();
+        assertEquals(List.of(), endpoint.orders, "an entry may not have been notified yet");
         now.addAndGet(1);
-        keeper.step();
+        controller.step();
         assertEquals(List.of("start 2"), endpoint.orders);
-        assertEquals(1, toldClosing);
-        keeper.step();
-        assertFalse(keeper.closing(), "the endpoint holds the version");
+        assertEquals(1, cordonNotifications);
+        controller.step();
+        assertFalse(controller.closing(), "the endpoint holds the version");
     }
 
     @Test
-    void shouldKeepNewRequestsAwayWhileLastChunksCome() throws Exception {
+    void shouldCloseCordonWhileLastChunksArrive() throws Exception {
         endpoint.held = 1;
-        origin.gives = FakeOrigin.CHUNKS - 2;
+        origin.servedEnd = FakeOrigin.CHUNKS - 2;
         views.want("m", 2);
-        Thread fetching = fetchBeside(2, FakeOrigin.CHUNKS - 2);
-        keeper.step();
-        now.addAndGet(BOUND / 2);
-        keeper.step();
-        assertFalse(keeper.closing(), "two of eight chunks at this pace take longer than the cordon");
-        origin.gives = FakeOrigin.CHUNKS - 1;
+        Thread fetching = fetchInBackground(2, FakeOrigin.CHUNKS - 2);
+        controller.step();
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        controller.step();
+        assertFalse(controller.closing(), "two of eight chunks take longer than the cordon at this rate");
+        origin.servedEnd = FakeOrigin.CHUNKS - 1;
         awaitPresent(2, FakeOrigin.CHUNKS - 1);
-        now.addAndGet(-BOUND / 2 + 3_400);
-        keeper.step();
-        assertTrue(keeper.closing());
+        now.addAndGet(-MAX_STALENESS_MILLIS / 2 + 3_400);
+        controller.step();
+        assertTrue(controller.closing());
         now.addAndGet(Cordon.LEAD_MILLIS);
-        keeper.step();
+        controller.step();
         assertEquals(List.of(), endpoint.orders, "a chunk is missing");
-        origin.gives = FakeOrigin.CHUNKS;
+        origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
-        keeper.step();
+        controller.step();
         assertEquals(List.of("start 2"), endpoint.orders);
     }
 
     @Test
-    void shouldNotKeepRequestsAwayEarlyWhenManyChunksAreLaidInAnInstant() throws Exception {
+    void shouldNotCloseCordonEarlyWhenManyChunksAreStagedAtOnce() throws Exception {
         endpoint.held = 1;
-        origin.gives = FakeOrigin.CHUNKS - 2;
+        origin.servedEnd = FakeOrigin.CHUNKS - 2;
         views.want("m", 2);
-        Thread fetching = fetchBeside(2, FakeOrigin.CHUNKS - 2);
-        now.addAndGet(BOUND / 2);
-        keeper.step();
+        Thread fetching = fetchInBackground(2, FakeOrigin.CHUNKS - 2);
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        controller.step();
         assertFalse(
-                keeper.closing(), "six chunks took four seconds to come, so that two more take longer than the cordon");
-        origin.gives = FakeOrigin.CHUNKS;
+                controller.closing(), "six chunks took four seconds to arrive, so two more take longer than the cordon");
+        origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
     }
 
     @Test
-    void shouldTakeRequestsAgainWhenVersionIsOvertakenBeforeOrder() throws Exception {
+    void shouldLiftCordonWhenEndpointHoldsVersionBeforeOrder() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         fetch();
-        now.addAndGet(BOUND / 2);
-        keeper.step();
-        assertTrue(keeper.closing());
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        controller.step();
+        assertTrue(controller.closing());
         endpoint.held = 2;
-        keeper.refresh();
-        keeper.step();
-        assertFalse(keeper.closing());
+        controller.refresh();
+        controller.step();
+        assertFalse(controller.closing());
         assertEquals(List.of(), endpoint.orders);
     }
 
     @Test
-    void shouldMendChunkThatTurnedBadBeforeOrdering() throws Exception {
+    void shouldRepairCorruptedChunkBeforeOrder() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         fetch();
-        keeper.step();
+        controller.step();
         endpoint.staged.put(3, new byte[] {0});
-        now.addAndGet(BOUND / 2);
-        stepTwice();
-        assertEquals(List.of(), endpoint.orders, "the pass that mends does not order");
-        keeper.step();
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        stepThroughCordon();
+        assertEquals(List.of(), endpoint.orders, "the pass that repairs does not order");
+        controller.step();
         assertEquals(List.of("start 2"), endpoint.orders);
         assertEquals(FakeOrigin.chunk(2, 3)[1], endpoint.staged.get(3)[1]);
     }
 
     @Test
-    void shouldNotTakeChunkWithWrongDigest() throws Exception {
-        origin.spoilFirst = 3;
+    void shouldRejectChunkWithWrongDigest() throws Exception {
+        origin.corruptFirst = 3;
         fetch();
-        keeper.step();
-        assertEquals(FakeOrigin.CHUNKS + 3, origin.given);
+        controller.step();
+        assertEquals(FakeOrigin.CHUNKS + 3, origin.servedCount);
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             assertEquals(i, endpoint.staged.get(i)[1]);
         }
     }
 
     @Test
-    void shouldGoToNewestVersionWhenTwoWereNamed() throws Exception {
+    void shouldLoadNewestVersionWhenTwoWereNamed() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         views.want("m", 3);
         fetch();
-        now.addAndGet(BOUND / 2);
-        stepTwice();
+        now.addAndGet(MAX_STALENESS_MILLIS / 2);
+        stepThroughCordon();
         assertEquals(List.of("start 3"), endpoint.orders);
     }
 
@@ -251,28 +251,28 @@
     void shouldOrderNothingWhileEndpointIsBusy() throws Exception {
         endpoint.busy = true;
         fetch();
-        keeper.step();
+        controller.step();
         assertEquals(List.of(), endpoint.orders);
     }
 
     @Test
-    void shouldStopServingOlderVersionWhenNewerOneIsNotWholeInTime() throws Exception {
+    void shouldStopServingOlderVersionWhenNewerOneIsNotCompleteInTime() throws Exception {
         endpoint.held = 1;
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
         }
-        keeper.refresh();
-        keeper.readBack();
-        origin.gives = 5;
-        origin.givesFrom = 1;
+        controller.refresh();
+        controller.readBack();
+        origin.servedEnd = 5;
+        origin.servedStart = 1;
         views.want("m", 2);
-        Thread fetching = fetchBeside(2, 4);
-        keeper.refresh();
-        keeper.step();
+        Thread fetching = fetchInBackground(2, 4);
+        controller.refresh();
+        controller.step();
         assertEquals(List.of(), endpoint.orders);
-        now.addAndGet(BOUND);
-        stepTwice();
-        keeper.step();
+        now.addAndGet(MAX_STALENESS_MILLIS);
+        stepThroughCordon();
+        controller.step();
         fetching.interrupt();
         // Without chunk 0 the first complete layer is the second. The older version, complete here, is not loaded
         // again.
@@ -280,23 +280,23 @@
     }
 
     @Test
-    void shouldHandOutWhatEndpointHeldBeforeAgentStarted() throws Exception {
+    void shouldProvideChunksThatEndpointHeldBeforeAgentStarted() throws Exception {
         endpoint.held = 1;
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
         }
-        keeper.refresh();
-        keeper.readBack();
-        assertEquals(FakeOrigin.CHUNKS, keeper.set("m", 1).orElseThrow().presentCount());
-        assertEquals(0, origin.given);
+        controller.refresh();
+        controller.readBack();
+        assertEquals(FakeOrigin.CHUNKS, controller.set("m", 1).orElseThrow().presentCount());
+        assertEquals(0, origin.servedCount);
     }
 
     @Test
-    void shouldLeaveLinkToRequestsOnlyWhenEndpointGetsSome() {
-        keeper.refresh();
-        assertFalse(keeper.serves(), "it holds nothing, so the link is free for weights");
+    void shouldReserveLinkForRequestsOnlyWhenEndpointMayGetSome() {
+        controller.refresh();
+        assertFalse(controller.serves(), "the endpoint holds nothing, so the link is free for weights");
         endpoint.held = 1;
-        keeper.refresh();
-        assertTrue(keeper.serves());
+        controller.refresh();
+        assertTrue(controller.serves());
     }
 }
--- a/src/test/java/org/micabarrow/weights/RetirementSeedsTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
@@ -17,13 +17,13 @@
 class RetirementSimulationTest extends ReplicaControllerFixture {
 
     private static final int SEEDS = 300;
-    private static final long LOOK_MILLIS = 50;
-    private static final long PLAY_MILLIS = 16_000;
-    private static final long HEALED_MILLIS = BOUND + 1_000;
-    private static final double TROUBLE = 0.02;
+    private static final long STEP_MILLIS = 50;
+    private static final long FAILING_MILLIS = 16_000;
+    private static final long RECOVERY_MILLIS = MAX_STALENESS_MILLIS + 1_000;
+    private static final double FAILURE_RATE = 0.02;
     private static final List<Double> CHUNK_RATES = List.of(0.0, 0.01, 0.04, 0.2);
 
-    private ReplicaKeeper agent = keeper;
+    private ReplicaKeeper currentController = controller;
     private long secondNamedMillis;
     private long thirdNamedMillis;
 
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void shouldServeNothingOldNorWrongWhateverComes(long seed) {
+    void shouldServeNoOldOrUnverifiedVersionInRandomScenarios(long seed) {
         Random random = new Random(seed);
         double chunkRate = CHUNK_RATES.get(random.nextInt(CHUNK_RATES.size()));
         place = new ReplicaKeeper.Place(random.nextInt(3), 3);
@@ -42,57 +42,57 @@
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
         }
         secondNamedMillis = now.get();
-        thirdNamedMillis = now.get() + random.nextInt((int) PLAY_MILLIS);
+        thirdNamedMillis = now.get() + random.nextInt((int) FAILING_MILLIS);
         views.want("m", 2);
-        for (long until = now.get() + PLAY_MILLIS; now.get() < until; now.addAndGet(LOOK_MILLIS)) {
+        for (long endMillis = now.get() + FAILING_MILLIS; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
             if (now.get() >= thirdNamedMillis) {
                 views.want("m", 3);
             }
-            trouble(random);
+            injectFailure(random);
             LongStream.of(2, 3)
                     .filter(version -> random.nextDouble() < chunkRate)
-                    .forEach(v -> chunkComes(v, random));
-            look();
+                    .forEach(version -> addChunk(version, random));
+            stepAndCheck();
         }
         views.want("m", 3);
-        for (long until = now.get() + HEALED_MILLIS; now.get() < until; now.addAndGet(LOOK_MILLIS)) {
-            chunkComes(3, random);
-            look();
+        for (long endMillis = now.get() + RECOVERY_MILLIS; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
+            addChunk(3, random);
+            stepAndCheck();
         }
         assertEquals(3, endpoint.held, () -> "orders " + endpoint.orders);
     }
 
-    private void look() {
-        agent.refresh();
-        agent.step();
-        assertFalse(endpoint.servesWrongLayer(), () -> "a layer that was not whole serves: " + endpoint.orders);
-        assertTrue(endpoint.held != 1 || now.get() - secondNamedMillis <= BOUND, () -> "too late: " + endpoint.orders);
-        assertTrue(endpoint.held != 2 || now.get() - thirdNamedMillis <= BOUND, () -> "too late: " + endpoint.orders);
+    private void stepAndCheck() {
+        currentController.refresh();
+        currentController.step();
+        assertFalse(endpoint.servesUnverifiedLayer(), () -> "an unverified layer is served: " + endpoint.orders);
+        assertTrue(endpoint.held != 1 || now.get() - secondNamedMillis <= MAX_STALENESS_MILLIS, () -> "too late: " + endpoint.orders);
+        assertTrue(endpoint.held != 2 || now.get() - thirdNamedMillis <= MAX_STALENESS_MILLIS, () -> "too late: " + endpoint.orders);
     }
 
     /**
      * A refused order, a lost answer, a staged chunk that becomes corrupted, or a restart of the endpoint or of the
      * agent.
      */
-    private void trouble(Random random) {
-        if (random.nextDouble() >= TROUBLE) {
+    private void injectFailure(Random random) {
+        if (random.nextDouble() >= FAILURE_RATE) {
             return;
         }
         switch (random.nextInt(5)) {
-            case 0 -> endpoint.refuses = 1 + random.nextInt(2);
-            case 1 -> endpoint.losesAnswers = 1 + random.nextInt(2);
+            case 0 -> endpoint.refusals = 1 + random.nextInt(2);
+            case 1 -> endpoint.lostAnswers = 1 + random.nextInt(2);
             case 2 -> endpoint.staged.put(random.nextInt(FakeOrigin.CHUNKS), new byte[] {0});
-            case 3 -> endpoint.startAgain(random.nextBoolean());
-            default -> agent = newKeeper();
+            case 3 -> endpoint.restart(random.nextBoolean());
+            default -> currentController = newController();
         }
     }
 
     /** Adds a random missing chunk. The first chunk creates the version's set. */
-    private void chunkComes(long version, Random random) {
-        if (agent.set("m", version).isEmpty()) {
-            begin(version);
+    private void addChunk(long version, Random random) {
+        if (currentController.set("m", version).isEmpty()) {
+            createSet(version);
         }
-        ChunkSet set = agent.set("m", version).orElseThrow();
+        ChunkSet set = currentController.set("m", version).orElseThrow();
         random.ints(FakeOrigin.CHUNKS, 0, FakeOrigin.CHUNKS)
                 .filter(index -> set.chunk(index).isEmpty())
                 .findFirst()
@@ -100,11 +100,11 @@
     }
 
     /** Adds a version without a thread that fetches it: reading back adds the version that the endpoint reports. */
-    private void begin(long version) {
+    private void createSet(long version) {
         long held = endpoint.held;
         endpoint.held = version;
-        agent.refresh();
-        agent.readBack();
+        currentController.refresh();
+        currentController.readBack();
         endpoint.held = held;
     }
 }
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -21,268 +21,268 @@
 class RetirementTest extends ReplicaControllerFixture {
 
     /** The time from the naming until the endpoint has stopped, if the agent checks every 50 ms. */
-    private static final long STOPPED_MILLIS = 7_000;
+    private static final long STOP_MILLIS = 7_000;
 
-    private static final long LOOK_MILLIS = 50;
+    private static final long STEP_MILLIS = 50;
 
     private void stepFor(long millis) {
-        for (long until = now.get() + millis; now.get() < until; now.addAndGet(LOOK_MILLIS)) {
-            keeper.refresh();
-            keeper.step();
+        for (long endMillis = now.get() + millis; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
+            controller.refresh();
+            controller.step();
         }
     }
 
-    private void holdsFirstVersion() {
+    private void holdFirstVersion() {
         endpoint.held = 1;
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
         }
-        keeper.refresh();
-        keeper.readBack();
+        controller.refresh();
+        controller.readBack();
     }
 
     /** The initial state of most cases: the endpoint holds version 1, and version 2 is named. */
-    private void secondIsNamedWhileFirstIsHeld() {
-        holdsFirstVersion();
+    private void nameSecondWhileFirstIsHeld() {
+        holdFirstVersion();
         views.want("m", 2);
     }
 
     /** All chunks of version 2 arrive except the last. */
-    private void lastChunkIsMissing() {
-        origin.gives = FakeOrigin.CHUNKS - 1;
-        fetchBeside(2, FakeOrigin.CHUNKS - 1);
+    private void fetchAllButLastChunk() {
+        origin.servedEnd = FakeOrigin.CHUNKS - 1;
+        fetchInBackground(2, FakeOrigin.CHUNKS - 1);
     }
 
     /** The cordon is closed, since the last chunk is expected soon. */
-    private void lastChunkIsExpectedSoon() {
-        lastChunkIsMissing();
+    private void expectLastChunkSoon() {
+        fetchAllButLastChunk();
         now.addAndGet(3_400);
-        keeper.step();
-        assertTrue(keeper.closing(), "the last chunk is expected soon");
+        controller.step();
+        assertTrue(controller.closing(), "the last chunk is expected soon");
     }
 
     /** All chunks of the named versions arrive, and the resulting steps are taken. */
-    private void allComes() throws InterruptedException {
+    private void fetchAll() throws InterruptedException {
         fetch();
         stepFor(1_000);
     }
 
-    // -- what has come over the network
+    // -- whatever has been fetched
 
     @Test
-    void shouldRetireTowardsAnyNewerVersionOfWhichLayerIsWhole() throws Exception {
+    void shouldRetireTowardsAnyNewerVersionWithCompleteLayer() throws Exception {
         endpoint.held = 1;
-        origin.gives = 2;
+        origin.servedEnd = 2;
         views.want("m", 2);
-        fetchBeside(2, 2);
+        fetchInBackground(2, 2);
         now.addAndGet(2_000);
-        origin.gives = 0;
+        origin.servedEnd = 0;
         views.want("m", 3);
-        fetchBeside(3, 0);
-        stepFor(STOPPED_MILLIS - 2_000);
+        fetchInBackground(3, 0);
+        stepFor(STOP_MILLIS - 2_000);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
 
     @Test
-    void shouldStopInTimeWhenNoChunkOfNewerVersionHasCome() throws Exception {
-        holdsFirstVersion();
-        origin.gives = 0;
+    void shouldStopInTimeWhenNoChunkOfNewerVersionHasArrived() throws Exception {
+        holdFirstVersion();
+        origin.servedEnd = 0;
         views.want("m", 2);
-        fetchBeside(2, 0);
-        stepFor(STOPPED_MILLIS);
+        fetchInBackground(2, 0);
+        stepFor(STOP_MILLIS);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
         assertEquals(0, endpoint.held);
     }
 
     @Test
-    void shouldStopInTimeWhenNobodyTellsDigestsOfNewerVersion() {
-        holdsFirstVersion();
-        origin.knowsUpTo = 1;
+    void shouldStopInTimeWhenNoSourceHasDigestsOfNewerVersion() {
+        holdFirstVersion();
+        origin.maxKnownVersion = 1;
         views.want("m", 2);
-        stepFor(STOPPED_MILLIS);
+        stepFor(STOP_MILLIS);
         assertEquals(0, endpoint.held);
-        stepFor(STOPPED_MILLIS);
-        assertEquals(List.of("start 2 layer 0"), endpoint.orders, "version 1, whole here, is not taken up again");
+        stepFor(STOP_MILLIS);
+        assertEquals(List.of("start 2 layer 0"), endpoint.orders, "version 1, complete here, is not loaded again");
     }
 
     @Test
-    void shouldTakeUpNothingThatMayAnswerNoMoreWhenNobodyTellsDigestsOfNewest() throws Exception {
+    void shouldNotLoadExpiredVersionWhenNoSourceHasDigestsOfNewest() throws Exception {
         endpoint.held = 1;
         views.want("m", 2);
         views.want("m", 3);
-        origin.knowsUpTo = 2;
+        origin.maxKnownVersion = 2;
         fetch();
         stepFor(2_000);
-        now.addAndGet(BOUND);
+        now.addAndGet(MAX_STALENESS_MILLIS);
         stepFor(1_000);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
 
     @Test
-    void shouldNotGoBackToOldVersionWhenRequestsWereKeptAwayForAnotherReason() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
-        lastChunkIsExpectedSoon();
+    void shouldNotReturnToOldVersionWhenCordonWasClosedForAnotherReason() throws Exception {
+        nameSecondWhileFirstIsHeld();
+        expectLastChunkSoon();
         stepFor(4_000);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
 
-    // -- layers that were not whole
+    // -- unverified layers
 
     @Test
-    void shouldServeNoLayerThatWasNotWhole() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
-        stepFor(STOPPED_MILLIS);
-        allComes();
+    void shouldNotServeUnverifiedLayer() throws Exception {
+        nameSecondWhileFirstIsHeld();
+        stepFor(STOP_MILLIS);
+        fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 1 layer 0", "start 2"), endpoint.orders);
-        assertFalse(endpoint.servesWrongLayer());
+        assertFalse(endpoint.servesUnverifiedLayer());
     }
 
     @Test
-    void shouldGoStraightToNewestVersionWhenLayerIsOfAnother() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
+    void shouldLoadNewestVersionDirectlyWhenUnverifiedLayerIsOfAnother() throws Exception {
+        nameSecondWhileFirstIsHeld();
         views.want("m", 3);
-        stepFor(STOPPED_MILLIS);
-        allComes();
+        stepFor(STOP_MILLIS);
+        fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 3"), endpoint.orders);
-        assertFalse(endpoint.servesWrongLayer());
+        assertFalse(endpoint.servesUnverifiedLayer());
     }
 
     @Test
-    void shouldNotTrustLayersThatWereTakenBeforeAgentStarted() throws Exception {
+    void shouldDiscardLayersLoadedBeforeAgentStarted() throws Exception {
         endpoint.startLayer("m", 2, 0, 0);
         views.want("m", 2);
-        allComes();
+        fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 1 layer 0", "start 2"), endpoint.orders);
-        assertFalse(endpoint.servesWrongLayer());
+        assertFalse(endpoint.servesUnverifiedLayer());
     }
 
     @Test
-    void shouldNotDistrustWholeLayerBecauseOfOrderToFormerStart() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
-        stepFor(STOPPED_MILLIS);
-        assertEquals(List.of("start 2 layer 0"), endpoint.orders, "of chunks that were not whole");
-        endpoint.startAgain(false);
+    void shouldKeepVerifiedLayerWhenUnverifiedOneWasOrderedBeforeRestart() throws Exception {
+        nameSecondWhileFirstIsHeld();
+        stepFor(STOP_MILLIS);
+        assertEquals(List.of("start 2 layer 0"), endpoint.orders, "an unverified layer");
+        endpoint.restart(false);
         endpoint.held = 1;
-        origin.gives = 2;
-        fetchBeside(2, 2);
+        origin.servedEnd = 2;
+        fetchInBackground(2, 2);
         stepFor(1_000);
-        origin.gives = FakeOrigin.CHUNKS;
-        allComes();
+        origin.servedEnd = FakeOrigin.CHUNKS;
+        fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 2"), endpoint.orders);
-        assertFalse(endpoint.servesWrongLayer());
+        assertFalse(endpoint.servesUnverifiedLayer());
     }
 
     @Test
-    void shouldOpenToEntriesWhenEndpointThatWasToBeOrderedStartsAgain() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
-        lastChunkIsExpectedSoon();
-        endpoint.startAgain(false);
-        origin.gives = 0;
-        keeper.refresh();
-        keeper.step();
-        assertFalse(keeper.closing());
+    void shouldLiftCordonWhenEndpointRestartsBeforeOrder() throws Exception {
+        nameSecondWhileFirstIsHeld();
+        expectLastChunkSoon();
+        endpoint.restart(false);
+        origin.servedEnd = 0;
+        controller.refresh();
+        controller.step();
+        assertFalse(controller.closing());
     }
 
-    // -- orders that go wrong
+    // -- failed orders
 
     @Test
-    void shouldTryAgainWhenOrderIsRefused() {
-        holdsFirstVersion();
-        endpoint.refuses = 2;
+    void shouldRetryWhenOrderIsRefused() {
+        holdFirstVersion();
+        endpoint.refusals = 2;
         views.want("m", 2);
-        stepFor(STOPPED_MILLIS);
+        stepFor(STOP_MILLIS);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
 
     @Test
-    void shouldSayOnceASecondThatItCannotStopEndpoint() {
-        secondIsNamedWhileFirstIsHeld();
-        stepFor(BOUND - 500);
-        assertEquals(0, keeper.secondsNotRetired());
+    void shouldCountOncePerSecondWhenEndpointCannotBeStopped() {
+        nameSecondWhileFirstIsHeld();
+        stepFor(MAX_STALENESS_MILLIS - 500);
+        assertEquals(0, controller.secondsNotRetired());
         endpoint.held = 1;
-        keeper.refresh();
-        keeper.step();
-        endpoint.silent = true;
+        controller.refresh();
+        controller.step();
+        endpoint.unresponsive = true;
         stepFor(2_500);
-        assertEquals(3, keeper.secondsNotRetired());
+        assertEquals(3, controller.secondsNotRetired());
     }
 
     @Test
-    void shouldServeNoWrongLayerWhenAnswersToOrdersAreLost() throws Exception {
-        holdsFirstVersion();
-        endpoint.losesAnswers = 2;
+    void shouldNotServeUnverifiedLayerWhenAnswersToOrdersAreLost() throws Exception {
+        holdFirstVersion();
+        endpoint.lostAnswers = 2;
         views.want("m", 2);
-        stepFor(STOPPED_MILLIS);
+        stepFor(STOP_MILLIS);
         assertEquals(0, endpoint.held);
-        allComes();
+        fetchAll();
         assertEquals(2, endpoint.held);
-        assertFalse(endpoint.servesWrongLayer());
+        assertFalse(endpoint.servesUnverifiedLayer());
     }
 
     @Test
     void shouldStopInTimeWhenChunksCannotBeReadBack() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
+        nameSecondWhileFirstIsHeld();
         fetch();
-        endpoint.readsBack = false;
+        endpoint.readable = false;
         place = new ReplicaKeeper.Place(2, 3);
-        stepFor(BOUND);
+        stepFor(MAX_STALENESS_MILLIS);
         assertEquals(0, endpoint.held);
     }
 
-    // -- what may hold the agent up
+    // -- delays
 
     @Test
-    void shouldAskNobodyElseWhileItSteps() {
+    void shouldMakeNoNetworkCallsWhileStepping() {
         endpoint.held = 1;
         stepFor(1_000);
-        assertEquals(0, origin.digestsAsked.get(), "a question over the network takes seconds if nobody answers");
+        assertEquals(0, origin.digestRequests.get(), "a network request may take seconds to fail");
     }
 
     @Test
-    void shouldStopInTimeWhenChunksAreLaidSlowly() throws Exception {
-        secondIsNamedWhileFirstIsHeld();
-        lastChunkIsMissing();
-        long named = now.get();
+    void shouldStopInTimeWhenStagingIsSlow() throws Exception {
+        nameSecondWhileFirstIsHeld();
+        fetchAllButLastChunk();
+        long namedMillis = now.get();
         now.addAndGet(6_000);
         endpoint.onStage = () -> now.addAndGet(300);
-        while (endpoint.held == 1 && now.get() < named + 2 * BOUND) {
-            stepFor(LOOK_MILLIS);
+        while (endpoint.held == 1 && now.get() < namedMillis + 2 * MAX_STALENESS_MILLIS) {
+            stepFor(STEP_MILLIS);
         }
-        assertTrue(now.get() - named < BOUND, "stopped after " + (now.get() - named));
+        assertTrue(now.get() - namedMillis < MAX_STALENESS_MILLIS, "stopped after " + (now.get() - namedMillis));
     }
 
-    // -- an agent that has just started
+    // -- after a restart of the agent
 
     @Test
-    void shouldStopAtOnceWhenNewerVersionIsInUseElsewhereAndAgentFoundItNamed() {
-        secondIsNamedWhileFirstIsHeld();
-        anotherHolds(2, FakeEndpoint.LAYERS);
+    void shouldStopImmediatelyWhenNewerVersionIsInUseElsewhereAndWasNamedBeforeStart() {
+        nameSecondWhileFirstIsHeld();
+        addOtherEndpoint(2, FakeEndpoint.LAYERS);
         stepFor(1_000);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
 
     @Test
-    void shouldNotStopAtOnceWhenNewerVersionIsHeldElsewhereInPartOnly() {
-        secondIsNamedWhileFirstIsHeld();
-        anotherHolds(2, 1);
+    void shouldNotStopImmediatelyWhenNewerVersionIsHeldOnlyPartiallyElsewhere() {
+        nameSecondWhileFirstIsHeld();
+        addOtherEndpoint(2, 1);
         stepFor(1_000);
         assertEquals(List.of(), endpoint.orders);
     }
 
     @Test
-    void shouldNotStopAtOnceWhenAgentSawNewerVersionBeingNamed() {
-        holdsFirstVersion();
+    void shouldNotStopImmediatelyWhenAgentSawNewerVersionBeingNamed() {
+        holdFirstVersion();
         views.replace(Topic.OPERATOR, List.of(), 0);
         views.want("m", 2);
-        anotherHolds(2, FakeEndpoint.LAYERS);
+        addOtherEndpoint(2, FakeEndpoint.LAYERS);
         stepFor(1_000);
         assertEquals(List.of(), endpoint.orders);
     }
 
     @Test
-    void shouldTakeUpNoVersionThatIsOlderThanOneInUseElsewhereWhenNothingIsKnownToBeNamed() throws Exception {
+    void shouldNotLoadVersionOlderThanOneInUseElsewhereWhenNoNamedVersionIsKnown() throws Exception {
         fetch();
-        anotherHolds(2, FakeEndpoint.LAYERS);
+        addOtherEndpoint(2, FakeEndpoint.LAYERS);
         stepFor(1_000);
         assertEquals(List.of(), endpoint.orders);
     }
--- a/src/test/java/org/micabarrow/weights/CurrentSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/SourceSelectorTest.java
@@ -23,7 +23,7 @@
     private final AtomicLong now = new AtomicLong();
     private final ChunkSet set = new ChunkSet("model-a", 2, List.of(Digest.of(FIRST), Digest.of(SECOND)));
     private final ChunkSources sources = ChunkSources.of(SELF, List.of(SELF, new Agent(OTHER, "region-a")), 2);
-    private final SourceSelector current =
+    private final SourceSelector selector =
             new SourceSelector(count -> sources, set, new ConcurrentHashMap<>(), now::get);
 
     private static BitSet chunks(int... indexes) {
@@ -35,41 +35,41 @@
     }
 
     @Test
-    void shouldAskFirstSourcesWhenNothingIsHere() {
+    void shouldUseFirstSourcesWhenNoChunkIsPresent() {
         assertEquals(List.of(OTHER), sources.of(0));
         assertEquals(List.of(), sources.of(1));
-        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
-        assertEquals(chunks(1), current.chunksWantedFrom(SourceSelector.ORIGIN));
-        assertEquals(Set.of(OTHER, SourceSelector.ORIGIN), current.activeSources());
+        assertEquals(chunks(0), selector.chunksWantedFrom(OTHER));
+        assertEquals(chunks(1), selector.chunksWantedFrom(SourceSelector.ORIGIN));
+        assertEquals(Set.of(OTHER, SourceSelector.ORIGIN), selector.activeSources());
     }
 
     @Test
-    void shouldAskNextSourceWhenOneIsLeft() {
-        current.advancePast(OTHER, chunks(0, 1));
-        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
+    void shouldUseNextSourceAfterAdvancingPastOne() {
+        selector.advancePast(OTHER, chunks(0, 1));
+        assertEquals(chunks(0, 1), selector.chunksWantedFrom(SourceSelector.ORIGIN));
     }
 
     @Test
-    void shouldAskFirstSourceAgainWhenOriginFailed() {
-        current.useNextSource(0);
-        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
-        current.useFirstSource(0);
-        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
+    void shouldUseFirstSourceAgainWhenOriginFailed() {
+        selector.useNextSource(0);
+        assertEquals(chunks(0, 1), selector.chunksWantedFrom(SourceSelector.ORIGIN));
+        selector.useFirstSource(0);
+        assertEquals(chunks(0), selector.chunksWantedFrom(OTHER));
     }
 
     @Test
-    void shouldAskAgentNearbyForWhatOthersOweWhenItHasGivenItsOwn() {
+    void shouldRequestChunksOfOthersFromAgentOfSameRegionWhenItHasServedItsOwn() {
         set.put(0, FIRST);
-        assertEquals(chunks(1), current.chunksWantedFrom(OTHER));
+        assertEquals(chunks(1), selector.chunksWantedFrom(OTHER));
     }
 
     @Test
-    void shouldPassOverAgentForAWhileWhenItDidNotAnswer() {
-        current.markUnresponsive(OTHER);
-        assertEquals(Set.of(SourceSelector.ORIGIN), current.activeSources());
-        assertEquals(chunks(0, 1), current.chunksWantedFrom(SourceSelector.ORIGIN));
-        assertTrue(current.chunksWantedFrom(OTHER).isEmpty());
+    void shouldSkipAgentForAWhileWhenItDidNotAnswer() {
+        selector.markUnresponsive(OTHER);
+        assertEquals(Set.of(SourceSelector.ORIGIN), selector.activeSources());
+        assertEquals(chunks(0, 1), selector.chunksWantedFrom(SourceSelector.ORIGIN));
+        assertTrue(selector.chunksWantedFrom(OTHER).isEmpty());
         now.addAndGet(60_000);
-        assertEquals(chunks(0), current.chunksWantedFrom(OTHER));
+        assertEquals(chunks(0), selector.chunksWantedFrom(OTHER));
     }
 }
--- a/src/test/java/org/micabarrow/weights/LaidChunksTest.java
+++ b/src/test/java/org/micabarrow/weights/StagedChunksTest.java
@@ -19,11 +19,11 @@
 class StagedChunksTest {
 
     private static final int CHUNKS = 4;
-    private static final OptionalLong FIRST = OptionalLong.of(5_000);
-    private static final OptionalLong SECOND = OptionalLong.of(9_000);
+    private static final OptionalLong FIRST_START = OptionalLong.of(5_000);
+    private static final OptionalLong SECOND_START = OptionalLong.of(9_000);
 
     private final Map<Integer, byte[]> staged = new HashMap<>();
-    private final StagedChunks laid = new StagedChunks(new Place());
+    private final StagedChunks stagedChunks = new StagedChunks(new MapEndpoint());
     private final ChunkSet set = new ChunkSet(
             "m",
             2,
@@ -34,7 +34,7 @@
     }
 
     /** An endpoint that stores staged chunks in a map. */
-    private final class Place implements ModelEndpoint {
+    private final class MapEndpoint implements ModelEndpoint {
 
         @Override
         public Result<Report> report() {
@@ -64,35 +64,35 @@
     }
 
     @BeforeEach
-    void layAll() {
+    void stageAll() {
         IntStream.range(0, CHUNKS).forEach(i -> set.put(i, chunk(i)));
-        laid.detectRestart(FIRST);
-        laid.stageNew(set, () -> true);
-        assertTrue(laid.all(set));
+        stagedChunks.detectRestart(FIRST_START);
+        stagedChunks.stageNew(set, () -> true);
+        assertTrue(stagedChunks.isComplete(set));
     }
 
     @Test
-    void shouldLayAgainWhatPowerLossTook() {
+    void shouldStageAgainWhenPowerLossDeletedChunks() {
         staged.clear();
-        assertTrue(laid.detectRestart(SECOND));
-        assertEquals(CHUNKS, laid.missing(set));
-        assertFalse(laid.all(set));
-        laid.stageNew(set, () -> true);
-        assertTrue(laid.verifyAndRepair(set));
+        assertTrue(stagedChunks.detectRestart(SECOND_START));
+        assertEquals(CHUNKS, stagedChunks.missingCount(set));
+        assertFalse(stagedChunks.isComplete(set));
+        stagedChunks.stageNew(set, () -> true);
+        assertTrue(stagedChunks.verifyAndRepair(set));
     }
 
     @Test
-    void shouldLayNothingAgainWhileStartIsTheSame() {
+    void shouldStageNothingAgainWhileStartTimeIsUnchanged() {
         staged.clear();
-        List.of(FIRST, OptionalLong.empty(), FIRST).forEach(start -> assertFalse(laid.detectRestart(start)));
-        laid.stageNew(set, () -> true);
+        List.of(FIRST_START, OptionalLong.empty(), FIRST_START).forEach(start -> assertFalse(stagedChunks.detectRestart(start)));
+        stagedChunks.stageNew(set, () -> true);
         assertEquals(0, staged.size());
     }
 
     @Test
-    void shouldNotTakeFirstStartThatIsToldForAnother() {
-        StagedChunks fresh = new StagedChunks(new Place());
+    void shouldNotDetectRestartWhenFirstStartTimeIsReported() {
+        StagedChunks fresh = new StagedChunks(new MapEndpoint());
         assertFalse(fresh.detectRestart(OptionalLong.empty()));
-        assertFalse(fresh.detectRestart(FIRST));
+        assertFalse(fresh.detectRestart(FIRST_START));
     }
 }
