--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -115,7 +115,7 @@
      */
     public OptionalInt give(BitSet wanted) {
         OptionalInt index = wanted.stream()
-                .filter(index -> index < chunks.size() && chunk(index).isPresent())
+                .filter(candidate -> candidate < chunks.size() && chunk(candidate).isPresent())
                 .boxed()
                 .min(Comparator.<Integer>comparingInt(servedCounts::get).thenComparingInt(this::distanceFromStart))
                 .map(OptionalInt::of)
--- a/src/main/java/org/micabarrow/weights/FetchDecision.java
+++ b/src/main/java/org/micabarrow/weights/FetchDecision.java
@@ -142,12 +142,12 @@
      * @return the decision
      */
     static FetchDecision of(Situation situation) {
-        long newest = situation.lostByNewest();
-        long older = situation.lostByOlder();
-        boolean olderFirst = situation.isOlderUsable() && (situation.isOlderHalfFetched() || older <= newest + margin(situation));
+        long lostByNewest = situation.lostByNewest();
+        long lostByOlder = situation.lostByOlder();
+        boolean olderFirst = situation.isOlderUsable() && (situation.isOlderHalfFetched() || lostByOlder <= lostByNewest + margin(situation));
         return olderFirst
-                ? new OlderFirst(situation.older().version(), older, newest)
-                : new Newest(situation.newest().version(), newest, older);
+                ? new OlderFirst(situation.older().version(), lostByOlder, lostByNewest)
+                : new Newest(situation.newest().version(), lostByNewest, lostByOlder);
     }
 
     /**
--- a/src/main/java/org/micabarrow/weights/StagedChunks.java
+++ b/src/main/java/org/micabarrow/weights/StagedChunks.java
@@ -32,7 +32,7 @@
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
     }
 
-    // -- restarts of the endpoint
+    // -- restarts
 
     /**
      * Records the endpoint's start time. After a restart, all chunks must be staged again: staged chunks survive a
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -56,7 +56,7 @@
     Optional<ChunkSet> chunkSet(String model, long version) {
         synchronized (sets) {
             return sets.stream()
-                    .filter(one -> one.model().equals(model) && one.version() == version)
+                    .filter(set -> set.model().equals(model) && set.version() == version)
                     .findFirst();
         }
     }
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -283,9 +283,9 @@
         }
 
         private void checkInvariants() {
-            long least = views.view().leastVersion("m", MAX_STALENESS_MILLIS, now.get());
-            if (endpoint.held != 0 && !endpoint.busy && endpoint.held < least) {
-                throw new AssertionError("serves " + endpoint.held + " although " + least + " is required: " + scenario);
+            long minVersion = views.view().leastVersion("m", MAX_STALENESS_MILLIS, now.get());
+            if (endpoint.held != 0 && !endpoint.busy && endpoint.held < minVersion) {
+                throw new AssertionError("serves " + endpoint.held + " although " + minVersion + " is required: " + scenario);
             }
             if (endpoint.held != 0 && endpoint.held < newestHeld) {
                 throw new AssertionError("returned to " + endpoint.held + " from " + newestHeld + ": " + scenario);
