--- a/src/main/java/org/micabarrow/weights/StagedChunks.java
+++ b/src/main/java/org/micabarrow/weights/StagedChunks.java
@@ -12,7 +12,8 @@
 
 /**
  * The chunks staged beside an endpoint, from which it loads weights. Stages the chunks of the version being fetched as
- * they arrive, and reads them back, since staged chunks may become corrupted. Used by one thread, except {@link #readInto}.
+ * they arrive, and reads them back, since staged chunks may become corrupted. Used by one thread, except
+ * {@link #readInto}.
  */
 final class StagedChunks {
 
