--- a/src/main/java/org/micabarrow/weights/ModelEndpoint.java
+++ b/src/main/java/org/micabarrow/weights/ModelEndpoint.java
@@ -20,8 +20,7 @@
      * @param running the number of running requests
      * @param startedMillis its start time as a Unix timestamp in milliseconds; empty if not reported
      * @param leaving whether it reports that it is draining
-     * @param limit its rate limit: the requests per second that it accepts from all entries together; empty if not
-     *     reported
+     * @param limit the requests per second that it accepts from all entries together; empty if not reported
      */
     record Report(
             Map<String, Long> models,
