--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -115,7 +115,8 @@
      */
     public OptionalInt give(BitSet wanted) {
         OptionalInt index = wanted.stream()
-                .filter(candidate -> candidate < chunks.size() && chunk(candidate).isPresent())
+                .filter(candidate ->
+                        candidate < chunks.size() && chunk(candidate).isPresent())
                 .boxed()
                 .min(Comparator.<Integer>comparingInt(servedCounts::get).thenComparingInt(this::distanceFromStart))
                 .map(OptionalInt::of)
--- a/src/main/java/org/micabarrow/weights/ChunkSourcesCache.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSourcesCache.java
@@ -41,8 +41,8 @@
     public synchronized ChunkSources apply(int chunks) {
         List<Agent> now = agents.get();
         Set<Agent> currentAgents = Set.copyOf(now);
-        boolean valid =
-                currentAgents.equals(cachedAgents) && cached.filter(sources -> sources.chunks() == chunks).isPresent();
+        boolean valid = currentAgents.equals(cachedAgents)
+                && cached.filter(sources -> sources.chunks() == chunks).isPresent();
         if (!valid) {
             cachedAgents = currentAgents;
             cached = Optional.of(ChunkSources.of(self, now, chunks));
@@ -60,10 +60,13 @@
         List<Agent> others = agents.get().stream()
                 .filter(agent -> !agent.address().equals(self.address()))
                 .toList();
-        Stream<Agent> sameRegion = others.stream().filter(agent -> agent.region().equals(self.region()));
+        Stream<Agent> sameRegion =
+                others.stream().filter(agent -> agent.region().equals(self.region()));
         Set<String> regions = new HashSet<>(Set.of(self.region()));
         List<Agent> firstOfOtherRegions =
                 others.stream().filter(agent -> regions.add(agent.region())).toList();
-        return Stream.concat(sameRegion, firstOfOtherRegions.stream()).map(Agent::address).toList();
+        return Stream.concat(sameRegion, firstOfOtherRegions.stream())
+                .map(Agent::address)
+                .toList();
     }
 }
--- a/src/main/java/org/micabarrow/weights/FetchDecision.java
+++ b/src/main/java/org/micabarrow/weights/FetchDecision.java
@@ -144,7 +144,8 @@
     static FetchDecision of(Situation situation) {
         long lostByNewest = situation.lostByNewest();
         long lostByOlder = situation.lostByOlder();
-        boolean olderFirst = situation.isOlderUsable() && (situation.isOlderHalfFetched() || lostByOlder <= lostByNewest + margin(situation));
+        boolean olderFirst = situation.isOlderUsable()
+                && (situation.isOlderHalfFetched() || lostByOlder <= lostByNewest + margin(situation));
         return olderFirst
                 ? new OlderFirst(situation.older().version(), lostByOlder, lostByNewest)
                 : new Newest(situation.newest().version(), lostByNewest, lostByOlder);
--- a/src/main/java/org/micabarrow/weights/OrderSchedule.java
+++ b/src/main/java/org/micabarrow/weights/OrderSchedule.java
@@ -30,6 +30,7 @@
      */
     public static long orderMillis(long namedMillis, long maxStalenessMillis, int position, int count) {
         double fraction = count <= 1 ? 0 : (double) position / (count - 1);
-        return namedMillis + Math.round(maxStalenessMillis * (FIRST_FRACTION + (LAST_FRACTION - FIRST_FRACTION) * fraction));
+        return namedMillis
+                + Math.round(maxStalenessMillis * (FIRST_FRACTION + (LAST_FRACTION - FIRST_FRACTION) * fraction));
     }
 }
--- a/src/main/java/org/micabarrow/weights/OverlapPolicy.java
+++ b/src/main/java/org/micabarrow/weights/OverlapPolicy.java
@@ -141,7 +141,8 @@
     /** Whether the last decision was for a version that was named before the newest and is still not complete. */
     boolean prefersOlder(String model, long held) {
         OptionalLong older = olderToFetch(model, held);
-        return lastDecision.filter(OverlapPolicy::isOlder)
+        return lastDecision
+                .filter(OverlapPolicy::isOlder)
                 .filter(decision -> older.isPresent() && decision.version() == older.getAsLong())
                 .isPresent();
     }
@@ -203,7 +204,8 @@
     /** Records the rate of a fetch that has ended. Its best rate is used to estimate that of other versions. */
     void onFetchEnded(FetchProgress progress) {
         if (!progress.set().isComplete() && progress.isMeasurable()) {
-            lastAbandoned = new AbandonedFetch(progress.set().version(), monotonicMillis.getAsLong(), progress.chunkMillis());
+            lastAbandoned =
+                    new AbandonedFetch(progress.set().version(), monotonicMillis.getAsLong(), progress.chunkMillis());
         }
         double best = progress.bestChunkMillis();
         if (progress.fetchedCount() >= MIN_TYPICAL_CHUNKS && !Double.isInfinite(best)) {
--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
@@ -78,11 +78,12 @@
         this.parts = Objects.requireNonNull(parts, "parts is null");
         this.cordon = new Cordon(parts.notifyEntries());
         this.stagedChunks = new StagedChunks(parts.endpoint());
-        this.deadlines = new VersionDeadlines(parts.view(), parts.layers(), parts.maxStalenessMillis(), parts.monotonicMillis());
+        this.deadlines =
+                new VersionDeadlines(parts.view(), parts.layers(), parts.maxStalenessMillis(), parts.monotonicMillis());
         this.fetches = new VersionFetches(parts.fetcher(), deadlines, parts.monotonicMillis());
         this.versionSelector = new TargetVersionSelector(fetches, deadlines, parts.place(), parts.monotonicMillis());
-        this.retirement =
-                new Retirement(parts.endpoint(), parts.layers(), stagedChunks, fetches, deadlines, parts.monotonicMillis());
+        this.retirement = new Retirement(
+                parts.endpoint(), parts.layers(), stagedChunks, fetches, deadlines, parts.monotonicMillis());
     }
 
     /**
@@ -125,7 +126,8 @@
                 && !cordon.isClosed()
                 && report.get()
                         .filter(latest -> !latest.busy())
-                        .filter(latest -> latest.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
+                        .filter(latest ->
+                                latest.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
                         .isPresent();
     }
 
@@ -146,7 +148,10 @@
                 report.set(Optional.of(latest));
                 if (before.isEmpty() || !before.get().models().equals(latest.models())) {
                     LOG.info(
-                            "event=endpoint_holds models={} orders={} busy={}", latest.models(), latest.orders(), latest.busy());
+                            "event=endpoint_holds models={} orders={} busy={}",
+                            latest.models(),
+                            latest.orders(),
+                            latest.busy());
                 }
             }
             case Result.Failure<Report>(Fault fault) -> {
@@ -223,8 +228,9 @@
         }
         // An endpoint that serves nothing gets no requests, so there is no need to wait for the cordon; and an agent
         // that has just started may have no time to wait.
-        boolean cordonElapsed =
-                held == 0 || cordon.closeAndCheckElapsed(parts.monotonicMillis().getAsLong()) || retireDue && lastOrderPassed;
+        boolean cordonElapsed = held == 0
+                || cordon.closeAndCheckElapsed(parts.monotonicMillis().getAsLong())
+                || retireDue && lastOrderPassed;
         if (cordonElapsed && staged.filter(stagedChunks::verifyAndRepair).isPresent()) {
             order(staged.get(), latest);
         } else if (cordonElapsed && retireDue) {
--- a/src/main/java/org/micabarrow/weights/Retirement.java
+++ b/src/main/java/org/micabarrow/weights/Retirement.java
@@ -153,7 +153,8 @@
                         version,
                         layer,
                         !unverifiedLayerVersions.contains(version));
-            case Result.Success<OrderEnd>(OrderEnd outcome) -> logImpossible(model, held, "the endpoint answered " + outcome);
+            case Result.Success<OrderEnd>(OrderEnd outcome) ->
+                logImpossible(model, held, "the endpoint answered " + outcome);
             case Result.Failure<OrderEnd>(Fault fault) -> logImpossible(model, held, fault.toString());
         }
     }
@@ -181,18 +182,23 @@
     /** Whether the endpoint may hold layers of a version that were loaded from chunks of another version. */
     boolean mayHoldUnverifiedLayers(ChunkSet set, Report report) {
         boolean holdsLayers = report.parts().getOrDefault(set.model(), 0L) == set.version();
-        return holdsLayers && !(completeLayerVersions.contains(set.version()) && !unverifiedLayerVersions.contains(set.version()));
+        return holdsLayers
+                && !(completeLayerVersions.contains(set.version()) && !unverifiedLayerVersions.contains(set.version()));
     }
 
     /** Makes the endpoint discard its layers of a version, so that it loads all of them again. */
     void discardLayers(ChunkSet set, Report report) {
         OptionalLong otherVersion = deadlines.anyOtherVersion(set.model(), set.version());
         if (otherVersion.isEmpty()) {
-            logImpossible(set.model(), 0, "no other version is known to replace the unverified layers of version " + set.version());
+            logImpossible(
+                    set.model(),
+                    0,
+                    "no other version is known to replace the unverified layers of version " + set.version());
             return;
         }
         unverifiedLayerVersions.add(otherVersion.getAsLong());
-        Result<OrderEnd> outcome = endpoint.startLayer(set.model(), otherVersion.getAsLong(), FALLBACK_LAYER, report.orders());
+        Result<OrderEnd> outcome =
+                endpoint.startLayer(set.model(), otherVersion.getAsLong(), FALLBACK_LAYER, report.orders());
         LOG.info(
                 "event=layers_given_up model={} version={} by={} end={}",
                 set.model(),
--- a/src/main/java/org/micabarrow/weights/SourceSelector.java
+++ b/src/main/java/org/micabarrow/weights/SourceSelector.java
@@ -37,7 +37,10 @@
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
     SourceSelector(
-            IntFunction<ChunkSources> sources, ChunkSet set, Map<String, Long> unresponsiveUntil, LongSupplier monotonicMillis) {
+            IntFunction<ChunkSources> sources,
+            ChunkSet set,
+            Map<String, Long> unresponsiveUntil,
+            LongSupplier monotonicMillis) {
         this.sources = sources;
         this.set = set;
         this.unresponsiveUntil = unresponsiveUntil;
@@ -51,7 +54,9 @@
     Set<String> activeSources() {
         ChunkSources currentSources = currentSources();
         Set<String> active = new LinkedHashSet<>();
-        currentSources.sameRegion().stream().filter(agent -> !isUnresponsive(agent)).forEach(active::add);
+        currentSources.sameRegion().stream()
+                .filter(agent -> !isUnresponsive(agent))
+                .forEach(active::add);
         for (int i = 0; i < positions.length(); i++) {
             if (set.chunk(i).isEmpty()) {
                 active.add(source(currentSources, i));
@@ -73,7 +78,9 @@
         }
         // An agent of this region that has served all chunks requested from it may have chunks that a slower one has
         // not served.
-        return assigned.isEmpty() && currentSources.sameRegion().contains(source) && !isUnresponsive(source) ? missing : assigned;
+        return assigned.isEmpty() && currentSources.sameRegion().contains(source) && !isUnresponsive(source)
+                ? missing
+                : assigned;
     }
 
     private ChunkSources currentSources() {
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -162,7 +162,8 @@
     long orderAt(String model, long held, ReplicaKeeper.Place place) {
         return view.get()
                 .newerNamed(model, held)
-                .map(target -> OrderSchedule.orderMillis(target.learnedMillis(), maxStalenessMillis, place.position(), place.count()))
+                .map(target -> OrderSchedule.orderMillis(
+                        target.learnedMillis(), maxStalenessMillis, place.position(), place.count()))
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -129,7 +129,8 @@
      * fetched.
      */
     long expectedMillis(ChunkSet set, int chunks) {
-        return currentFetch.filter(progress -> progress.isFor(set))
+        return currentFetch
+                .filter(progress -> progress.isFor(set))
                 .map(progress -> progress.expectedMillis(chunks))
                 .orElse(Long.MAX_VALUE);
     }
@@ -201,7 +202,8 @@
     Predicate<FetchProgress> shouldContinueOlder(String model, long held, long version) {
         return progress -> overlapPolicy.olderToFetch(model, held).equals(OptionalLong.of(version))
                 && !progress.isStalled()
-                && (overlapPolicy.shouldFetchOlderFirst(model, held, progress, true) || overlapPolicy.isMuchFaster(model, progress));
+                && (overlapPolicy.shouldFetchOlderFirst(model, held, progress, true)
+                        || overlapPolicy.isMuchFaster(model, progress));
     }
 
     private boolean fetch(ChunkSet set, Predicate<FetchProgress> wanted) throws InterruptedException {
--- a/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
@@ -87,8 +87,8 @@
     @Test
     void shouldReturnDigestsOfFirstAgentThatHasThem() {
         peers.holder = SAME_REGION.address();
-        Result<ChunkSet> set =
-                fetcher(ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION))).createSet("m", 2);
+        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION)))
+                .createSet("m", 2);
         assertEquals(DIGESTS, set.toOptional().orElseThrow().digests());
         assertEquals(List.of(SAME_REGION.address()), peers.queried);
     }
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -88,7 +88,9 @@
         Map<String, Integer> chunkCounts = new HashMap<>();
         fromOrigin(all).values().forEach(agents -> agents.forEach(agent -> chunkCounts.merge(agent, 1, Integer::sum)));
         int maxChunks = chunkCounts.values().stream().mapToInt(one -> one).max().orElse(0);
-        assertTrue(maxChunks <= Math.ceilDiv(CHUNKS, all.size()), "one agent fetches " + maxChunks + " chunks from the origin");
+        assertTrue(
+                maxChunks <= Math.ceilDiv(CHUNKS, all.size()),
+                "one agent fetches " + maxChunks + " chunks from the origin");
     }
 
     @Property(seed = "42", tries = 50)
@@ -115,7 +117,9 @@
             Agent smallest = null;
             for (Agent agent : agents) {
                 boolean hasCapacity = Collections.frequency(leaders.values(), agent) * agents.size() < chunks.size();
-                if (hasCapacity && (smallest == null || referenceRank(agent, index).compareTo(referenceRank(smallest, index)) < 0)) {
+                if (hasCapacity
+                        && (smallest == null
+                                || referenceRank(agent, index).compareTo(referenceRank(smallest, index)) < 0)) {
                     smallest = agent;
                 }
             }
@@ -129,7 +133,8 @@
     }
 
     /** Reference implementation of the sources of one agent, given the leaders. */
-    private static List<String> referenceSources(Agent self, List<Agent> region, Agent originLeader, Agent leader, int index) {
+    private static List<String> referenceSources(
+            Agent self, List<Agent> region, Agent originLeader, Agent leader, int index) {
         List<String> sources = new ArrayList<>();
         if (!leader.equals(self)) {
             sources.add(leader.address());
--- a/src/test/java/org/micabarrow/weights/FakeEndpoint.java
+++ b/src/test/java/org/micabarrow/weights/FakeEndpoint.java
@@ -56,7 +56,15 @@
             return noAnswer(Fault.Step.STATUS);
         }
         return Result.success(new Report(
-                modelsOf(held), modelsOf(partialVersion), busy, orders.size(), 0, 0, startedMillis, false, OptionalDouble.empty()));
+                modelsOf(held),
+                modelsOf(partialVersion),
+                busy,
+                orders.size(),
+                0,
+                0,
+                startedMillis,
+                false,
+                OptionalDouble.empty()));
     }
 
     /** Restarts after a crash or a loss of power; a loss of power also deletes the staged chunks. */
--- a/src/test/java/org/micabarrow/weights/FetchDecisionTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchDecisionTest.java
@@ -33,7 +33,8 @@
     }
 
     private static FetchDecision decide(long nowMillis, Candidate older, Candidate newest, long current) {
-        return FetchDecision.of(new Situation(nowMillis, HELD_UNTIL_MILLIS, older, OLDER_UNTIL_MILLIS, newest, current));
+        return FetchDecision.of(
+                new Situation(nowMillis, HELD_UNTIL_MILLIS, older, OLDER_UNTIL_MILLIS, newest, current));
     }
 
     @Test
@@ -81,8 +82,8 @@
     void shouldKeepDecisionWhenNothingElseChanges(long seed) {
         Random random = new Random(seed);
         Candidate older = new Candidate(2, CHUNKS, random.nextInt(CHUNKS + 1), 0, 5 + random.nextInt(400));
-        Candidate newest =
-                new Candidate(3, CHUNKS, 1 + random.nextInt(CHUNKS), random.nextInt(2) * OUTAGE_MILLIS, 5 + random.nextInt(400));
+        Candidate newest = new Candidate(
+                3, CHUNKS, 1 + random.nextInt(CHUNKS), random.nextInt(2) * OUTAGE_MILLIS, 5 + random.nextInt(400));
         long now = 18_000 + random.nextInt(9_000);
         FetchDecision first = decide(now, older, newest, 2 + random.nextInt(2));
         FetchDecision again = decide(now, older, newest, first.version());
--- a/src/test/java/org/micabarrow/weights/OrderScheduleTest.java
+++ b/src/test/java/org/micabarrow/weights/OrderScheduleTest.java
@@ -25,7 +25,9 @@
 
     @Test
     void shouldCloseLastCordonBeforeEntriesRequireNewVersion() {
-        assertTrue(orderMillis(AGENTS - 1) - Cordon.LEAD_MILLIS < 0.88 * MAX_STALENESS_MILLIS, "entries require the version from 0.88 on");
+        assertTrue(
+                orderMillis(AGENTS - 1) - Cordon.LEAD_MILLIS < 0.88 * MAX_STALENESS_MILLIS,
+                "entries require the version from 0.88 on");
     }
 
     @Test
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -285,7 +285,8 @@
         private void checkInvariants() {
             long minVersion = views.view().leastVersion("m", MAX_STALENESS_MILLIS, now.get());
             if (endpoint.held != 0 && !endpoint.busy && endpoint.held < minVersion) {
-                throw new AssertionError("serves " + endpoint.held + " although " + minVersion + " is required: " + scenario);
+                throw new AssertionError(
+                        "serves " + endpoint.held + " although " + minVersion + " is required: " + scenario);
             }
             if (endpoint.held != 0 && endpoint.held < newestHeld) {
                 throw new AssertionError("returned to " + endpoint.held + " from " + newestHeld + ": " + scenario);
--- a/src/test/java/org/micabarrow/weights/OverlapSimulationTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulationTest.java
@@ -43,11 +43,14 @@
     }
 
     private static void assertNearBest(LongStream seeds, LongFunction<Scenario> scenario) {
-        List<Outcome> outcomes =
-                seeds.parallel().mapToObj(scenario).map(OverlapSimulationTest::simulate).toList();
+        List<Outcome> outcomes = seeds.parallel()
+                .mapToObj(scenario)
+                .map(OverlapSimulationTest::simulate)
+                .toList();
         double mean = outcomes.stream().mapToDouble(Outcome::ratio).average().orElseThrow();
         assertTrue(mean >= MIN_MEAN_RATIO, () -> "on average " + mean + " of the best: " + outcomes);
-        outcomes.forEach(outcome -> assertTrue(outcome.ratio() >= MIN_RATIO, () -> outcome.ratio() + " of the best: " + outcome));
+        outcomes.forEach(outcome ->
+                assertTrue(outcome.ratio() >= MIN_RATIO, () -> outcome.ratio() + " of the best: " + outcome));
     }
 
     @Test
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -184,7 +184,8 @@
 
     /** Adds chunks of a version at a fixed rate for two measuring windows. */
     private FetchProgress addAtRate(long version, long intervalMillis) {
-        FetchProgress progress = fetches.startProgress(fetches.chunkSet("m", version).orElseThrow());
+        FetchProgress progress =
+                fetches.startProgress(fetches.chunkSet("m", version).orElseThrow());
         long nextMillis = now.get() + intervalMillis;
         for (long endMillis = now.get() + 1_200; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
             if (now.get() >= nextMillis) {
--- a/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
@@ -37,7 +37,8 @@
         origin.maxKnownVersion = 2;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+                FakeOrigin.CHUNKS,
+                controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
     }
 
     @Test
@@ -49,11 +50,14 @@
         fetch();
         assertEquals(0, controller.set("m", 3).map(ChunkSet::presentCount).orElse(-1));
         assertEquals(
-                FakeOrigin.CHUNKS, controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+                FakeOrigin.CHUNKS,
+                controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
         origin.maxServedVersion = 3;
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, controller.set("m", 3).map(ChunkSet::presentCount).orElse(0), "the newest is fetched again");
+                FakeOrigin.CHUNKS,
+                controller.set("m", 3).map(ChunkSet::presentCount).orElse(0),
+                "the newest is fetched again");
     }
 
     /** Version 2 is complete, and six of eight chunks of version 3 are present one second after its fetch started. */
@@ -121,7 +125,8 @@
     void shouldNotThrottleChunksOfOrigin() throws Exception {
         fetch();
         assertEquals(
-                FakeOrigin.CHUNKS, controller.set("m", 1).map(ChunkSet::presentCount).orElse(0));
+                FakeOrigin.CHUNKS,
+                controller.set("m", 1).map(ChunkSet::presentCount).orElse(0));
         assertEquals(0, throttledBytes);
     }
 
@@ -190,7 +195,8 @@
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
         assertFalse(
-                controller.closing(), "six chunks took four seconds to arrive, so two more take longer than the cordon");
+                controller.closing(),
+                "six chunks took four seconds to arrive, so two more take longer than the cordon");
         origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
     }
--- a/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
@@ -66,8 +66,12 @@
         currentController.refresh();
         currentController.step();
         assertFalse(endpoint.servesUnverifiedLayer(), () -> "an unverified layer is served: " + endpoint.orders);
-        assertTrue(endpoint.held != 1 || now.get() - secondNamedMillis <= MAX_STALENESS_MILLIS, () -> "too late: " + endpoint.orders);
-        assertTrue(endpoint.held != 2 || now.get() - thirdNamedMillis <= MAX_STALENESS_MILLIS, () -> "too late: " + endpoint.orders);
+        assertTrue(
+                endpoint.held != 1 || now.get() - secondNamedMillis <= MAX_STALENESS_MILLIS,
+                () -> "too late: " + endpoint.orders);
+        assertTrue(
+                endpoint.held != 2 || now.get() - thirdNamedMillis <= MAX_STALENESS_MILLIS,
+                () -> "too late: " + endpoint.orders);
     }
 
     /**
--- a/src/test/java/org/micabarrow/weights/SimulationPolicies.java
+++ b/src/test/java/org/micabarrow/weights/SimulationPolicies.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Predicate;
-import org.micabarrow.weights.OverlapSimulation.SimulatedAgent;
 import org.micabarrow.weights.OverlapSimulation.Policy;
+import org.micabarrow.weights.OverlapSimulation.SimulatedAgent;
 
 /**
  * Policies for the order in which two versions are fetched: the real one, and simple ones of which the best is known
@@ -52,9 +52,11 @@
     private static void endFetch(SimulatedAgent agent, long held, long newest) {
         FetchProgress progress = agent.progress.orElseThrow();
         boolean wasNewest = progress.set().version() == newest;
-        boolean switches = progress.fetchedCount() == 0 || agent.fetches.overlapPolicy().prefersOlder("m", held);
+        boolean switches =
+                progress.fetchedCount() == 0 || agent.fetches.overlapPolicy().prefersOlder("m", held);
         agent.fetches.overlapPolicy().onFetchEnded(progress);
-        agent.fetchingOlder = !agent.fetchingOlder && wasNewest && !progress.set().isComplete() && switches;
+        agent.fetchingOlder =
+                !agent.fetchingOlder && wasNewest && !progress.set().isComplete() && switches;
         agent.progress = Optional.empty();
     }
 
@@ -64,7 +66,9 @@
      */
     static List<Policy> simple() {
         List<Policy> policies = new ArrayList<>(List.of(SimulationPolicies::newest, SimulationPolicies::olderFirst));
-        for (long switchMillis = SWITCH_INTERVAL_MILLIS; switchMillis <= LAST_SWITCH_MILLIS; switchMillis += SWITCH_INTERVAL_MILLIS) {
+        for (long switchMillis = SWITCH_INTERVAL_MILLIS;
+                switchMillis <= LAST_SWITCH_MILLIS;
+                switchMillis += SWITCH_INTERVAL_MILLIS) {
             long at = switchMillis;
             policies.add(agent -> agent.sinceSecondNamed() < at ? olderFirst(agent) : newest(agent));
             policies.add(agent -> agent.sinceSecondNamed() < at ? newest(agent) : olderFirst(agent));
--- a/src/test/java/org/micabarrow/weights/StagedChunksTest.java
+++ b/src/test/java/org/micabarrow/weights/StagedChunksTest.java
@@ -84,7 +84,8 @@
     @Test
     void shouldStageNothingAgainWhileStartTimeIsUnchanged() {
         staged.clear();
-        List.of(FIRST_START, OptionalLong.empty(), FIRST_START).forEach(start -> assertFalse(stagedChunks.detectRestart(start)));
+        List.of(FIRST_START, OptionalLong.empty(), FIRST_START)
+                .forEach(start -> assertFalse(stagedChunks.detectRestart(start)));
         stagedChunks.stageNew(set, () -> true);
         assertEquals(0, staged.size());
     }
