--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
@@ -300,6 +300,6 @@
         if (set(model, held).isPresent()) {
             return;
         }
-        fetches.getOrCreate(model, held).toOptional().ifPresent(stagedChunks::readInto);
+        fetches.findOrCreate(model, held).toOptional().ifPresent(stagedChunks::readInto);
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -61,8 +61,8 @@
         }
     }
 
-    private Optional<ChunkSet> getOrCreateLogged(String model, long version) {
-        Result<ChunkSet> set = getOrCreate(model, version);
+    private Optional<ChunkSet> findOrCreateLogged(String model, long version) {
+        Result<ChunkSet> set = findOrCreate(model, version);
         set.cause()
                 .ifPresent(fault ->
                         LOG.warn("event=digests_missed model={} version={} why=\"{}\"", model, version, fault));
@@ -70,7 +70,7 @@
     }
 
     /** The set of a version, created if there is none; a failure if no source has the version's digests. */
-    Result<ChunkSet> getOrCreate(String model, long version) {
+    Result<ChunkSet> findOrCreate(String model, long version) {
         Optional<ChunkSet> existing = chunkSet(model, version);
         if (existing.isPresent()) {
             return Result.success(existing.get());
@@ -164,7 +164,7 @@
      */
     private boolean fetchNewest(String model, long held) throws InterruptedException {
         long newest = deadlines.newest(model);
-        Optional<ChunkSet> set = getOrCreateLogged(model, newest);
+        Optional<ChunkSet> set = findOrCreateLogged(model, newest);
         if (set.isEmpty() || set.get().isComplete()) {
             return set.isPresent();
         }
@@ -194,7 +194,7 @@
      */
     private boolean fetchOlder(String model, long held) throws InterruptedException {
         OptionalLong older = overlapPolicy.olderToFetch(model, held);
-        Optional<ChunkSet> set = older.isPresent() ? getOrCreateLogged(model, older.getAsLong()) : Optional.empty();
+        Optional<ChunkSet> set = older.isPresent() ? findOrCreateLogged(model, older.getAsLong()) : Optional.empty();
         return set.isPresent() && fetch(set.get(), shouldContinueOlder(model, held, older.getAsLong()));
     }
 
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -232,7 +232,7 @@
         }
 
         ChunkSet set(long version) {
-            return fetches.getOrCreate("m", version).toOptional().orElseThrow();
+            return fetches.findOrCreate("m", version).toOptional().orElseThrow();
         }
 
         private boolean isPaused() {
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -95,7 +95,7 @@
     }
 
     private void putFirst(long version, int chunks) {
-        ChunkSet set = fetches.getOrCreate("m", version).toOptional().orElseThrow();
+        ChunkSet set = fetches.findOrCreate("m", version).toOptional().orElseThrow();
         for (int i = 0; i < chunks; i++) {
             set.put(i, FakeOrigin.chunk(version, i));
         }
