--- a/src/main/java/org/micabarrow/platform/EndpointCalls.java
+++ b/src/main/java/org/micabarrow/platform/EndpointCalls.java
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public Result<Optional<byte[]>> staged(String model, int index) {
+    public Result<Optional<byte[]>> readStaged(String model, int index) {
         HttpCall call =
                 HttpCall.get(Step.STAGE, URI.create(base + WireNames.STAGE_GET + model + "?sample_count=" + index));
         return caller.call(call, WITHIN).flatMap(answer -> switch (answer.status()) {
@@ -120,36 +120,36 @@
     // -- orders
 
     @Override
-    public Result<OrderEnd> start(String model, long version, long ordersSeen) {
-        return order(startOrder(model, version, ordersSeen));
+    public Result<OrderOutcome> load(String model, long version, long expectedOrders) {
+        return order(startOrder(model, version, expectedOrders));
     }
 
     @Override
-    public Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen) {
-        ObjectNode order = startOrder(model, version, ordersSeen);
+    public Result<OrderOutcome> loadLayer(String model, long version, int layer, long expectedOrders) {
+        ObjectNode order = startOrder(model, version, expectedOrders);
         order.put("from", layer);
         // The end of the range of layers, not a version.
         order.put("target_version", layer + 1);
         return order(order);
     }
 
-    private static ObjectNode startOrder(String model, long version, long ordersSeen) {
+    private static ObjectNode startOrder(String model, long version, long expectedOrders) {
         ObjectNode order = CanonicalJson.mapper().createObjectNode();
         order.put("operation", "start");
         order.put("model", model);
         order.put("version", version);
         order.put("mode", "queue");
-        order.put("expected_revision", ordersSeen);
+        order.put("expected_revision", expectedOrders);
         return order;
     }
 
-    private Result<OrderEnd> order(ObjectNode order) {
+    private Result<OrderOutcome> order(ObjectNode order) {
         HttpCall call = HttpCall.post(Step.ORDER, URI.create(base + WireNames.ORDER), CanonicalJson.write(order))
                 .withHeader("Content-Type", "application/json");
         return caller.call(call, WITHIN).flatMap(answer -> switch (answer.status()) {
-            case ACCEPTED -> Result.success(OrderEnd.BEGUN);
-            case OK -> Result.success(OrderEnd.HELD);
-            case CONFLICT -> Result.success(OrderEnd.CONFLICT);
+            case ACCEPTED -> Result.success(OrderOutcome.BEGUN);
+            case OK -> Result.success(OrderOutcome.HELD);
+            case CONFLICT -> Result.success(OrderOutcome.CONFLICT);
             default -> refused(call, answer);
         });
     }
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -30,7 +30,7 @@
 import org.micabarrow.weights.ChunkSources;
 import org.micabarrow.weights.ChunkSources.Agent;
 import org.micabarrow.weights.ModelEndpoint;
-import org.micabarrow.weights.ReplicaKeeper;
+import org.micabarrow.weights.ReplicaController;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -75,10 +75,10 @@
     private final HostedSettings settings;
     private final HostedNode node;
     private final NewsReader news;
-    private final ReplicaKeeper keeper;
+    private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
-    private volatile Placed placed = new Placed(View.empty(), new ReplicaKeeper.Place(0, 1));
+    private volatile Placed placed = new Placed(View.empty(), new ReplicaController.RegionPosition(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
     private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
@@ -89,14 +89,14 @@
         this.news =
                 new NewsReader(node.store(), node.peerRecords(), new NewsReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
-        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
+        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new PeerChunks(node.kept()),
                 new OriginCalls(node.fresh()),
                 () -> view().manifest().flatMap(RouteManifest::origin),
-                ChunkSources.following(self, this::agents),
+                ChunkSources.cached(self, this::agents),
                 node.weightPacer(this::serves)::take,
                 HostedNode::steadyMillis));
-        this.keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+        this.keeper = new ReplicaController(new ReplicaController.Dependencies(
                 this::model,
                 this::layers,
                 new EndpointCalls(node.kept(), settings.endpoint().orElseThrow(), this::layers),
@@ -123,7 +123,7 @@
 
     private void begin() throws IOException {
         HostedPeerServer peers =
-                new HostedPeerServer(node.views(), keeper::set, node.metrics(), node.weightPacer(this::serves));
+                new HostedPeerServer(node.views(), keeper::chunkSet, node.metrics(), node.weightPacer(this::serves));
         HttpListener.Bounds usual = HttpListener.Bounds.usual();
         HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
         HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
@@ -164,7 +164,7 @@
             keeper.refresh();
             keeper.report()
                     .ifPresent(report -> loadServer.ifPresent(
-                            server -> server.limits().reported(report.limit(), HostedNode.steadyMillis())));
+                            server -> server.limits().reported(report.rateLimit(), HostedNode.steadyMillis())));
             Optional<Serving> now =
                     told().map(told -> new Serving(told.loading(), told.leaving(), told.version(), told.start()));
             if (!now.equals(toldLast)) {
@@ -204,7 +204,7 @@
 
     /** A version that is named is fetched at once, since the origin may go away; what follows takes seconds to come about. */
     private long replicaMillis() {
-        return keeper.settled() ? SETTLED_LOOK_MILLIS : LOOK_MILLIS;
+        return keeper.isUpToDate() ? SETTLED_LOOK_MILLIS : LOOK_MILLIS;
     }
 
     /** What entries are told of the endpoint; while it does not answer, nothing is said. */
@@ -213,12 +213,12 @@
                 .map(report -> new LoadReport(
                         report.running() + report.queued(),
                         0,
-                        report.busy() || keeper.closing(),
+                        report.busy() || keeper.isCordoned(),
                         model().map(model -> report.models().getOrDefault(model, 0L))
                                 .orElse(0L),
                         freePlaces(report),
                         EndpointStart.token(report.startedMillis()),
-                        report.leaving()));
+                        report.draining()));
     }
 
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
@@ -229,7 +229,7 @@
     }
 
     private boolean serves() {
-        return keeper.serves();
+        return keeper.mayHaveRequests();
     }
 
     private void tellEntries() {
@@ -260,13 +260,14 @@
     }
 
     private List<Agent> agents(View now) {
-        return Agent.beside(now.endpointsOf(settings.service().orElse("")), settings.peerPort(), settings.regions());
+        return Agent.besideEndpoints(
+                now.endpointsOf(settings.service().orElse("")), settings.peerPort(), settings.regions());
     }
 
     /** The place in a view. It is asked for twice a second and more, and views change when an endpoint does. */
-    private record Placed(View view, ReplicaKeeper.Place place) {}
+    private record Placed(View view, ReplicaController.RegionPosition place) {}
 
-    private ReplicaKeeper.Place place() {
+    private ReplicaController.RegionPosition place() {
         View now = view();
         Placed known = placed;
         if (known.view() != now) {
@@ -276,18 +277,18 @@
         return known.place();
     }
 
-    private ReplicaKeeper.Place place(View now) {
+    private ReplicaController.RegionPosition place(View now) {
         List<String> region = Stream.concat(agents(now).stream(), Stream.of(self))
                 .filter(agent -> agent.region().equals(self.region()))
                 .map(Agent::address)
                 .distinct()
                 .sorted()
                 .toList();
-        return new ReplicaKeeper.Place(region.indexOf(self.address()), region.size());
+        return new ReplicaController.RegionPosition(region.indexOf(self.address()), region.size());
     }
 
     private Duty duty() {
-        int position = place().position();
+        int position = place().index();
         if (position < VERSION_KEEPERS) {
             return Duty.WRITES;
         }
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -154,7 +154,7 @@
 
     private void look(HttpServerExchange exchange, Asked asked, long until) {
         Optional<ChunkSet> set = sets.set(asked.model(), asked.version());
-        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().give(asked.indexes());
+        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().pickLeastServed(asked.indexes());
         if (index.isPresent()) {
             give(exchange, index.getAsInt(), set.get().chunk(index.getAsInt()).orElseThrow());
         } else if (System.nanoTime() - until > 0) {
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunks.java
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+    public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
         Result<HttpAnswer> answer = get(agent, CHUNKS + model + "/" + version + "/" + write(wanted));
         if (answer instanceof Result.Failure<HttpAnswer>(Fault fault) && broken(fault)) {
             return Result.failure(forgives(agent, model, version) ? onlyConnection(agent, fault) : fault);
@@ -105,10 +105,10 @@
         return answer.flatMap(given -> numbered(agent, given));
     }
 
-    private static Result<Numbered> numbered(String agent, HttpAnswer answer) {
+    private static Result<IndexedChunk> numbered(String agent, HttpAnswer answer) {
         try {
             int index = Integer.parseInt(answer.headers().getOrDefault(INDEX, ""));
-            return Result.success(new Numbered(index, answer.body()));
+            return Result.success(new IndexedChunk(index, answer.body()));
         } catch (NumberFormatException e) {
             return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "the chunk has no index"));
         }
@@ -151,7 +151,7 @@
         return HexFormat.of().formatHex(wanted.toByteArray());
     }
 
-    /** Reads what {@link #anyOf} writes. */
+    /** Reads what {@link #fetchAnyOf} writes. */
     static BitSet read(String wanted) {
         return BitSet.valueOf(HexFormat.of().parseHex(wanted));
     }
--- a/src/main/java/org/micabarrow/weights/ChunkFetcher.java
+++ b/src/main/java/org/micabarrow/weights/ChunkFetcher.java
@@ -19,7 +19,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ChunkFetcher.class);
 
-    private final Parts parts;
+    private final Dependencies dependencies;
 
     /** The time until which each unresponsive agent is skipped, whichever version is fetched. */
     private final Map<String, Long> unresponsiveUntil = new ConcurrentHashMap<>();
@@ -34,7 +34,7 @@
      * @param downlink waits until the downlink can take the given number of bytes
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public record Parts(
+    public record Dependencies(
             ChunkPeers peers,
             WeightOrigin origin,
             Supplier<Optional<String>> originAddress,
@@ -45,10 +45,10 @@
     /**
      * Creates a fetcher.
      *
-     * @param parts its collaborators
+     * @param dependencies its collaborators
      */
-    public ChunkFetcher(Parts parts) {
-        this.parts = Objects.requireNonNull(parts, "parts is null");
+    public ChunkFetcher(Dependencies dependencies) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
     }
 
     /**
@@ -59,17 +59,17 @@
      * @return an empty chunk set of the version; a failure if no source has the digests
      */
     public Result<ChunkSet> createSet(String model, long version) {
-        Optional<String> from = parts.originAddress().get();
+        Optional<String> from = dependencies.originAddress().get();
         Result<List<String>> result = from.isPresent()
-                ? parts.origin().digests(from.get(), model, version)
+                ? dependencies.origin().digests(from.get(), model, version)
                 : Result.failure(
                         Fault.of(Fault.Step.FETCH, "origin", Fault.Reason.NOT_FOUND, "the manifest names no origin"));
-        for (String agent : parts.sources().sameRegionFirst()) {
+        for (String agent : dependencies.sources().sameRegionFirst()) {
             if (!(result instanceof Result.Failure<List<String>>(Fault fault))) {
                 break;
             }
             LOG.info("event=digests_missed model={} version={} next={} why=\"{}\"", model, version, agent, fault);
-            result = parts.peers().digests(agent, model, version);
+            result = dependencies.peers().digests(agent, model, version);
         }
         return result.map(digests -> new ChunkSet(model, version, digests));
     }
@@ -82,15 +82,16 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void fetch(ChunkSet set, BooleanSupplier wanted) throws InterruptedException {
-        long startMillis = parts.monotonicMillis().getAsLong();
-        SourceSelector selector = new SourceSelector(parts.sources(), set, unresponsiveUntil, parts.monotonicMillis());
-        new FetchRun(parts, selector, set, wanted).run();
+        long startMillis = dependencies.monotonicMillis().getAsLong();
+        SourceSelector selector =
+                new SourceSelector(dependencies.sources(), set, unresponsiveUntil, dependencies.monotonicMillis());
+        new FetchRun(dependencies, selector, set, wanted).run();
         LOG.info(
                 "event=fetched model={} version={} chunks={} of={} ms={}",
                 set.model(),
                 set.version(),
                 set.presentCount(),
                 set.digests().size(),
-                parts.monotonicMillis().getAsLong() - startMillis);
+                dependencies.monotonicMillis().getAsLong() - startMillis);
     }
 }
--- a/src/main/java/org/micabarrow/weights/ChunkPeers.java
+++ b/src/main/java/org/micabarrow/weights/ChunkPeers.java
@@ -13,7 +13,7 @@
      * @param index the chunk's index
      * @param bytes its content, not verified
      */
-    record Numbered(int index, byte[] bytes) {}
+    record IndexedChunk(int index, byte[] bytes) {}
 
     /**
      * Requests the digests of a version's chunks.
@@ -35,5 +35,5 @@
      * @return a chunk; {@code NOT_READY} if the agent is still fetching them or only its connection broke, {@code
      *     NOT_FOUND} if it has not started to fetch the version
      */
-    Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted);
+    Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted);
 }
--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -113,7 +113,7 @@
      * @param wanted the indexes of the acceptable chunks
      * @return the index of the chunk, empty if none of them is present
      */
-    public OptionalInt give(BitSet wanted) {
+    public OptionalInt pickLeastServed(BitSet wanted) {
         OptionalInt index = wanted.stream()
                 .filter(candidate ->
                         candidate < chunks.size() && chunk(candidate).isPresent())
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -41,7 +41,8 @@
          * @param regions the region of each data hall
          * @return the agents, without duplicates
          */
-        public static List<Agent> beside(List<EndpointEntry> endpoints, int port, Map<String, String> regions) {
+        public static List<Agent> besideEndpoints(
+                List<EndpointEntry> endpoints, int port, Map<String, String> regions) {
             return endpoints.stream()
                     .filter(endpoint -> !endpoint.leaving())
                     .map(endpoint -> new Agent(
@@ -132,7 +133,7 @@
      * @param agents supplies all agents currently known, in any order
      * @return the sources by number of chunks
      */
-    public static ChunkSourcesCache following(Agent self, Supplier<List<Agent>> agents) {
+    public static ChunkSourcesCache cached(Agent self, Supplier<List<Agent>> agents) {
         return new ChunkSourcesCache(self, agents);
     }
 
--- a/src/main/java/org/micabarrow/weights/FetchRun.java
+++ b/src/main/java/org/micabarrow/weights/FetchRun.java
@@ -38,7 +38,7 @@
      */
     private static final long ORIGIN_RETRY_MILLIS = 120;
 
-    private final ChunkFetcher.Parts parts;
+    private final ChunkFetcher.Dependencies dependencies;
     private final ChunkSet set;
     private final BooleanSupplier wanted;
     private final SourceSelector selector;
@@ -46,8 +46,8 @@
     private volatile int originCursor;
     private volatile long originFailedAtMillis = Long.MIN_VALUE / 2;
 
-    FetchRun(ChunkFetcher.Parts parts, SourceSelector selector, ChunkSet set, BooleanSupplier wanted) {
-        this.parts = parts;
+    FetchRun(ChunkFetcher.Dependencies dependencies, SourceSelector selector, ChunkSet set, BooleanSupplier wanted) {
+        this.dependencies = dependencies;
         this.selector = selector;
         this.set = set;
         this.wanted = wanted;
@@ -68,7 +68,7 @@
     }
 
     private long now() {
-        return parts.monotonicMillis().getAsLong();
+        return dependencies.monotonicMillis().getAsLong();
     }
 
     // -- one source
@@ -106,10 +106,10 @@
         if (source.equals(SourceSelector.ORIGIN)) {
             return fetchFromOrigin(nextOriginChunk(indexes));
         }
-        return switch (parts.peers().anyOf(source, set.model(), set.version(), indexes)) {
-            case Result.Success<ChunkPeers.Numbered>(ChunkPeers.Numbered(int index, byte[] bytes)) ->
+        return switch (dependencies.peers().fetchAnyOf(source, set.model(), set.version(), indexes)) {
+            case Result.Success<ChunkPeers.IndexedChunk>(ChunkPeers.IndexedChunk(int index, byte[] bytes)) ->
                 addChunk(source, index, bytes);
-            case Result.Failure<ChunkPeers.Numbered>(Fault fault) -> {
+            case Result.Failure<ChunkPeers.IndexedChunk>(Fault fault) -> {
                 handleFailure(source, indexes, fault, waitedMillis);
                 yield false;
             }
@@ -125,11 +125,11 @@
     }
 
     private boolean fetchFromOrigin(int index) {
-        Optional<String> address = parts.originAddress().get();
+        Optional<String> address = dependencies.originAddress().get();
         if (address.isEmpty()) {
             return false;
         }
-        return switch (parts.origin().chunk(address.get(), set.model(), set.version(), index)) {
+        return switch (dependencies.origin().chunk(address.get(), set.model(), set.version(), index)) {
             case Result.Success<byte[]>(byte[] bytes) -> addChunk(SourceSelector.ORIGIN, index, bytes);
             case Result.Failure<byte[]>(Fault fault) -> {
                 originFailedAtMillis = now();
@@ -152,7 +152,7 @@
         // Chunks of the origin are not throttled here: they are few, the link of the origin, which all agents share,
         // limits them already, and the origin may become unavailable.
         if (!source.equals(SourceSelector.ORIGIN)) {
-            parts.downlink().accept(bytes.length);
+            dependencies.downlink().accept(bytes.length);
         }
         return true;
     }
--- a/src/main/java/org/micabarrow/weights/ModelEndpoint.java
+++ b/src/main/java/org/micabarrow/weights/ModelEndpoint.java
@@ -13,44 +13,58 @@
      * The state that the endpoint reports.
      *
      * @param models the weight version of each model of which it holds all layers
-     * @param parts the weight version of each model of which it holds only some layers
+     * @param partialModels the weight version of each model of which it holds only some layers
      * @param busy whether it is loading weights
-     * @param orders the number of orders that it has accepted since its start
+     * @param orderCount the number of orders that it has accepted since its start
      * @param queued the number of waiting requests
      * @param running the number of running requests
      * @param startedMillis its start time as a Unix timestamp in milliseconds; empty if not reported
-     * @param leaving whether it reports that it is draining
+     * @param draining whether it reports that it is draining
      * @param limit the requests per second that it accepts from all entries together; empty if not reported
      */
     record Report(
             Map<String, Long> models,
-            Map<String, Long> parts,
+            Map<String, Long> partialModels,
             boolean busy,
-            long orders,
+            long orderCount,
             int queued,
             int running,
             OptionalLong startedMillis,
-            boolean leaving,
-            OptionalDouble limit) {
+            boolean draining,
+            OptionalDouble rateLimit) {
 
         /**
          * Creates a report of an endpoint that is not draining and reports neither a start time nor a rate limit.
          *
          * @param models the weight version of each model of which it holds all layers
-         * @param parts the weight version of each model of which it holds only some layers
+         * @param partialModels the weight version of each model of which it holds only some layers
          * @param busy whether it is loading weights
-         * @param orders the number of orders that it has accepted since its start
+         * @param orderCount the number of orders that it has accepted since its start
          * @param queued the number of waiting requests
          * @param running the number of running requests
          */
         public Report(
-                Map<String, Long> models, Map<String, Long> parts, boolean busy, long orders, int queued, int running) {
-            this(models, parts, busy, orders, queued, running, OptionalLong.empty(), false, OptionalDouble.empty());
+                Map<String, Long> models,
+                Map<String, Long> partialModels,
+                boolean busy,
+                long orderCount,
+                int queued,
+                int running) {
+            this(
+                    models,
+                    partialModels,
+                    busy,
+                    orderCount,
+                    queued,
+                    running,
+                    OptionalLong.empty(),
+                    false,
+                    OptionalDouble.empty());
         }
     }
 
     /** The outcome of an order. */
-    enum OrderEnd {
+    enum OrderOutcome {
         /** The endpoint has started to load. */
         BEGUN,
         /** The endpoint already holds the version. */
@@ -83,17 +97,17 @@
      * @param index the chunk's index
      * @return its content, empty if the chunk is not staged
      */
-    Result<Optional<byte[]>> staged(String model, int index);
+    Result<Optional<byte[]>> readStaged(String model, int index);
 
     /**
      * Orders the endpoint to load the staged version.
      *
      * @param model the model
      * @param version the weight version
-     * @param ordersSeen the number of orders in the last report; the endpoint refuses if it has accepted more since
+     * @param expectedOrders the number of orders in the last report; the endpoint refuses if it has accepted more since
      * @return the outcome
      */
-    Result<OrderEnd> start(String model, long version, long ordersSeen);
+    Result<OrderOutcome> load(String model, long version, long expectedOrders);
 
     /**
      * Orders the endpoint to load a single layer, after which it serves no other version any more.
@@ -101,8 +115,8 @@
      * @param model the model
      * @param version the weight version
      * @param layer the index of the layer, from 0
-     * @param ordersSeen as for {@link #start}
+     * @param expectedOrders as for {@link #load}
      * @return the outcome
      */
-    Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen);
+    Result<OrderOutcome> loadLayer(String model, long version, int layer, long expectedOrders);
 }
--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -9,7 +9,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.View;
-import org.micabarrow.weights.ModelEndpoint.OrderEnd;
+import org.micabarrow.weights.ModelEndpoint.OrderOutcome;
 import org.micabarrow.weights.ModelEndpoint.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -18,9 +18,9 @@
  * Brings the endpoint beside an agent to the target weight version: fetches the chunks, stages them beside the
  * endpoint, reads all of them back, and orders the endpoint to load them.
  */
-public final class ReplicaKeeper {
+public final class ReplicaController {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReplicaKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReplicaController.class);
 
     /**
      * The maximum time for staging chunks in one step, in milliseconds: some two hundred chunks at a typical endpoint,
@@ -28,7 +28,7 @@
      */
     private static final long STAGING_MILLIS = 250;
 
-    private final Parts parts;
+    private final Dependencies dependencies;
     private final Cordon cordon;
     private final StagedChunks stagedChunks;
     private final VersionDeadlines deadlines;
@@ -45,18 +45,18 @@
      * @param endpoint the endpoint
      * @param fetcher fetches chunks
      * @param view the current view of the store
-     * @param place the agent's position among those of its region
+     * @param regionPosition the agent's position among those of its region
      * @param notifyEntries notifies entries immediately that the endpoint's state has changed
      * @param maxStalenessMillis how long older versions may be served after a newer one was named
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public record Parts(
+    public record Dependencies(
             Supplier<Optional<String>> model,
             IntSupplier layers,
             ModelEndpoint endpoint,
             ChunkFetcher fetcher,
             Supplier<View> view,
-            Supplier<Place> place,
+            Supplier<RegionPosition> regionPosition,
             Runnable notifyEntries,
             long maxStalenessMillis,
             LongSupplier monotonicMillis) {}
@@ -64,26 +64,35 @@
     /**
      * A position among the agents of a region.
      *
-     * @param position the position, from 0
+     * @param index the position, from 0
      * @param count the number of agents
      */
-    public record Place(int position, int count) {}
+    public record RegionPosition(int index, int count) {}
 
     /**
      * Creates a controller.
      *
-     * @param parts its collaborators
+     * @param dependencies its collaborators
      */
-    public ReplicaKeeper(Parts parts) {
-        this.parts = Objects.requireNonNull(parts, "parts is null");
-        this.cordon = new Cordon(parts.notifyEntries());
-        this.stagedChunks = new StagedChunks(parts.endpoint());
-        this.deadlines =
-                new VersionDeadlines(parts.view(), parts.layers(), parts.maxStalenessMillis(), parts.monotonicMillis());
-        this.fetches = new VersionFetches(parts.fetcher(), deadlines, parts.monotonicMillis());
-        this.versionSelector = new TargetVersionSelector(fetches, deadlines, parts.place(), parts.monotonicMillis());
+    public ReplicaController(Dependencies dependencies) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+        this.cordon = new Cordon(dependencies.notifyEntries());
+        this.stagedChunks = new StagedChunks(dependencies.endpoint());
+        this.deadlines = new VersionDeadlines(
+                dependencies.view(),
+                dependencies.layers(),
+                dependencies.maxStalenessMillis(),
+                dependencies.monotonicMillis());
+        this.fetches = new VersionFetches(dependencies.fetcher(), deadlines, dependencies.monotonicMillis());
+        this.versionSelector = new TargetVersionSelector(
+                fetches, deadlines, dependencies.regionPosition(), dependencies.monotonicMillis());
         this.retirement = new Retirement(
-                parts.endpoint(), parts.layers(), stagedChunks, fetches, deadlines, parts.monotonicMillis());
+                dependencies.endpoint(),
+                dependencies.layers(),
+                stagedChunks,
+                fetches,
+                deadlines,
+                dependencies.monotonicMillis());
     }
 
     /**
@@ -100,7 +109,7 @@
      *
      * @return true from shortly before an order until the endpoint has accepted the order or it is no longer needed
      */
-    public boolean closing() {
+    public boolean isCordoned() {
         return cordon.isClosed();
     }
 
@@ -109,7 +118,7 @@
      *
      * @return true if it holds a weight version or has unfinished requests
      */
-    public boolean serves() {
+    public boolean mayHaveRequests() {
         return report.get()
                 .filter(latest -> !latest.models().isEmpty() || latest.running() + latest.queued() > 0)
                 .isPresent();
@@ -120,8 +129,8 @@
      *
      * @return false also while the endpoint does not answer, loads weights, or is cordoned
      */
-    public boolean settled() {
-        Optional<String> model = parts.model().get();
+    public boolean isUpToDate() {
+        Optional<String> model = dependencies.model().get();
         return model.isPresent()
                 && !cordon.isClosed()
                 && report.get()
@@ -143,14 +152,14 @@
     /** Requests a new report from the endpoint. */
     public void refresh() {
         Optional<Report> before = report.get();
-        switch (parts.endpoint().report()) {
+        switch (dependencies.endpoint().report()) {
             case Result.Success<Report>(Report latest) -> {
                 report.set(Optional.of(latest));
                 if (before.isEmpty() || !before.get().models().equals(latest.models())) {
                     LOG.info(
                             "event=endpoint_holds models={} orders={} busy={}",
                             latest.models(),
-                            latest.orders(),
+                            latest.orderCount(),
                             latest.busy());
                 }
             }
@@ -172,7 +181,7 @@
      * @param version the version
      * @return the set, empty if this agent has none
      */
-    public Optional<ChunkSet> set(String model, long version) {
+    public Optional<ChunkSet> chunkSet(String model, long version) {
         return fetches.chunkSet(model, version);
     }
 
@@ -184,7 +193,7 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void fetch() throws InterruptedException {
-        Optional<String> model = parts.model().get();
+        Optional<String> model = dependencies.model().get();
         Optional<Report> latest = report.get();
         if (model.isEmpty() || latest.isEmpty()) {
             return;
@@ -197,7 +206,7 @@
      * may no longer be served. Makes no calls except to the endpoint on the same instance.
      */
     public void step() {
-        Optional<String> model = parts.model().get();
+        Optional<String> model = dependencies.model().get();
         Optional<Report> latest = report.get();
         latest.ifPresent(endpointReport -> retirement.updateHeld(endpointReport.models()));
         if (model.isEmpty() || latest.isEmpty()) {
@@ -229,7 +238,7 @@
         // An endpoint that serves nothing gets no requests, so there is no need to wait for the cordon; and an agent
         // that has just started may have no time to wait.
         boolean cordonElapsed = held == 0
-                || cordon.closeAndCheckElapsed(parts.monotonicMillis().getAsLong())
+                || cordon.closeAndCheckElapsed(dependencies.monotonicMillis().getAsLong())
                 || retireDue && lastOrderPassed;
         if (cordonElapsed && staged.filter(stagedChunks::verifyAndRepair).isPresent()) {
             order(staged.get(), latest);
@@ -244,15 +253,15 @@
      * order or a retirement that is due.
      */
     private void stageArrived(ChunkSet set) {
-        long endMillis = parts.monotonicMillis().getAsLong() + STAGING_MILLIS;
-        stagedChunks.stageNew(set, () -> parts.monotonicMillis().getAsLong() < endMillis);
+        long endMillis = dependencies.monotonicMillis().getAsLong() + STAGING_MILLIS;
+        stagedChunks.stageNew(set, () -> dependencies.monotonicMillis().getAsLong() < endMillis);
     }
 
     private boolean isOrderDueSoon(ChunkSet set, long held) {
         // A closed cordon tolerates a chunk that arrives late.
         long soonMillis = cordon.isClosed() ? 2 * Cordon.LEAD_MILLIS : Cordon.LEAD_MILLIS;
         return (stagedChunks.isComplete(set) || remainingMillis(set) <= soonMillis)
-                && parts.monotonicMillis().getAsLong() + Cordon.LEAD_MILLIS >= orderAt(set.model(), held);
+                && dependencies.monotonicMillis().getAsLong() + Cordon.LEAD_MILLIS >= orderAt(set.model(), held);
     }
 
     /**
@@ -268,7 +277,7 @@
     private long orderAt(String model, long held) {
         return held == 0
                 ? Long.MIN_VALUE
-                : deadlines.orderAt(model, held, parts.place().get());
+                : deadlines.orderAt(model, held, dependencies.regionPosition().get());
     }
 
     private void order(ChunkSet set, Report latest) {
@@ -277,7 +286,7 @@
             refresh();
             return;
         }
-        Result<OrderEnd> outcome = parts.endpoint().start(set.model(), set.version(), latest.orders());
+        Result<OrderOutcome> outcome = dependencies.endpoint().load(set.model(), set.version(), latest.orderCount());
         LOG.info("event=ordered model={} version={} end={}", set.model(), set.version(), outcome);
         refresh();
     }
@@ -286,7 +295,7 @@
 
     /** Reads the staged chunks of the version that the endpoint holds, so that other agents can fetch them. */
     public void readBack() {
-        parts.model().get().ifPresent(model -> {
+        dependencies.model().get().ifPresent(model -> {
             long held = report.get()
                     .map(latest -> latest.models().getOrDefault(model, 0L))
                     .orElse(0L);
@@ -297,7 +306,7 @@
     }
 
     private void readBack(String model, long held) {
-        if (set(model, held).isPresent()) {
+        if (chunkSet(model, held).isPresent()) {
             return;
         }
         fetches.findOrCreate(model, held).toOptional().ifPresent(stagedChunks::readInto);
--- a/src/main/java/org/micabarrow/weights/Retirement.java
+++ b/src/main/java/org/micabarrow/weights/Retirement.java
@@ -10,7 +10,7 @@
 import java.util.function.LongSupplier;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.weights.ModelEndpoint.OrderEnd;
+import org.micabarrow.weights.ModelEndpoint.OrderOutcome;
 import org.micabarrow.weights.ModelEndpoint.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -143,9 +143,9 @@
     }
 
     private void orderLayer(String model, long held, long version, int layer, Report report) {
-        switch (endpoint.startLayer(model, version, layer, report.orders())) {
-            case Result.Success<OrderEnd>(OrderEnd outcome)
-            when outcome == OrderEnd.BEGUN ->
+        switch (endpoint.loadLayer(model, version, layer, report.orderCount())) {
+            case Result.Success<OrderOutcome>(OrderOutcome outcome)
+            when outcome == OrderOutcome.BEGUN ->
                 LOG.warn(
                         "event=retired model={} from={} towards={} layer={} whole={}",
                         model,
@@ -153,9 +153,9 @@
                         version,
                         layer,
                         !unverifiedLayerVersions.contains(version));
-            case Result.Success<OrderEnd>(OrderEnd outcome) ->
+            case Result.Success<OrderOutcome>(OrderOutcome outcome) ->
                 logImpossible(model, held, "the endpoint answered " + outcome);
-            case Result.Failure<OrderEnd>(Fault fault) -> logImpossible(model, held, fault.toString());
+            case Result.Failure<OrderOutcome>(Fault fault) -> logImpossible(model, held, fault.toString());
         }
     }
 
@@ -181,7 +181,7 @@
 
     /** Whether the endpoint may hold layers of a version that were loaded from chunks of another version. */
     boolean mayHoldUnverifiedLayers(ChunkSet set, Report report) {
-        boolean holdsLayers = report.parts().getOrDefault(set.model(), 0L) == set.version();
+        boolean holdsLayers = report.partialModels().getOrDefault(set.model(), 0L) == set.version();
         return holdsLayers
                 && !(completeLayerVersions.contains(set.version()) && !unverifiedLayerVersions.contains(set.version()));
     }
@@ -197,8 +197,8 @@
             return;
         }
         unverifiedLayerVersions.add(otherVersion.getAsLong());
-        Result<OrderEnd> outcome =
-                endpoint.startLayer(set.model(), otherVersion.getAsLong(), FALLBACK_LAYER, report.orders());
+        Result<OrderOutcome> outcome =
+                endpoint.loadLayer(set.model(), otherVersion.getAsLong(), FALLBACK_LAYER, report.orderCount());
         LOG.info(
                 "event=layers_given_up model={} version={} by={} end={}",
                 set.model(),
--- a/src/main/java/org/micabarrow/weights/StagedChunks.java
+++ b/src/main/java/org/micabarrow/weights/StagedChunks.java
@@ -122,7 +122,7 @@
     boolean verifyAndRepair(ChunkSet set) {
         int repaired = 0;
         for (int i = 0; i < set.digests().size(); i++) {
-            Result<Optional<byte[]>> readBack = endpoint.staged(set.model(), i);
+            Result<Optional<byte[]>> readBack = endpoint.readStaged(set.model(), i);
             if (readBack instanceof Result.Failure<Optional<byte[]>>(Fault fault)) {
                 LOG.warn("event=read_back_failed chunk={} why=\"{}\"", i, fault);
                 return false;
@@ -147,7 +147,7 @@
     void readInto(ChunkSet set) {
         for (int i = 0; i < set.digests().size(); i++) {
             int index = i;
-            endpoint.staged(set.model(), i)
+            endpoint.readStaged(set.model(), i)
                     .toOptional()
                     .flatMap(bytes -> bytes)
                     .ifPresent(bytes -> set.put(index, bytes));
--- a/src/main/java/org/micabarrow/weights/TargetVersionSelector.java
+++ b/src/main/java/org/micabarrow/weights/TargetVersionSelector.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.micabarrow.weights.ReplicaKeeper.Place;
+import org.micabarrow.weights.ReplicaController.RegionPosition;
 
 /** Selects the version to which an endpoint is brought among those that have been fetched. */
 final class TargetVersionSelector {
@@ -19,14 +19,17 @@
 
     private final VersionFetches fetches;
     private final VersionDeadlines deadlines;
-    private final Supplier<Place> place;
+    private final Supplier<RegionPosition> regionPosition;
     private final LongSupplier monotonicMillis;
 
     TargetVersionSelector(
-            VersionFetches fetches, VersionDeadlines deadlines, Supplier<Place> place, LongSupplier monotonicMillis) {
+            VersionFetches fetches,
+            VersionDeadlines deadlines,
+            Supplier<RegionPosition> regionPosition,
+            LongSupplier monotonicMillis) {
         this.fetches = fetches;
         this.deadlines = deadlines;
-        this.place = place;
+        this.regionPosition = regionPosition;
         this.monotonicMillis = monotonicMillis;
     }
 
@@ -54,7 +57,7 @@
     }
 
     private boolean loadsEveryVersion() {
-        Place ownPosition = place.get();
-        return ownPosition.position() < ownPosition.count() * EVERY_VERSION_FRACTION;
+        RegionPosition ownPosition = regionPosition.get();
+        return ownPosition.index() < ownPosition.count() * EVERY_VERSION_FRACTION;
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -20,7 +20,7 @@
     private static final double RETIRE_FRACTION = 0.84;
 
     /** The position of the agent that gives its order last. */
-    private static final ReplicaKeeper.Place LAST_POSITION = new ReplicaKeeper.Place(1, 2);
+    private static final ReplicaController.RegionPosition LAST_POSITION = new ReplicaController.RegionPosition(1, 2);
 
     /**
      * How long after its scheduled time an agent with corrupted chunks may still give its order, in milliseconds: two
@@ -159,11 +159,11 @@
     }
 
     /** When an agent is scheduled to order its endpoint to load a version newer than the held one. */
-    long orderAt(String model, long held, ReplicaKeeper.Place place) {
+    long orderAt(String model, long held, ReplicaController.RegionPosition position) {
         return view.get()
                 .newerNamed(model, held)
                 .map(target -> OrderSchedule.orderMillis(
-                        target.learnedMillis(), maxStalenessMillis, place.position(), place.count()))
+                        target.learnedMillis(), maxStalenessMillis, position.index(), position.count()))
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
+++ b/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
@@ -53,15 +53,15 @@
     void shouldHoldVersionWhenAllLayersAreThere() {
         Report whole = read("\"layers\":{\"from\":0,\"target_version\":16,\"version\":2},");
         assertEquals(Map.of("m", 2L), whole.models());
-        assertEquals(Map.of(), whole.parts());
+        assertEquals(Map.of(), whole.partialModels());
     }
 
     @Test
     void shouldHoldVersionInPartWhenLayersAreMissing() {
         Report part = read("\"layers\":{\"from\":3,\"target_version\":4,\"version\":2},");
         assertEquals(Map.of(), part.models());
-        assertEquals(Map.of("m", 2L), part.parts());
-        assertEquals(3, part.orders());
+        assertEquals(Map.of("m", 2L), part.partialModels());
+        assertEquals(3, part.orderCount());
     }
 
     @Test
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunksTest.java
@@ -14,7 +14,7 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Result;
-import org.micabarrow.weights.ChunkPeers.Numbered;
+import org.micabarrow.weights.ChunkPeers.IndexedChunk;
 
 /** What is made of an agent that leaves a question for chunks without an answer. */
 class PeerChunksTest {
@@ -60,17 +60,17 @@
         }
     }
 
-    private Result<Numbered> ask(PeerChunks peers) {
+    private Result<IndexedChunk> ask(PeerChunks peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
-        return peers.anyOf(relay.address(), "m", 2, wanted);
+        return peers.fetchAnyOf(relay.address(), "m", 2, wanted);
     }
 
-    private static Optional<Integer> given(Result<Numbered> answer) {
-        return answer.toOptional().map(Numbered::index);
+    private static Optional<Integer> given(Result<IndexedChunk> answer) {
+        return answer.toOptional().map(IndexedChunk::index);
     }
 
-    private static Reason reason(Result<Numbered> answer) {
+    private static Reason reason(Result<IndexedChunk> answer) {
         return answer.cause().orElseThrow().reason();
     }
 
--- a/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
@@ -41,7 +41,7 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             return notFound(agent);
         }
     }
@@ -65,7 +65,7 @@
     }
 
     private ChunkFetcher fetcher(ChunkSourcesCache sources) {
-        return new ChunkFetcher(new ChunkFetcher.Parts(
+        return new ChunkFetcher(new ChunkFetcher.Dependencies(
                 peers, new EmptyOrigin(), () -> Optional.of("origin:80"), sources, bytes -> {}, () -> 0));
     }
 
@@ -74,7 +74,7 @@
         List<Agent> agents = List.of(OTHER_REGION, SELF, SAME_REGION, ALSO_SAME_REGION);
         for (Agent self : List.of(SELF, SAME_REGION, ALSO_SAME_REGION)) {
             peers.queried.clear();
-            fetcher(ChunkSources.following(self, () -> agents)).createSet("m", 2);
+            fetcher(ChunkSources.cached(self, () -> agents)).createSet("m", 2);
             assertEquals(3, peers.queried.size(), "queried by " + self);
             assertEquals(OTHER_REGION.address(), peers.queried.getLast(), "queried by " + self);
             assertEquals(
@@ -87,7 +87,7 @@
     @Test
     void shouldReturnDigestsOfFirstAgentThatHasThem() {
         peers.holder = SAME_REGION.address();
-        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION)))
+        Result<ChunkSet> set = fetcher(ChunkSources.cached(SELF, () -> List.of(SAME_REGION, OTHER_REGION)))
                 .createSet("m", 2);
         assertEquals(DIGESTS, set.toOptional().orElseThrow().digests());
         assertEquals(List.of(SAME_REGION.address()), peers.queried);
@@ -95,14 +95,14 @@
 
     @Test
     void shouldFailWithCauseWhenNoSourceHasDigests() {
-        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, List::of)).createSet("m", 2);
+        Result<ChunkSet> set = fetcher(ChunkSources.cached(SELF, List::of)).createSet("m", 2);
         assertTrue(set.cause().isPresent());
         assertEquals(List.of(), peers.queried);
     }
 
     @Test
     void shouldKeepCachedSourcesWhenDigestsOfAnotherVersionAreFetched() {
-        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SAME_REGION, OTHER_REGION));
+        ChunkSourcesCache sources = ChunkSources.cached(SELF, () -> List.of(SAME_REGION, OTHER_REGION));
         ChunkSources before = sources.apply(DIGESTS.size());
         fetcher(sources).createSet("m", 2);
         assertSame(before, sources.apply(DIGESTS.size()));
--- a/src/test/java/org/micabarrow/weights/ChunkSetTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSetTest.java
@@ -40,7 +40,7 @@
     void shouldServeDifferentChunksWhenManyAgentsGetSameRequest() {
         Set<Integer> served = new HashSet<>();
         for (int agent = 0; agent < AGENTS; agent++) {
-            served.add(completeSet().give(range(CHUNKS)).orElseThrow());
+            served.add(completeSet().pickLeastServed(range(CHUNKS)).orElseThrow());
         }
         assertTrue(served.size() > AGENTS / 4, "chunks " + served);
     }
@@ -50,7 +50,7 @@
         ChunkSet set = completeSet();
         Set<Integer> served = new HashSet<>();
         for (int i = 0; i < CHUNKS; i++) {
-            served.add(set.give(range(CHUNKS)).orElseThrow());
+            served.add(set.pickLeastServed(range(CHUNKS)).orElseThrow());
         }
         assertEquals(CHUNKS, served.size());
     }
@@ -59,8 +59,8 @@
     void shouldServeOnlyWantedChunks() {
         ChunkSet set = completeSet();
         for (int i = 0; i < CHUNKS; i++) {
-            assertTrue(set.give(range(3)).orElseThrow() < 3);
+            assertTrue(set.pickLeastServed(range(3)).orElseThrow() < 3);
         }
-        assertTrue(set.give(new BitSet()).isEmpty());
+        assertTrue(set.pickLeastServed(new BitSet()).isEmpty());
     }
 }
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -207,7 +207,7 @@
     void shouldKeepSourcesWhenOnlyTheOrderOfAgentsChanges() {
         List<Agent> all = agents(List.of(2, 2));
         AtomicReference<List<Agent>> known = new AtomicReference<>(all);
-        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), known::get);
+        IntFunction<ChunkSources> sources = ChunkSources.cached(all.getFirst(), known::get);
         ChunkSources first = sources.apply(CHUNKS);
         known.set(all.reversed());
         assertSame(first, sources.apply(CHUNKS));
@@ -217,7 +217,7 @@
     void shouldRecomputeSourcesWhenAgentGoes() {
         List<Agent> all = agents(List.of(2, 2));
         AtomicReference<List<Agent>> known = new AtomicReference<>(all);
-        IntFunction<ChunkSources> sources = ChunkSources.following(all.getFirst(), known::get);
+        IntFunction<ChunkSources> sources = ChunkSources.cached(all.getFirst(), known::get);
         assertEquals(List.of(all.get(1).address()), sources.apply(CHUNKS).sameRegion());
         known.set(List.of(all.get(0), all.get(2), all.get(3)));
         assertEquals(List.of(), sources.apply(CHUNKS).sameRegion());
@@ -230,6 +230,6 @@
         EndpointEntry sameInstance = EndpointEntry.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
         assertEquals(
                 List.of(new Agent("10.0.0.1:7000", "region-a")),
-                Agent.beside(List.of(serving, draining, sameInstance), 7_000, Map.of("hall-a", "region-a")));
+                Agent.besideEndpoints(List.of(serving, draining, sameInstance), 7_000, Map.of("hall-a", "region-a")));
     }
 }
--- a/src/test/java/org/micabarrow/weights/FakeEndpoint.java
+++ b/src/test/java/org/micabarrow/weights/FakeEndpoint.java
@@ -96,31 +96,31 @@
     }
 
     @Override
-    public Result<Optional<byte[]>> staged(String model, int index) {
+    public Result<Optional<byte[]>> readStaged(String model, int index) {
         return readable ? Result.success(Optional.ofNullable(staged.get(index))) : noAnswer(Fault.Step.STAGE);
     }
 
     @Override
-    public Result<OrderEnd> start(String model, long version, long ordersSeen) {
-        return acceptOrder("start " + version, version, 0, LAYERS, ordersSeen);
+    public Result<OrderOutcome> load(String model, long version, long expectedOrders) {
+        return acceptOrder("start " + version, version, 0, LAYERS, expectedOrders);
     }
 
     @Override
-    public Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen) {
-        return acceptOrder("start " + version + " layer " + layer, version, layer, layer + 1, ordersSeen);
+    public Result<OrderOutcome> loadLayer(String model, long version, int layer, long expectedOrders) {
+        return acceptOrder("start " + version + " layer " + layer, version, layer, layer + 1, expectedOrders);
     }
 
-    private Result<OrderEnd> acceptOrder(String description, long version, int from, int end, long ordersSeen) {
+    private Result<OrderOutcome> acceptOrder(String description, long version, int from, int end, long expectedOrders) {
         if (unresponsive) {
             return noAnswer(Fault.Step.ORDER);
         }
-        if (refusals > 0 || ordersSeen != orders.size()) {
+        if (refusals > 0 || expectedOrders != orders.size()) {
             refusals--;
-            return Result.success(OrderEnd.CONFLICT);
+            return Result.success(OrderOutcome.CONFLICT);
         }
         orders.add(description);
         loadLayers(version, from, end);
-        return lostAnswers-- > 0 ? noAnswer(Fault.Step.ORDER) : Result.success(OrderEnd.BEGUN);
+        return lostAnswers-- > 0 ? noAnswer(Fault.Step.ORDER) : Result.success(OrderOutcome.BEGUN);
     }
 
     private void loadLayers(long version, int from, int end) {
--- a/src/test/java/org/micabarrow/weights/FetchRunTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchRunTest.java
@@ -68,21 +68,21 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             clock.addAndGet(REQUEST_MILLIS);
             if (fromOrigin.size() < CHUNKS / 2) {
                 return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_READY, "still fetching"));
             }
             int index = wanted.nextSetBit(0);
-            return Result.success(new Numbered(index, FetchRunTest.chunk(index)));
+            return Result.success(new IndexedChunk(index, FetchRunTest.chunk(index)));
         }
     }
 
     @Test
     @Timeout(60)
     void shouldFetchOnlyOwnChunksFromOriginWhenItIsBack() throws Exception {
-        ChunkSourcesCache sources = ChunkSources.following(SELF, () -> List.of(SELF, SAME_REGION));
-        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
+        ChunkSourcesCache sources = ChunkSources.cached(SELF, () -> List.of(SELF, SAME_REGION));
+        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new Peer(), new Origin(), () -> Optional.of("origin:80"), sources, bytes -> {}, clock::get));
         ChunkSet set = fetcher.createSet("m", 2).toOptional().orElseThrow();
         fetcher.fetch(set, () -> true);
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             return notFound();
         }
     }
@@ -172,7 +172,7 @@
         VersionFetches fetches;
         Optional<FetchProgress> progress = Optional.empty();
         boolean fetchingOlder;
-        private ReplicaKeeper controller;
+        private ReplicaController controller;
         private double downlinkCredit;
         private double uplinkCredit;
         private long busyUntilMillis;
@@ -190,13 +190,13 @@
         }
 
         private void startAgent() {
-            controller = new ReplicaKeeper(new ReplicaKeeper.Parts(
+            controller = new ReplicaController(new ReplicaController.Dependencies(
                     () -> Optional.of("m"),
                     () -> FakeEndpoint.LAYERS,
                     endpoint,
                     fetcher(true),
                     views::view,
-                    () -> new ReplicaKeeper.Place(position, scenario.agents()),
+                    () -> new ReplicaController.RegionPosition(position, scenario.agents()),
                     () -> {},
                     MAX_STALENESS_MILLIS,
                     now::get));
@@ -206,11 +206,11 @@
         }
 
         private ChunkFetcher fetcher(boolean forController) {
-            return new ChunkFetcher(new ChunkFetcher.Parts(
+            return new ChunkFetcher(new ChunkFetcher.Dependencies(
                     new NoPeers(),
                     new DigestOrigin(forController),
                     () -> Optional.of("origin:80"),
-                    ChunkSources.following(new Agent("a", "r"), List::of),
+                    ChunkSources.cached(new Agent("a", "r"), List::of),
                     bytes -> {},
                     now::get));
         }
@@ -240,7 +240,7 @@
         }
 
         private boolean serves() {
-            return endpoint.held > 0 && !endpoint.busy && !controller.closing() && !isPaused();
+            return endpoint.held > 0 && !endpoint.busy && !controller.isCordoned() && !isPaused();
         }
 
         private void addChunk(long version, int index) {
@@ -257,7 +257,7 @@
          * endpoint reports.
          */
         private ChunkSet controllerSet(long version) {
-            if (controller.set("m", version).isEmpty()) {
+            if (controller.chunkSet("m", version).isEmpty()) {
                 long held = endpoint.held;
                 endpoint.held = version;
                 controller.refresh();
@@ -265,13 +265,13 @@
                 endpoint.held = held;
                 controller.refresh();
             }
-            return controller.set("m", version).orElseThrow();
+            return controller.chunkSet("m", version).orElseThrow();
         }
 
         private void step() {
             endpoint.busy = now.get() < busyUntilMillis;
             int orders = endpoint.orders.size();
-            boolean wasServing = serves() || controller.closing() && endpoint.held > 0;
+            boolean wasServing = serves() || controller.isCordoned() && endpoint.held > 0;
             controller.refresh();
             controller.step();
             if (endpoint.orders.size() > orders) {
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -43,11 +43,11 @@
     private final VersionDeadlines deadlines =
             new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, MAX_STALENESS_MILLIS, now::get);
     private final VersionFetches fetches = new VersionFetches(
-            new ChunkFetcher(new ChunkFetcher.Parts(
+            new ChunkFetcher(new ChunkFetcher.Dependencies(
                     peer,
                     origin,
                     () -> Optional.of("origin:80"),
-                    ChunkSources.following(SELF, () -> List.of(SELF, SAME_REGION)),
+                    ChunkSources.cached(SELF, () -> List.of(SELF, SAME_REGION)),
                     bytes -> {},
                     now::get)),
             deadlines,
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public synchronized Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public synchronized Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             onRequest.accept(version);
             int index = wanted.nextSetBit(0);
             boolean tooEarly = now.get() - lastServedMillis.getOrDefault(version, Long.MIN_VALUE / 2)
@@ -86,7 +86,7 @@
             lastServedMillis.put(version, now.get());
             now.addAndGet(chunkMillis);
             onServed.accept(version);
-            return Result.success(new Numbered(index, FakeOrigin.chunk(version, index)));
+            return Result.success(new IndexedChunk(index, FakeOrigin.chunk(version, index)));
         }
     }
 
--- a/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -27,25 +27,25 @@
     final ViewKeeper views = new ViewKeeper(new EndpointDecoder(), now::get);
     volatile int throttledBytes;
     int cordonNotifications;
-    volatile ReplicaKeeper.Place place = new ReplicaKeeper.Place(0, 3);
-    final ReplicaKeeper controller = newController();
+    volatile ReplicaController.RegionPosition position = new ReplicaController.RegionPosition(0, 3);
+    final ReplicaController controller = newController();
     private final List<Thread> fetchThreads = new ArrayList<>();
 
     /** Creates a controller without any state of a previous one. */
-    final ReplicaKeeper newController() {
-        return new ReplicaKeeper(new ReplicaKeeper.Parts(
+    final ReplicaController newController() {
+        return new ReplicaController(new ReplicaController.Dependencies(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
                 endpoint,
-                new ChunkFetcher(new ChunkFetcher.Parts(
+                new ChunkFetcher(new ChunkFetcher.Dependencies(
                         new NoPeers(),
                         origin,
                         () -> Optional.of("origin:80"),
-                        ChunkSources.following(new Agent("a", "r"), List::of),
+                        ChunkSources.cached(new Agent("a", "r"), List::of),
                         bytes -> throttledBytes += bytes,
                         now::get)),
                 views::view,
-                () -> place,
+                () -> position,
                 () -> cordonNotifications++,
                 MAX_STALENESS_MILLIS,
                 now::get));
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_FOUND, "none"));
         }
     }
@@ -120,7 +120,7 @@
     }
 
     void awaitPresent(long version, int chunks) {
-        while (controller.set("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
+        while (controller.chunkSet("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
             Thread.onSpinWait();
         }
     }
--- a/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.api.Test;
 
 /** An endpoint is brought to the target version, and never loads a version that is incomplete or corrupted. */
-class ReplicaKeeperTest extends ReplicaControllerFixture {
+class ReplicaControllerTest extends ReplicaControllerFixture {
 
     @Test
     void shouldBeUpToDateOnlyWhileEndpointServesNewestVersion() {
-        assertFalse(controller.settled(), "no report yet");
+        assertFalse(controller.isUpToDate(), "no report yet");
         controller.refresh();
-        assertFalse(controller.settled(), "the endpoint holds nothing");
+        assertFalse(controller.isUpToDate(), "the endpoint holds nothing");
         endpoint.held = 1;
         controller.refresh();
-        assertTrue(controller.settled());
+        assertTrue(controller.isUpToDate());
         views.want("m", 2);
-        assertFalse(controller.settled(), "a newer version is named");
+        assertFalse(controller.isUpToDate(), "a newer version is named");
     }
 
     @Test
@@ -38,7 +38,7 @@
         fetch();
         assertEquals(
                 FakeOrigin.CHUNKS,
-                controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+                controller.chunkSet("m", 2).map(ChunkSet::presentCount).orElse(0));
     }
 
     @Test
@@ -48,15 +48,15 @@
         views.want("m", 3);
         origin.maxServedVersion = 2;
         fetch();
-        assertEquals(0, controller.set("m", 3).map(ChunkSet::presentCount).orElse(-1));
+        assertEquals(0, controller.chunkSet("m", 3).map(ChunkSet::presentCount).orElse(-1));
         assertEquals(
                 FakeOrigin.CHUNKS,
-                controller.set("m", 2).map(ChunkSet::presentCount).orElse(0));
+                controller.chunkSet("m", 2).map(ChunkSet::presentCount).orElse(0));
         origin.maxServedVersion = 3;
         fetch();
         assertEquals(
                 FakeOrigin.CHUNKS,
-                controller.set("m", 3).map(ChunkSet::presentCount).orElse(0),
+                controller.chunkSet("m", 3).map(ChunkSet::presentCount).orElse(0),
                 "the newest is fetched again");
     }
 
@@ -75,7 +75,7 @@
 
     @Test
     void shouldSkipVersionWhenNewerOneIsExpectedSoon() throws Exception {
-        place = new ReplicaKeeper.Place(2, 3);
+        position = new ReplicaController.RegionPosition(2, 3);
         Thread fetching = fetchMostOfThirdVersion();
         now.addAndGet(1_600);
         stepThroughCordon();
@@ -89,7 +89,7 @@
 
     @Test
     void shouldLoadVersionWhenNewerOneIsStalled() throws Exception {
-        place = new ReplicaKeeper.Place(2, 3);
+        position = new ReplicaController.RegionPosition(2, 3);
         Thread fetching = fetchMostOfThirdVersion();
         now.addAndGet(1_600);
         stepThroughCordon();
@@ -118,7 +118,7 @@
         now.addAndGet(MAX_STALENESS_MILLIS + 1);
         origin.maxKnownVersion = 2;
         fetch();
-        assertTrue(controller.set("m", 2).isEmpty());
+        assertTrue(controller.chunkSet("m", 2).isEmpty());
     }
 
     @Test
@@ -126,7 +126,7 @@
         fetch();
         assertEquals(
                 FakeOrigin.CHUNKS,
-                controller.set("m", 1).map(ChunkSet::presentCount).orElse(0));
+                controller.chunkSet("m", 1).map(ChunkSet::presentCount).orElse(0));
         assertEquals(0, throttledBytes);
     }
 
@@ -149,7 +149,7 @@
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
-        assertTrue(controller.closing());
+        assertTrue(controller.isCordoned());
         assertEquals(1, cordonNotifications);
         now.addAndGet(Cordon.LEAD_MILLIS - 1);
         controller.step();
@@ -159,7 +159,7 @@
         assertEquals(List.of("start 2"), endpoint.orders);
         assertEquals(1, cordonNotifications);
         controller.step();
-        assertFalse(controller.closing(), "the endpoint holds the version");
+        assertFalse(controller.isCordoned(), "the endpoint holds the version");
     }
 
     @Test
@@ -171,12 +171,12 @@
         controller.step();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
-        assertFalse(controller.closing(), "two of eight chunks take longer than the cordon at this rate");
+        assertFalse(controller.isCordoned(), "two of eight chunks take longer than the cordon at this rate");
         origin.servedEnd = FakeOrigin.CHUNKS - 1;
         awaitPresent(2, FakeOrigin.CHUNKS - 1);
         now.addAndGet(-MAX_STALENESS_MILLIS / 2 + 3_400);
         controller.step();
-        assertTrue(controller.closing());
+        assertTrue(controller.isCordoned());
         now.addAndGet(Cordon.LEAD_MILLIS);
         controller.step();
         assertEquals(List.of(), endpoint.orders, "a chunk is missing");
@@ -195,7 +195,7 @@
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
         assertFalse(
-                controller.closing(),
+                controller.isCordoned(),
                 "six chunks took four seconds to arrive, so two more take longer than the cordon");
         origin.servedEnd = FakeOrigin.CHUNKS;
         fetching.join();
@@ -208,11 +208,11 @@
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
-        assertTrue(controller.closing());
+        assertTrue(controller.isCordoned());
         endpoint.held = 2;
         controller.refresh();
         controller.step();
-        assertFalse(controller.closing());
+        assertFalse(controller.isCordoned());
         assertEquals(List.of(), endpoint.orders);
     }
 
@@ -293,16 +293,17 @@
         }
         controller.refresh();
         controller.readBack();
-        assertEquals(FakeOrigin.CHUNKS, controller.set("m", 1).orElseThrow().presentCount());
+        assertEquals(
+                FakeOrigin.CHUNKS, controller.chunkSet("m", 1).orElseThrow().presentCount());
         assertEquals(0, origin.servedCount);
     }
 
     @Test
     void shouldReserveLinkForRequestsOnlyWhenEndpointMayGetSome() {
         controller.refresh();
-        assertFalse(controller.serves(), "the endpoint holds nothing, so the link is free for weights");
+        assertFalse(controller.mayHaveRequests(), "the endpoint holds nothing, so the link is free for weights");
         endpoint.held = 1;
         controller.refresh();
-        assertTrue(controller.serves());
+        assertTrue(controller.mayHaveRequests());
     }
 }
--- a/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
@@ -23,7 +23,7 @@
     private static final double FAILURE_RATE = 0.02;
     private static final List<Double> CHUNK_RATES = List.of(0.0, 0.01, 0.04, 0.2);
 
-    private ReplicaKeeper currentController = controller;
+    private ReplicaController currentController = controller;
     private long secondNamedMillis;
     private long thirdNamedMillis;
 
@@ -36,7 +36,7 @@
     void shouldServeNoOldOrUnverifiedVersionInRandomScenarios(long seed) {
         Random random = new Random(seed);
         double chunkRate = CHUNK_RATES.get(random.nextInt(CHUNK_RATES.size()));
-        place = new ReplicaKeeper.Place(random.nextInt(3), 3);
+        position = new ReplicaController.RegionPosition(random.nextInt(3), 3);
         endpoint.held = 1;
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
@@ -93,10 +93,10 @@
 
     /** Adds a random missing chunk. The first chunk creates the version's set. */
     private void addChunk(long version, Random random) {
-        if (currentController.set("m", version).isEmpty()) {
+        if (currentController.chunkSet("m", version).isEmpty()) {
             createSet(version);
         }
-        ChunkSet set = currentController.set("m", version).orElseThrow();
+        ChunkSet set = currentController.chunkSet("m", version).orElseThrow();
         random.ints(FakeOrigin.CHUNKS, 0, FakeOrigin.CHUNKS)
                 .filter(index -> set.chunk(index).isEmpty())
                 .findFirst()
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -58,7 +58,7 @@
         fetchAllButLastChunk();
         now.addAndGet(3_400);
         controller.step();
-        assertTrue(controller.closing(), "the last chunk is expected soon");
+        assertTrue(controller.isCordoned(), "the last chunk is expected soon");
     }
 
     /** All chunks of the named versions arrive, and the resulting steps are taken. */
@@ -149,7 +149,7 @@
 
     @Test
     void shouldDiscardLayersLoadedBeforeAgentStarted() throws Exception {
-        endpoint.startLayer("m", 2, 0, 0);
+        endpoint.loadLayer("m", 2, 0, 0);
         views.want("m", 2);
         fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 1 layer 0", "start 2"), endpoint.orders);
@@ -180,7 +180,7 @@
         origin.servedEnd = 0;
         controller.refresh();
         controller.step();
-        assertFalse(controller.closing());
+        assertFalse(controller.isCordoned());
     }
 
     // -- failed orders
@@ -224,7 +224,7 @@
         nameSecondWhileFirstIsHeld();
         fetch();
         endpoint.readable = false;
-        place = new ReplicaKeeper.Place(2, 3);
+        position = new ReplicaController.RegionPosition(2, 3);
         stepFor(MAX_STALENESS_MILLIS);
         assertEquals(0, endpoint.held);
     }
--- a/src/test/java/org/micabarrow/weights/StagedChunksTest.java
+++ b/src/test/java/org/micabarrow/weights/StagedChunksTest.java
@@ -48,18 +48,18 @@
         }
 
         @Override
-        public Result<Optional<byte[]>> staged(String model, int index) {
+        public Result<Optional<byte[]>> readStaged(String model, int index) {
             return Result.success(Optional.ofNullable(staged.get(index)));
         }
 
         @Override
-        public Result<OrderEnd> start(String model, long version, long ordersSeen) {
-            return Result.success(OrderEnd.BEGUN);
+        public Result<OrderOutcome> load(String model, long version, long expectedOrders) {
+            return Result.success(OrderOutcome.BEGUN);
         }
 
         @Override
-        public Result<OrderEnd> startLayer(String model, long version, int layer, long ordersSeen) {
-            return Result.success(OrderEnd.BEGUN);
+        public Result<OrderOutcome> loadLayer(String model, long version, int layer, long expectedOrders) {
+            return Result.success(OrderOutcome.BEGUN);
         }
     }
 
