--- /dev/null
+++ b/src/main/java/org/micabarrow/weights/StagedChunks.java
@@ -0,0 +1,162 @@
+package org.micabarrow.weights;
+
+import java.util.BitSet;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.function.BooleanSupplier;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Result;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The chunks staged beside an endpoint, from which it loads weights. Stages the chunks of the version being fetched as
+ * they arrive, and reads them back, since staged chunks may become corrupted. Used by one thread, except
+ * {@link #readInto}.
+ */
+final class StagedChunks {
+
+    private static final Logger LOG = LoggerFactory.getLogger(StagedChunks.class);
+
+    private final ModelEndpoint endpoint;
+    private final BitSet stagedChunks = new BitSet();
+    private Optional<ChunkSet> stagedSet = Optional.empty();
+    private OptionalLong startedMillis = OptionalLong.empty();
+
+    /**
+     * Creates the staging state of an endpoint. Nothing is known to be staged.
+     *
+     * @param endpoint the endpoint
+     */
+    StagedChunks(ModelEndpoint endpoint) {
+        this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
+    }
+
+    // -- restarts
+
+    /**
+     * Records the endpoint's start time. After a restart, all chunks must be staged again: staged chunks survive a
+     * crash of the endpoint but not a loss of power.
+     *
+     * @param reported the start time as a Unix timestamp in milliseconds; empty if the endpoint does not report it
+     * @return whether the endpoint has restarted
+     */
+    boolean detectRestart(OptionalLong reported) {
+        OptionalLong previous = startedMillis;
+        if (reported.isEmpty() || reported.equals(previous)) {
+            return false;
+        }
+        startedMillis = reported;
+        if (previous.isEmpty()) {
+            return false;
+        }
+        LOG.warn("event=endpoint_restarted started={} before={}", reported.getAsLong(), previous.getAsLong());
+        stagedSet = Optional.empty();
+        stagedChunks.clear();
+        return true;
+    }
+
+    // -- staging
+
+    /**
+     * Stages the chunks of a version that have arrived since the last call, while {@code mayContinue} holds. Chunks
+     * staged for another version no longer count.
+     */
+    void stageNew(ChunkSet set, BooleanSupplier mayContinue) {
+        if (stagedSet.filter(set::equals).isEmpty()) {
+            stagedSet = Optional.of(set);
+            stagedChunks.clear();
+        }
+        for (int i = 0; i < set.digests().size() && mayContinue.getAsBoolean(); i++) {
+            if (!stagedChunks.get(i) && set.chunk(i).isPresent() && stageChunk(set, i)) {
+                stagedChunks.set(i);
+                if (isComplete(set)) {
+                    LOG.info("event=staged model={} version={}", set.model(), set.version());
+                }
+            }
+        }
+    }
+
+    /** Stages chunks again, since staged ones may be corrupted. Returns whether all of them were staged. */
+    boolean restage(ChunkSet set, int first, int end) {
+        if (stagedSet.filter(set::equals).isEmpty()) {
+            stagedChunks.clear(first, end);
+        }
+        for (int i = first; i < end; i++) {
+            if (!stageChunk(set, i)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private boolean stageChunk(ChunkSet set, int index) {
+        Result<Boolean> result =
+                endpoint.stage(set.model(), index, set.chunk(index).orElseThrow());
+        result.cause()
+                .ifPresent(fault -> LOG.warn(
+                        "event=stage_failed model={} version={} chunk={} why=\"{}\"",
+                        set.model(),
+                        set.version(),
+                        index,
+                        fault));
+        return result.toOptional().isPresent();
+    }
+
+    // -- state
+
+    /** Whether all chunks of the version being staged are staged. */
+    boolean isComplete(ChunkSet set) {
+        return stagedChunks.cardinality() == set.digests().size();
+    }
+
+    /** The number of the version's chunks that are not staged yet. */
+    int missingCount(ChunkSet set) {
+        return set.digests().size() - stagedChunks.cardinality();
+    }
+
+    // -- reading back
+
+    /** Reads all chunks back and stages corrupted ones again. Returns whether all were intact in this pass. */
+    boolean verifyAndRepair(ChunkSet set) {
+        int repaired = 0;
+        for (int i = 0; i < set.digests().size(); i++) {
+            Result<Optional<byte[]>> readBack = endpoint.readStaged(set.model(), i);
+            if (readBack instanceof Result.Failure<Optional<byte[]>>(Fault fault)) {
+                LOG.warn("event=read_back_failed chunk={} why=\"{}\"", i, fault);
+                return false;
+            }
+            int index = i;
+            boolean intact = readBack.toOptional()
+                    .flatMap(one -> one)
+                    .filter(bytes -> set.matchesDigest(index, bytes))
+                    .isPresent();
+            if (!intact) {
+                repaired++;
+                stageChunk(set, i);
+            }
+        }
+        if (repaired > 0) {
+            LOG.info("event=chunks_mended model={} version={} chunks={}", set.model(), set.version(), repaired);
+        }
+        return repaired == 0;
+    }
+
+    /** Adds those staged chunks to a set that match its digests. */
+    void readInto(ChunkSet set) {
+        for (int i = 0; i < set.digests().size(); i++) {
+            int index = i;
+            endpoint.readStaged(set.model(), i)
+                    .toOptional()
+                    .flatMap(bytes -> bytes)
+                    .ifPresent(bytes -> set.put(index, bytes));
+        }
+        LOG.info(
+                "event=read_back model={} version={} chunks={} of={}",
+                set.model(),
+                set.version(),
+                set.presentCount(),
+                set.digests().size());
+    }
+}
--- a/src/main/java/org/micabarrow/weights/VersionFetches.java
+++ b/src/main/java/org/micabarrow/weights/VersionFetches.java
@@ -15,84 +15,90 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The weight versions that an agent has or fetches, and which of them is fetched now. One thread fetches; any may ask what is
- * here.
+ * The weight versions that an agent has or is fetching, and the choice of the one to fetch now. One thread fetches; any
+ * thread may query.
  */
 final class VersionFetches {
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionFetches.class);
 
-    /** How many versions are kept: the one that the endpoint holds, and two that were named soon after one another. */
-    private static final int SETS_KEPT = 3;
+    /**
+     * The maximum number of versions kept: the one that the endpoint holds, and two that were named in quick
+     * succession.
+     */
+    private static final int MAX_SETS = 3;
 
-    /** The pause after nothing could be had of any version, in milliseconds; the origin may be down for seconds. */
-    private static final long AGAIN_MILLIS = 300;
+    /**
+     * The pause after no chunk of any version could be fetched, in milliseconds; the origin may be unavailable for
+     * seconds.
+     */
+    private static final long RETRY_MILLIS = 300;
 
     private final ChunkFetcher fetcher;
     private final VersionDeadlines deadlines;
-    private final LongSupplier steadyMillis;
-    private final OverlapChoice overlap;
+    private final LongSupplier monotonicMillis;
+    private final OverlapPolicy overlapPolicy;
     private final Deque<ChunkSet> sets = new ArrayDeque<>();
 
-    /** What is being fetched, or was last. */
-    private volatile Optional<FetchProgress> fetching = Optional.empty();
+    /** The progress of the current or last fetch. */
+    private volatile Optional<FetchProgress> currentFetch = Optional.empty();
 
-    VersionFetches(ChunkFetcher fetcher, VersionDeadlines deadlines, LongSupplier steadyMillis) {
+    VersionFetches(ChunkFetcher fetcher, VersionDeadlines deadlines, LongSupplier monotonicMillis) {
         this.fetcher = fetcher;
         this.deadlines = deadlines;
-        this.steadyMillis = steadyMillis;
-        this.overlap = new OverlapChoice(this, deadlines, steadyMillis);
+        this.monotonicMillis = monotonicMillis;
+        this.overlapPolicy = new OverlapPolicy(this, deadlines, monotonicMillis);
     }
 
-    // -- what is here
+    // -- available versions
 
     /** The chunks of a version, complete or not; empty if this agent has none. */
-    Optional<ChunkSet> set(String model, long version) {
+    Optional<ChunkSet> chunkSet(String model, long version) {
         synchronized (sets) {
             return sets.stream()
-                    .filter(one -> one.model().equals(model) && one.version() == version)
+                    .filter(set -> set.model().equals(model) && set.version() == version)
                     .findFirst();
         }
     }
 
-    private Optional<ChunkSet> begun(String model, long version) {
-        Result<ChunkSet> set = setFor(model, version);
+    private Optional<ChunkSet> findOrCreateLogged(String model, long version) {
+        Result<ChunkSet> set = findOrCreate(model, version);
         set.cause()
                 .ifPresent(fault ->
                         LOG.warn("event=digests_missed model={} version={} why=\"{}\"", model, version, fault));
         return set.toOptional();
     }
 
-    /** The set of a version, begun if it was not; a failure if nobody tells the version's digests. */
-    Result<ChunkSet> setFor(String model, long version) {
-        Optional<ChunkSet> known = set(model, version);
-        if (known.isPresent()) {
-            return Result.success(known.get());
+    /** The set of a version, created if there is none; a failure if no source has the version's digests. */
+    Result<ChunkSet> findOrCreate(String model, long version) {
+        Optional<ChunkSet> existing = chunkSet(model, version);
+        if (existing.isPresent()) {
+            return Result.success(existing.get());
         }
-        return fetcher.begin(model, version).map(this::kept);
+        return fetcher.createSet(model, version).map(this::putIfAbsent);
     }
 
-    /** Keeps a set, unless another thread has begun the same version meanwhile. */
-    private ChunkSet kept(ChunkSet fresh) {
+    /** Keeps a new set, unless another thread has already added the same version. */
+    private ChunkSet putIfAbsent(ChunkSet fresh) {
         synchronized (sets) {
-            Optional<ChunkSet> known = set(fresh.model(), fresh.version());
-            if (known.isPresent()) {
-                return known.get();
+            Optional<ChunkSet> existing = chunkSet(fresh.model(), fresh.version());
+            if (existing.isPresent()) {
+                return existing.get();
             }
             sets.addFirst(fresh);
-            while (sets.size() > SETS_KEPT) {
+            while (sets.size() > MAX_SETS) {
                 sets.removeLast();
             }
         }
         return fresh;
     }
 
-    /** The newest version that is being fetched, of which chunks are laid as they come, and that may be served. */
-    Optional<ChunkSet> newestBegun(String model, long held, long least) {
-        return newest(model, set -> set.version() > held && set.version() >= least);
+    /** The newest version that has been started and may be served; its chunks are staged as they arrive. */
+    Optional<ChunkSet> newestStarted(String model, long held, long minVersion) {
+        return newest(model, set -> set.version() > held && set.version() >= minVersion);
     }
 
-    /** The versions that are newer than one and here, complete or not, newest first. */
+    /** The known versions newer than a given one, complete or not, newest first. */
     List<ChunkSet> newerThan(String model, long version) {
         synchronized (sets) {
             return sets.stream()
@@ -102,121 +108,135 @@
         }
     }
 
-    /** The newest version that is here whole, newer than the one held and not older than one that must be served. */
-    Optional<ChunkSet> newestWhole(String model, long held, long least) {
-        return newest(model, set -> set.version() > held && set.version() >= least && set.complete());
+    /** The newest complete version that is newer than the held one and not older than {@code minVersion}. */
+    Optional<ChunkSet> newestComplete(String model, long held, long minVersion) {
+        return newest(model, set -> set.version() > held && set.version() >= minVersion && set.isComplete());
     }
 
-    private Optional<ChunkSet> newest(String model, Predicate<ChunkSet> which) {
+    private Optional<ChunkSet> newest(String model, Predicate<ChunkSet> condition) {
         synchronized (sets) {
             return sets.stream()
                     .filter(set -> set.model().equals(model))
-                    .filter(which)
+                    .filter(condition)
                     .max(Comparator.comparingLong(ChunkSet::version));
         }
     }
 
-    // -- how long it takes
+    // -- estimates
 
-    /** How long some chunks of a version are expected to take; the greatest number if it is not the one being fetched. */
+    /**
+     * The expected time for some chunks of a version, in milliseconds; {@link Long#MAX_VALUE} if it is not being
+     * fetched.
+     */
     long expectedMillis(ChunkSet set, int chunks) {
-        return fetching.filter(progress -> progress.isOf(set))
+        return currentFetch
+                .filter(progress -> progress.isFor(set))
                 .map(progress -> progress.expectedMillis(chunks))
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** How long a version is expected to take until it is here whole; the greatest number if it is not being fetched. */
-    long missingMillis(String model, long version) {
-        return set(model, version)
-                .map(set -> expectedMillis(set, set.digests().size() - set.present()))
+    /**
+     * The expected time until a version is complete, in milliseconds; {@link Long#MAX_VALUE} if it is not being
+     * fetched.
+     */
+    long remainingMillis(String model, long version) {
+        return chunkSet(model, version)
+                .map(set -> expectedMillis(set, set.digests().size() - set.presentCount()))
                 .orElse(Long.MAX_VALUE);
     }
 
     // -- fetching
 
-    /** Fetches what is missing of the version that is wanted instead of the one held. */
-    void fetchFor(String model, long held) throws InterruptedException {
+    /** Fetches missing chunks of the version that should replace the held one. */
+    void fetchNewerThan(String model, long held) throws InterruptedException {
         if (held >= deadlines.newest(model)) {
             return;
         }
-        boolean moves = fetchNewest(model, held) || fetchOlder(model, held);
-        if (!moves) {
-            Thread.sleep(AGAIN_MILLIS);
+        boolean progressed = fetchNewest(model, held) || fetchOlder(model, held);
+        if (!progressed) {
+            Thread.sleep(RETRY_MILLIS);
         }
     }
 
     /**
-     * Fetches the newest version, until it is here or an older one is to be fetched first; tells whether chunks came and none is
-     * to be.
+     * Fetches the newest version until it is complete or an older one is to be fetched first. Returns whether chunks
+     * arrived and no older version is to be fetched.
      */
     private boolean fetchNewest(String model, long held) throws InterruptedException {
         long newest = deadlines.newest(model);
-        Optional<ChunkSet> set = begun(model, newest);
-        if (set.isEmpty() || set.get().complete()) {
+        Optional<ChunkSet> set = findOrCreateLogged(model, newest);
+        if (set.isEmpty() || set.get().isComplete()) {
             return set.isPresent();
         }
-        boolean came = fetch(set.get(), newestWanted(model, held, newest));
-        return came && !(deadlines.newest(model) == newest && overlap.choseOlder(model, held));
+        boolean received = fetch(set.get(), shouldContinueNewest(model, held, newest));
+        return received && !(deadlines.newest(model) == newest && overlapPolicy.prefersOlder(model, held));
     }
 
-    /** Whether to go on with a version that was the newest when its fetching began. */
-    Predicate<FetchProgress> newestWanted(String model, long held, long newest) {
+    /** Whether to continue fetching a version that was the newest when its fetch started. */
+    Predicate<FetchProgress> shouldContinueNewest(String model, long held, long newest) {
         return progress -> deadlines.newest(model) == newest
-                ? !overlap.olderFirst(model, held, progress, false)
-                : !progress.stalled() && worthFinishing(progress.set());
+                ? !overlapPolicy.shouldFetchOlderFirst(model, held, progress, false)
+                : !progress.isStalled() && isHalfPresent(progress.set());
     }
 
-    /** Whether so much of a version is here that finishing it beats leaving the endpoint with the one before. */
-    private static boolean worthFinishing(ChunkSet set) {
-        return set.present() * 2 >= set.digests().size();
+    /**
+     * Whether so many chunks of a version are present that completing it is better than leaving the endpoint on the
+     * previous one.
+     */
+    private static boolean isHalfPresent(ChunkSet set) {
+        return set.presentCount() * 2 >= set.digests().size();
     }
 
     /**
-     * Fetches a version that was named before the newest, while the newest cannot be had: the origin may be away for seconds,
-     * and other agents have the chunks of the version before. Without it, endpoints that are past half of neither answer nothing
-     * until the origin is back.
+     * Fetches a version that was named before the newest while the newest is unavailable: the origin may be unavailable
+     * for seconds, and other agents have the chunks of the previous version. Otherwise, endpoints that do not have half
+     * of either version serve nothing until the origin is back.
      */
     private boolean fetchOlder(String model, long held) throws InterruptedException {
-        OptionalLong older = overlap.olderNeeded(model, held);
-        Optional<ChunkSet> set = older.isPresent() ? begun(model, older.getAsLong()) : Optional.empty();
-        return set.isPresent() && fetch(set.get(), olderWanted(model, held, older.getAsLong()));
+        OptionalLong older = overlapPolicy.olderToFetch(model, held);
+        Optional<ChunkSet> set = older.isPresent() ? findOrCreateLogged(model, older.getAsLong()) : Optional.empty();
+        return set.isPresent() && fetch(set.get(), shouldContinueOlder(model, held, older.getAsLong()));
     }
 
-    /** Whether to go on with a version that was named before the newest. */
-    Predicate<FetchProgress> olderWanted(String model, long held, long version) {
-        return progress -> overlap.olderNeeded(model, held).equals(OptionalLong.of(version))
-                && !progress.stalled()
-                && (overlap.olderFirst(model, held, progress, true) || overlap.comesFaster(model, progress));
+    /** Whether to continue fetching a version that was named before the newest. */
+    Predicate<FetchProgress> shouldContinueOlder(String model, long held, long version) {
+        return progress -> overlapPolicy.olderToFetch(model, held).equals(OptionalLong.of(version))
+                && !progress.isStalled()
+                && (overlapPolicy.shouldFetchOlderFirst(model, held, progress, true)
+                        || overlapPolicy.isMuchFaster(model, progress));
     }
 
     private boolean fetch(ChunkSet set, Predicate<FetchProgress> wanted) throws InterruptedException {
-        int before = set.present();
-        FetchProgress progress = begins(set);
-        fetcher.fetch(set, untilFirstNo(() -> wanted.test(progress)));
-        overlap.ended(progress);
-        return set.present() > before;
-    }
-
-    /** A version is fetched from now on. */
-    FetchProgress begins(ChunkSet set) {
-        FetchProgress progress = new FetchProgress(set, steadyMillis);
-        overlap.changes(set, fetching);
-        fetching = Optional.of(progress);
+        int before = set.presentCount();
+        FetchProgress progress = startProgress(set);
+        fetcher.fetch(set, stopOnceFalse(() -> wanted.test(progress)));
+        overlapPolicy.onFetchEnded(progress);
+        return set.presentCount() > before;
+    }
+
+    /** Starts to measure the fetch of a version. */
+    FetchProgress startProgress(ChunkSet set) {
+        FetchProgress progress = new FetchProgress(set, monotonicMillis);
+        overlapPolicy.onSwitch(set, currentFetch);
+        currentFetch = Optional.of(progress);
         return progress;
     }
 
-    /** What chooses between versions that overlap. */
-    OverlapChoice overlap() {
-        return overlap;
+    /** Decides between versions that overlap. */
+    OverlapPolicy overlapPolicy() {
+        return overlapPolicy;
     }
 
-    /** Asks no more once it was told no: several threads ask, and a chunk that comes late would make them go on. */
-    private static BooleanSupplier untilFirstNo(BooleanSupplier wanted) {
-        AtomicBoolean told = new AtomicBoolean();
+    /**
+     * Returns a condition that stays false once it was false: several threads evaluate it, and a chunk that arrives
+     * late would otherwise make some of them continue.
+     */
+    private static BooleanSupplier stopOnceFalse(BooleanSupplier wanted) {
+        AtomicBoolean stopped = new AtomicBoolean();
         return () -> {
-            synchronized (told) {
-                told.compareAndSet(false, !told.get() && !wanted.getAsBoolean());
-                return !told.get();
+            synchronized (stopped) {
+                stopped.compareAndSet(false, !stopped.get() && !wanted.getAsBoolean());
+                return !stopped.get();
             }
         };
     }
