--- a/src/main/java/org/micabarrow/admission/Admission.java
+++ b/src/main/java/org/micabarrow/admission/Admission.java
@@ -9,24 +9,25 @@
 import org.micabarrow.routing.Wanted;
 
 /**
- * Decides what happens to a request now: it is sent, waits for room while it can still be in time, or is refused at once.
- * Used by one thread.
+ * Decides whether a request is sent now, waits for a free slot while it can still meet its objective, or is refused.
+ * Not thread-safe: confined to one thread.
  */
 public final class Admission {
 
     /**
-     * The part of its remaining time after which a refused client is told to come back. A request is refused when its answer
-     * cannot be in time any more, so that coming back sooner gains nothing, and later leaves more time for what is wrong to pass:
-     * an endpoint that starts anew, or a weight version that is taken up, needs a second or two. Clients heed up to a third.
+     * The fraction of its remaining time after which a refused client is told to retry. A request is refused when its
+     * answer can no longer be in time, so an earlier retry gains nothing. A later one leaves more time for the cause to
+     * pass: an endpoint that restarts, or a weight version that is being loaded, needs a second or two. Clients respect
+     * up to a third.
      */
     private static final double COME_BACK_PART = 0.3;
 
     private final EndpointChoice choice;
 
     /**
-     * Makes the decisions of an entry.
+     * Creates the admission control of an entry.
      *
-     * @param choice chooses endpoints, and knows their load
+     * @param selector selects endpoints and knows their load
      */
     public Admission(EndpointChoice choice) {
         this.choice = Objects.requireNonNull(choice, "choice is null");
@@ -36,62 +37,63 @@
     public sealed interface Decision {
 
         /**
-         * It is sent.
+         * The request is sent.
          *
-         * @param chosen where to
+         * @param selection the selected endpoint
          */
         record Send(Choice.Send chosen) implements Decision {}
 
         /**
-         * It waits for room.
+         * The request waits for a free slot.
          *
-         * @param millis how long it may wait and still be in time
-         * @param endpoints how many endpoints could serve it if they had room
+         * @param millis how long it may wait and still meet its objective, in milliseconds
+         * @param endpoints the number of endpoints that could serve it if they had capacity
          */
         record Wait(long millis, int endpoints) implements Decision {}
 
         /**
-         * It is refused, because it cannot be in time wherever room may come.
+         * The request is refused, because it cannot meet its objective wherever a slot becomes free.
          *
-         * @param endpoints how many endpoints could serve it if they had room
+         * @param endpoints the number of endpoints that could serve it if they had capacity
          */
         record Full(int endpoints) implements Decision {}
 
         /**
-         * It is refused, because all endpoints that could serve it rest for longer than it may wait.
+         * The request is refused, because all eligible endpoints are in backoff for longer than it may wait.
          *
-         * @param endpoints how many there are
-         * @param millis how long the first of them rests
+         * @param endpoints the number of eligible endpoints
+         * @param millis the time until the first backoff ends, in milliseconds
          */
         record Resting(int endpoints, long millis) implements Decision {}
 
         /**
-         * It is refused, because all endpoints that could serve it have been sent what this entry may send them.
+         * The request is refused, because this entry has used up its quota share at all eligible endpoints.
          *
-         * @param endpoints how many there are
-         * @param millis how long it takes until one may be sent another request; empty if that is left to other entries
+         * @param endpoints the number of eligible endpoints
+         * @param millis the time until one of them may be sent another request, in milliseconds; empty if their rate
+         *     limits are left entirely to other entries
          */
         record Limited(int endpoints, OptionalLong millis) implements Decision {}
 
-        /** It is refused, because no endpoint can serve it at all. */
+        /** The request is refused, because no endpoint can serve it. */
         record Unable() implements Decision {}
 
         /**
-         * It is refused, because it ends the endpoints that run it.
+         * The request is refused, because it crashes the endpoints that run it.
          *
-         * @param crashes how many it has ended
-         * @param forMillis for how long it is refused
+         * @param crashes the number of crashes attributed to it
+         * @param forMillis how long it is refused, in milliseconds
          */
         record Culprit(int crashes, long forMillis) implements Decision {}
     }
 
     /**
-     * Decides.
+     * Decides what happens to a request.
      *
      * @param endpoints the service's endpoints
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return what happens
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return the decision
      */
     public Decision decide(List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
         return switch (choice.choose(endpoints, wanted, nowMillis)) {
@@ -109,11 +111,11 @@
     }
 
     /**
-     * What happens to a request for which there is no room now.
+     * Decides what happens to a request for which there is no free slot now.
      *
-     * @param full how many endpoints could serve it if they had room
-     * @param wanted what is to be sent
-     * @return a wait, or the refusal of what cannot be in time any more
+     * @param full the number of endpoints that could serve it if they had capacity
+     * @param request the request to send
+     * @return a wait, or a refusal if the request can no longer meet its objective
      */
     public Decision withoutRoom(int full, Wanted wanted) {
         long spare = choice.spareMillis(wanted);
@@ -121,9 +123,9 @@
     }
 
     /**
-     * When a refused client is told to come back.
+     * Returns the time after which a refused client is told to retry.
      *
-     * @param millisLeft how long the client will still wait, in milliseconds
+     * @param remainingMillis how long the client will still wait, in milliseconds
      * @return milliseconds from now, at least 1
      */
     public static long comeBackMillis(long millisLeft) {
--- a/src/main/java/org/micabarrow/admission/FirstTries.java
+++ b/src/main/java/org/micabarrow/admission/FirstTries.java
@@ -6,31 +6,33 @@
 import org.micabarrow.routing.Route;
 
 /**
- * Estimates when a client first tried, from what it will still wait. Clients of a route give similar times, though not equal
- * ones, and one that comes back after a refusal gives what is left of its time; so a request is taken for a return only if it
- * lacks as much as a refused client was told to stay away, and only while a client that was refused here may be on its way
- * back. Used by one thread.
+ * Estimates when a client made its first attempt from the time that it will still wait. Clients of a route state
+ * similar but not equal times, and a client that retries after a refusal states what remains of its time. A request is
+ * therefore taken for a retry only if its time is shorter than usual by at least half of the delay that a refused
+ * client is told to wait, and only while the retry of a client refused here may still arrive. Not thread-safe: confined
+ * to one thread.
  */
 public final class FirstTries {
 
-    /** How many of a route's last requests are remembered. */
+    /** Number of a route's recent requests that are kept as samples. */
     private static final int REMEMBERED = 64;
 
     /**
-     * The part of the remembered times that is taken to be shorter than a first try's. Up to this part of the requests may be
-     * returns, and up to the rest may claim to wait longer than others do, without a first try being mistaken.
+     * The quantile of the sampled times that is taken as the time of a first attempt. Up to this fraction of the
+     * requests may be retries, and up to the rest may claim longer times than others, without first attempts being
+     * misjudged.
      */
     private static final double SHORTER_PART = 0.75;
 
-    /** How long a client that comes back may take for its new connection, in milliseconds. */
+    /** Time that a retrying client may need for its new connection, in milliseconds. */
     private static final long CONNECT_MILLIS = 1_000;
 
     private final Map<String, Recent> routes = new HashMap<>();
 
-    /** What a route's clients gave and were told lately. */
+    /** The times that a route's clients stated recently, and the time until which retries are expected. */
     private static final class Recent {
 
-        /** The last times given, the oldest written over first. */
+        /** Ring buffer of the last times stated. */
         private final long[] millis = new long[REMEMBERED];
 
         private long count;
@@ -49,12 +51,12 @@
     }
 
     /**
-     * Notes that a client was refused and told when to come back. It is not awaited for longer than its route holds a request, whatever
-     * it claims to wait or was told.
+     * Records that a client was refused and told when to retry. Its retry is expected for no longer than its route
+     * holds a request, regardless of the time that it claims to wait or the delay that it was told.
      *
      * @param route the route
-     * @param comeBackMillis what it was told, in milliseconds from now
-     * @param nowMillis the time on the steady clock
+     * @param retryAfterMillis the delay that it was told, in milliseconds from now
+     * @param nowMillis the time on the monotonic clock
      */
     public void refused(Route route, long comeBackMillis, long nowMillis) {
         Recent recent = recent(route.name());
@@ -63,12 +65,12 @@
     }
 
     /**
-     * Notes a request, and estimates how long ago its client first tried.
+     * Records a request, and estimates the time since its client's first attempt.
      *
      * @param route the route's name
-     * @param millisGiven how long the client will still wait, in milliseconds
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds since the first try; 0 for a first try
+     * @param statedMillis how long the client will still wait, in milliseconds
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds since the first attempt; 0 for a first attempt
      */
     public long millisSince(String route, long millisGiven, long nowMillis) {
         Recent recent = recent(route);
--- a/src/main/java/org/micabarrow/admission/PlaceShares.java
+++ b/src/main/java/org/micabarrow/admission/PlaceShares.java
@@ -6,22 +6,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Deals the free places of an endpoint out to the entries that ask about it, in proportion to the requests that each of them
- * turned away lately. If every entry took a place that it reads of, as many requests as there are entries would be sent for it,
- * and all but one would wait inside the endpoint. Used by one thread.
+ * Allots the free slots of an endpoint to the entries that query its agent, in proportion to the requests that each of
+ * them recently refused. If every entry used each free slot that it sees reported, as many requests as there are
+ * entries would be sent for one slot, and all but one would wait inside the endpoint. Not thread-safe: confined to one
+ * thread.
  */
 public final class PlaceShares {
 
-    /** How long an entry counts that has not asked again, in milliseconds: the longest pause between its questions, and more. */
+    /**
+     * Time after its last query for which an entry is counted, in milliseconds: somewhat more than the longest interval
+     * between queries.
+     */
     private static final long COUNTED_MILLIS = 1_000;
 
-    /** The weight of an entry that turned nothing away: it may get a burst before it asks again. */
+    /** Weight of an entry that refused nothing: it may get a burst before its next query. */
     private static final int LEAST_WEIGHT = 1;
 
     /**
-     * The part of an endpoint's slots that is dealt out at once. An endpoint that takes requests again after it has changed
-     * versions is empty, and the prompts of sixteen requests that come together keep each other waiting. A
-     * smaller part leaves places empty.
+     * The largest fraction of an endpoint's slots that is allotted at once. An endpoint that accepts requests again
+     * after loading a version is empty, and the prompts of sixteen requests that arrive together delay each other. A
+     * smaller fraction leaves slots unused.
      */
     private static final double DEALT_AT_ONCE = 0.375;
 
@@ -29,29 +33,29 @@
     private final RandomGenerator random;
 
     /**
-     * An entry that asked.
+     * What is known about an entry that queries the agent.
      *
-     * @param weight its weight among those that ask
-     * @param owed the part of a place that it has not been given yet
-     * @param atMillis when it asked last
+     * @param weight its weight among the entries
+     * @param carry the fraction of a slot that it has not been given yet
+     * @param queriedAtMillis the time of its last query
      */
     private record Asker(int weight, double owed, long atMillis) {}
 
     /**
-     * Makes shares of which nothing is dealt.
+     * Creates an allotment without entries.
      *
-     * @param random decides which entry is first to get a single place
+     * @param random staggers the allotment of single slots among entries
      */
     public PlaceShares(RandomGenerator random) {
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
     /**
-     * How many places of an endpoint may be dealt out now.
+     * Returns the number of an endpoint's slots that may be allotted now.
      *
-     * @param slots how many requests the endpoint runs at once
-     * @param requests the requests at the endpoint, those in its queue too
-     * @return the free places, no more than it can take up together
+     * @param slots the number of requests that the endpoint runs concurrently
+     * @param requests the number of requests at the endpoint, its queue included
+     * @return the free slots, limited to the number that may be allotted at once
      */
     public static int dealable(int slots, int requests) {
         int atOnce = (int) Math.ceil(slots * DEALT_AT_ONCE);
@@ -59,13 +63,14 @@
     }
 
     /**
-     * Gives an entry its part of the free places. Parts of a place are kept until they make a whole one.
+     * Allots an entry its fraction of the free slots. Fractions of a slot are carried over until they add up to a whole
+     * one.
      *
      * @param entry the entry's name
-     * @param unmet the requests that it turned away lately for want of room
-     * @param free the places that are free
-     * @param nowMillis the time on the steady clock
-     * @return how many it may take until it asks again
+     * @param unmet the number of requests that it recently refused for lack of capacity
+     * @param freeSlots the number of free slots
+     * @param nowMillis the time on the monotonic clock
+     * @return the number of slots that it may use until its next query
      */
     public int deal(String entry, int unmet, int free, long nowMillis) {
         askers.values().removeIf(one -> nowMillis - one.atMillis() > COUNTED_MILLIS);
--- a/src/main/java/org/micabarrow/admission/RoomWait.java
+++ b/src/main/java/org/micabarrow/admission/RoomWait.java
@@ -7,8 +7,8 @@
 import org.micabarrow.admission.WaitingLine.Waiter;
 
 /**
- * A request's wait for room: it begins when a decision says so, and ends when another decision sends or refuses the request,
- * when its time runs out, or when the request ends for another reason. Used by one thread.
+ * The wait of a request for a free slot. It ends when a later decision sends or refuses the request, when its time
+ * expires, or when the request ends for another reason. Not thread-safe: confined to one thread.
  */
 public final class RoomWait implements Waiter {
 
@@ -17,23 +17,23 @@
     private Optional<Place> place = Optional.empty();
     private String why = "";
 
-    /** The line in which the request waits. */
+    /** The queue in which the request waits. */
     public interface Line {
 
         /**
-         * Adds the request.
+         * Adds the request to the queue.
          *
-         * @param rank its rank, 0 first
-         * @param latestStartMillis the last moment at which sending it could still bring an answer in time
-         * @param waiter learns when there may be room
-         * @return its place
+         * @param priority its priority, 0 is the most urgent
+         * @param latestStartMillis the last time at which sending it could still meet its objective
+         * @param waiter notified when there may be a free slot
+         * @return the queued request
          */
         Place join(int rank, long latestStartMillis, Waiter waiter);
 
         /**
-         * Takes the request out.
+         * Removes the request from the queue.
          *
-         * @param place its place
+         * @param queued the queued request
          */
         void leave(Place place);
     }
@@ -42,29 +42,29 @@
     public interface Request {
 
         /**
-         * Decides anew.
+         * Decides again whether the request is sent, waits or is refused.
          *
-         * @return what happens to the request now
+         * @return the new decision
          */
         Decision decide();
 
         /**
-         * The wait is over, since a decision no longer says to wait.
+         * Called when the wait ends because a decision no longer says to wait.
          *
          * @param decision the decision
-         * @param why why the request was to be sent when it began to wait
+         * @param reason the reason for sending the request, as given when the wait began
          */
         void decided(Decision decision, String why);
 
-        /** The wait is over, since the request cannot be in time any more. */
+        /** Called when the wait ends because the request can no longer meet its objective. */
         void outOfTime();
     }
 
     /**
-     * A wait that has not begun.
+     * Creates a wait that has not begun.
      *
-     * @param line where to wait
-     * @param request who waits
+     * @param queue the queue to wait in
+     * @param request the request that waits
      */
     public RoomWait(Line line, Request request) {
         this.line = Objects.requireNonNull(line, "line is null");
@@ -74,9 +74,9 @@
     /**
      * Begins to wait.
      *
-     * @param rank the request's rank, 0 first
-     * @param latestStartMillis the last moment at which sending it could still bring an answer in time
-     * @param reason why it is to be sent
+     * @param priority the request's priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective
+     * @param reason the reason for sending it
      */
     public void begin(int rank, long latestStartMillis, String reason) {
         why = reason;
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Whether the request waits.
+     * Returns whether the request is waiting.
      *
      * @return true from the beginning of a wait to its end
      */
--- a/src/main/java/org/micabarrow/admission/TakenRoom.java
+++ b/src/main/java/org/micabarrow/admission/TakenRoom.java
@@ -4,8 +4,9 @@
 import org.micabarrow.routing.EndpointLoad;
 
 /**
- * The room that one sending of a request takes at its endpoint: it is taken, the prompt is read when the answer begins, and it
- * is free again. Each step that frees something has the line of waiting requests looked through. Used by one thread.
+ * The slot that one attempt of a request occupies at its endpoint. The prompt stops counting as pending when the answer
+ * begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the wait
+ * queue. Not thread-safe: confined to one thread.
  */
 public final class TakenRoom {
 
@@ -15,11 +16,11 @@
     private boolean promptRead;
 
     /**
-     * Takes the room.
+     * Occupies a slot.
      *
      * @param load the endpoint's load
      * @param promptTokens the tokens of the request's prompt
-     * @param roomMayBe run whenever something has been freed
+     * @param onCapacityFreed run whenever capacity has been freed
      */
     public TakenRoom(EndpointLoad load, int promptTokens, Runnable roomMayBe) {
         this.load = Objects.requireNonNull(load, "load is null");
@@ -28,7 +29,7 @@
         load.began(promptTokens);
     }
 
-    /** The endpoint has read the prompt; nothing happens if it had already. */
+    /** Records that the endpoint has processed the prompt. Idempotent. */
     public void promptRead() {
         if (!promptRead) {
             promptRead = true;
@@ -38,15 +39,15 @@
     }
 
     /**
-     * Whether the endpoint has begun the request.
+     * Returns whether the endpoint has started the request.
      *
-     * @return true once its prompt is read, or the room is free
+     * @return true once its prompt is processed or the slot is released
      */
     public boolean begun() {
         return promptRead;
     }
 
-    /** The sending is over; called once. */
+    /** Releases the slot at the end of the attempt. Must be called once. */
     public void free() {
         promptRead();
         load.ended();
--- a/src/main/java/org/micabarrow/admission/WaitingLine.java
+++ b/src/main/java/org/micabarrow/admission/WaitingLine.java
@@ -6,19 +6,19 @@
 import java.util.TreeSet;
 
 /**
- * Requests for which no endpoint has room, and whose answers can still be in time. Places fall free many times a second, so
- * at full load a short wait saves a request from being refused, while what cannot be in time any more leaves at once instead
- * of taking the place of one that can. Used by one thread.
+ * A queue of requests for which no endpoint has capacity and whose answers can still be in time. Slots become free many
+ * times a second, so at full load a short wait saves a request from being refused, while a request that can no longer
+ * be in time leaves at once instead of taking the slot of one that can. Not thread-safe: confined to one thread.
  */
 public final class WaitingLine {
 
     /**
-     * How many requests are tried in vain whenever a place may have fallen free, before the rest are left for the next time:
-     * mostly what one of them lacks all of them lack, but a short prompt may find room where a long one does not.
+     * Number of requests that may fail to start in one pass, before the rest are left for the next pass. Usually all of
+     * them lack the same thing, but a short prompt may find capacity where a long one does not.
      */
     private static final int TRIED_IN_VAIN = 4;
 
-    /** The more urgent first, and of these the one whose time runs out first. */
+    /** Ordered by priority, then by the time until which the request can be started. */
     private final TreeSet<Place> places = new TreeSet<>(Comparator.comparingInt(Place::rank)
             .thenComparingLong(Place::latestStartMillis)
             .thenComparingLong(Place::sequence));
@@ -30,22 +30,22 @@
     public interface Waiter {
 
         /**
-         * Sends the request if there is room for it.
+         * Sends the request if there is capacity for it.
          *
-         * @return whether it waits no more
+         * @return whether it no longer waits
          */
         boolean tryStart();
 
-        /** The request cannot be in time any more, and has left the line. */
+        /** Called after the request was removed from the queue because it can no longer meet its objective. */
         void tooLate();
     }
 
     /**
-     * A request's place in the line.
+     * A request in the queue.
      *
-     * @param rank its rank, 0 first
-     * @param latestStartMillis the last moment at which sending it could still bring an answer in time, on the steady clock
-     * @param sequence decides between equals
+     * @param priority its priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective, on the monotonic clock
+     * @param sequence preserves the order of arrival among equals
      * @param waiter the request
      */
     public record Place(int rank, long latestStartMillis, long sequence, Waiter waiter) {}
@@ -53,10 +53,10 @@
     /**
      * Adds a request.
      *
-     * @param rank its rank, 0 first
-     * @param latestStartMillis the last moment at which sending it could still bring an answer in time
+     * @param priority its priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective
      * @param waiter the request
-     * @return its place, with which it can leave
+     * @return the queued request, by which it can be removed
      */
     public Place join(int rank, long latestStartMillis, Waiter waiter) {
         Place place = new Place(rank, latestStartMillis, sequence++, Objects.requireNonNull(waiter, "waiter is null"));
@@ -65,24 +65,27 @@
     }
 
     /**
-     * Takes a request out that waits for another reason no more; nothing happens if it has left already.
+     * Removes a request that stops waiting for another reason. Does nothing if it has been removed already.
      *
-     * @param place its place
+     * @param queued the queued request
      */
     public void leave(Place place) {
         places.remove(place);
     }
 
     /**
-     * The requests that wait.
+     * Returns the number of requests that wait.
      *
-     * @return their number
+     * @return the size of the queue
      */
     public int size() {
         return places.size();
     }
 
-    /** A place may have fallen free: starts what finds room, in order. Does nothing when called from within itself. */
+    /**
+     * Starts the requests that find capacity, in order. Called when a slot may have become free; a reentrant call does
+     * nothing.
+     */
     public void serve() {
         if (serving || places.isEmpty()) {
             return;
@@ -113,9 +116,9 @@
     }
 
     /**
-     * Lets those leave that cannot be in time any more.
+     * Removes and notifies the requests that can no longer meet their objective.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void expire(long nowMillis) {
         List<Place> over = places.stream()
--- a/src/main/java/org/micabarrow/admission/package-info.java
+++ b/src/main/java/org/micabarrow/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which requests are sent on, which wait for room and for how long, and when those that are refused are to come back.
- * Nothing here knows a socket or the platform; times are handed in.
+ * Decides which requests are sent, which wait for a free slot and for how long, and when the clients of refused
+ * requests should retry. Independent of sockets and of the platform; times are passed in as arguments.
  */
 package org.micabarrow.admission;
--- a/src/main/java/org/micabarrow/attempts/AttemptEnd.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptEnd.java
@@ -1,20 +1,23 @@
 package org.micabarrow.attempts;
 
-/** How one sending of a request to an endpoint ended without an answer that may be passed on. */
+/** How an attempt ended that gave no answer to pass on. */
 public enum AttemptEnd {
     /** No byte was sent, or the endpoint stated that it did not run the request. */
     NOT_RUN,
-    /** The endpoint is another one than was meant, or holds another weight version; it did not run the request. */
+    /**
+     * Another endpoint than intended was reached, or the endpoint holds another weight version; the request was not
+     * run.
+     */
     MISDIRECTED,
-    /** The request was sent, and whether it ran is not known. */
+    /** The request was sent, and it is unknown whether it ran. */
     UNKNOWN,
     /** The endpoint ran the request and answered with an error of its own. */
     FAILED;
 
     /**
-     * Whether the request has surely not run.
+     * Returns whether the request has certainly not run.
      *
-     * @return true if it may be sent again whatever its kind
+     * @return true if it may be sent again, whatever its kind
      */
     public boolean surelyNotRun() {
         return this == NOT_RUN || this == MISDIRECTED;
--- a/src/main/java/org/micabarrow/attempts/ClientRequest.java
+++ b/src/main/java/org/micabarrow/attempts/ClientRequest.java
@@ -6,19 +6,19 @@
 import org.micabarrow.routing.Route;
 
 /**
- * A client's request, understood and allowed.
+ * A client's request after parsing and authorisation.
  *
  * @param id the client's id of this attempt
  * @param method the HTTP method
  * @param target the path and query exactly as received
- * @param host the host asked for
+ * @param host the requested host
  * @param headers the headers to pass on
  * @param body the body
- * @param route the route it takes
+ * @param route the route that it matches
  * @param service the service that is to answer
- * @param organisation the holder of the client's key; empty on open routes
- * @param priority its rank, 0 first
- * @param deadlineMillis when the client stops waiting, on the process's steady clock
+ * @param organisation the owner of the client's key; empty on open routes
+ * @param priority its priority, 0 is the most urgent
+ * @param deadlineMillis the time at which the client stops waiting, on the process's monotonic clock
  * @param promptTokens the tokens of its prompt; 0 for plain services
  */
 public record ClientRequest(
--- a/src/main/java/org/micabarrow/attempts/EventSplitter.java
+++ b/src/main/java/org/micabarrow/attempts/EventSplitter.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events at the blank lines between them, so that only whole events are passed on and the id of the last
- * one is known.
+ * Splits a stream of server-sent events at the blank lines between them, so that only complete events are passed on and
+ * the id of the last one is known.
  */
 public final class EventSplitter {
 
@@ -16,10 +16,10 @@
     private Optional<String> lastId = Optional.empty();
 
     /**
-     * Takes the next bytes.
+     * Appends the next bytes of the stream.
      *
      * @param data the bytes
-     * @return the events that are now whole, possibly none
+     * @return the events that are now complete, possibly none
      */
     public byte[] whole(byte[] data) {
         rest.writeBytes(data);
@@ -57,7 +57,7 @@
     }
 
     /**
-     * The bytes of an event that is not whole yet.
+     * Returns the bytes of an event that is not yet complete.
      *
      * @return the bytes, possibly none
      */
@@ -65,13 +65,13 @@
         return rest.toByteArray();
     }
 
-    /** Forgets the bytes of an event that will not become whole, because its connection broke. */
+    /** Discards the bytes of an event that will not be completed because its connection broke. */
     public void dropRemainder() {
         rest.reset();
     }
 
     /**
-     * The id of the last whole event.
+     * Returns the id of the last complete event that has one.
      *
      * @return the id, empty before the first event that has one
      */
--- a/src/main/java/org/micabarrow/attempts/RequestTimes.java
+++ b/src/main/java/org/micabarrow/attempts/RequestTimes.java
@@ -3,23 +3,23 @@
 import java.util.Objects;
 
 /**
- * The times of one request, all in milliseconds and on the process's steady clock.
+ * The times of one request, all in milliseconds and on the process's monotonic clock.
  *
- * @param beganMillis when it arrived
- * @param deadlineMillis when its client stops waiting
- * @param timeoutMillis how long its route holds it at the most
- * @param objectiveMillis within which time of its client's first try its answer is to begin
- * @param sinceFirstTryMillis how long before its arrival its client first tried
+ * @param arrivedMillis the time of its arrival
+ * @param deadlineMillis the time at which its client stops waiting
+ * @param timeoutMillis the longest time for which its route holds it
+ * @param objectiveMillis the time after its client's first attempt within which its answer should begin
+ * @param sinceFirstAttemptMillis the time between its client's first attempt and its arrival
  */
 public record RequestTimes(
         long beganMillis, long deadlineMillis, long timeoutMillis, long objectiveMillis, long sinceFirstTryMillis) {
 
     /**
-     * The times of a request that arrives.
+     * Returns the times of a request that arrives now.
      *
      * @param request the request
-     * @param nowMillis the time on the steady clock
-     * @param sinceFirstTryMillis how long ago its client first tried
+     * @param nowMillis the time on the monotonic clock
+     * @param sinceFirstAttemptMillis the time since its client's first attempt
      * @return its times
      */
     public static RequestTimes of(ClientRequest request, long nowMillis, long sinceFirstTryMillis) {
@@ -33,7 +33,7 @@
     }
 
     /**
-     * How long the request is held.
+     * Returns the longest time for which the request is held.
      *
      * @return milliseconds from its arrival, at least 1
      */
@@ -42,9 +42,9 @@
     }
 
     /**
-     * How long it has been here.
+     * Returns the time since the arrival of the request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      * @return milliseconds since its arrival
      */
     public long takenMillis(long nowMillis) {
@@ -52,21 +52,22 @@
     }
 
     /**
-     * What is left until its client stops waiting or its route holds it no longer.
+     * Returns the time until the client stops waiting or the route no longer holds the request.
      *
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds from now; 0 or less once it is over
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds from now; 0 or less once that time has passed
      */
     public long leftMillis(long nowMillis) {
         return Math.min(deadlineMillis - nowMillis, beganMillis + timeoutMillis - nowMillis);
     }
 
     /**
-     * What is left of the objective since the client first tried; the rest of an answer that has begun is always urgent.
+     * Returns the remainder of the objective since the client's first attempt. Once an answer has begun, the full
+     * objective applies to the rest of it.
      *
-     * @param nowMillis the time on the steady clock
-     * @param answerBegun whether its client has got a part of an answer
-     * @return milliseconds from now; 0 or less once an answer cannot be in time any more
+     * @param nowMillis the time on the monotonic clock
+     * @param answerBegun whether the client has received part of an answer
+     * @return milliseconds from now; 0 or less once an answer can no longer be in time
      */
     public long toObjectiveMillis(long nowMillis, boolean answerBegun) {
         return answerBegun ? objectiveMillis : objectiveMillis - sinceFirstTryMillis - takenMillis(nowMillis);
--- a/src/main/java/org/micabarrow/attempts/Sendings.java
+++ b/src/main/java/org/micabarrow/attempts/Sendings.java
@@ -5,10 +5,10 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** What has become of one request's sendings so far. Used by one thread. */
+/** The attempts of one request so far. Not thread-safe: confined to one thread. */
 public final class Sendings {
 
-    /** How many agents are asked in vain before one sending: each may take a part of the objective. */
+    /** Maximum number of agent queries before one attempt: each may take a fraction of the objective. */
     private static final int MOST_QUESTIONS = 2;
 
     private final Set<String> tried = new HashSet<>();
@@ -18,47 +18,48 @@
     private boolean mayHaveRun;
 
     /**
-     * The ids of the endpoints that it was sent to. One that started again did not run it, but is not tried a second time.
+     * Returns the ids of the endpoints to which the request was sent. An endpoint that has restarted did not run it,
+     * but is not tried a second time.
      *
-     * @return a view of them
+     * @return an unmodifiable view
      */
     public Set<String> tried() {
         return Collections.unmodifiableSet(tried);
     }
 
     /**
-     * How often it was sent.
+     * Returns the number of attempts.
      *
-     * @return the number of sendings that left, or are about to
+     * @return the number of attempts that were sent or are about to be sent
      */
     public int count() {
         return count;
     }
 
     /**
-     * Whether one of the endpoints may have run it.
+     * Returns whether one of the endpoints may have run the request.
      *
-     * @return false only if it surely has not run
+     * @return false only if it certainly has not run
      */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
     /**
-     * Whether a connection came too late once already.
+     * Returns whether a connection was established too late before.
      *
-     * @return true from then on
+     * @return true from the first such connection on
      */
     public boolean cameLate() {
         return cameLate;
     }
 
-    // -- what happens
+    // -- events
 
     /**
-     * An agent is to be asked before the next sending.
+     * Counts an agent query before the next attempt.
      *
-     * @return false if as many were asked since the last sending as may be
+     * @return false if the maximum number of queries since the last attempt has been reached
      */
     public boolean ask() {
         if (asked == MOST_QUESTIONS) {
@@ -69,7 +70,7 @@
     }
 
     /**
-     * It is sent.
+     * Records an attempt.
      *
      * @param endpoint the endpoint's id
      */
@@ -79,13 +80,13 @@
         count++;
     }
 
-    /** No byte of the last sending left after all, so that it does not count. */
+    /** Records that no byte of the last attempt was sent, so that it does not count. */
     public void withheld() {
         count--;
     }
 
     /**
-     * The connection of the last sending came too late; the endpoint may be chosen anew.
+     * Records that the connection of the last attempt was established too late. The endpoint may be selected again.
      *
      * @param endpoint the endpoint's id
      */
@@ -95,31 +96,31 @@
     }
 
     /**
-     * A sending ended without an answer.
+     * Records an attempt that ended without an answer.
      *
-     * @param end how
+     * @param outcome how it ended
      */
     public void ended(AttemptEnd end) {
         mayHaveRun |= !end.surelyNotRun();
     }
 
-    // -- what may follow
+    // -- progress
 
     /**
-     * What a policy has to know.
+     * Returns the state on which {@link AttemptPolicy} decides.
      *
-     * @param millisLeft the time that remains
-     * @return what has happened so far
+     * @param remainingMillis the remaining time in milliseconds
+     * @return the state so far
      */
     public AttemptPolicy.Progress progress(long millisLeft) {
         return new AttemptPolicy.Progress(count, mayHaveRun, millisLeft);
     }
 
     /**
-     * The same if the present endpoint has run the request.
+     * Returns the state on the assumption that the current endpoint has run the request.
      *
-     * @param millisLeft the time that remains
-     * @return what has happened then
+     * @param remainingMillis the remaining time in milliseconds
+     * @return the assumed state
      */
     public AttemptPolicy.Progress progressIfRun(long millisLeft) {
         return new AttemptPolicy.Progress(count, true, millisLeft);
--- a/src/main/java/org/micabarrow/attempts/package-info.java
+++ b/src/main/java/org/micabarrow/attempts/package-info.java
@@ -1,2 +1,4 @@
-/** The life of a request at an entry: what an endpoint's answer means, and whether it may be sent again. */
+/**
+ * The attempts of a request at an entry: what an endpoint's answer means, and whether the request may be sent again.
+ */
 package org.micabarrow.attempts;
--- a/src/main/java/org/micabarrow/crashes/CrashBook.java
+++ b/src/main/java/org/micabarrow/crashes/CrashBook.java
@@ -14,32 +14,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The crashes of endpoints that a process knows of, and what follows from them for requests. A request that was answered is
- * cleared of what was known until then, since one that ends endpoints never has an answer. Safe for any number of threads.
+ * The endpoint crashes that a process knows of, and the poison requests inferred from them. A request that was answered
+ * is cleared of all crashes known by then, since a poison request never gets an answer. Thread-safe.
  */
 public final class CrashBook {
 
     private static final Logger LOG = LoggerFactory.getLogger(CrashBook.class);
 
-    /** The most requests of one crash that are remembered: more than an endpoint runs and has waiting. */
+    /** Maximum number of requests remembered per crash: more than an endpoint runs and queues. */
     private static final int MOST_ABOARD = 256;
 
     private final long memoryMillis;
     private final int most;
     private final IntSupplier endpoints;
 
-    /** The crashes in the order in which they were learned of. */
+    /** The crashes in the order in which they became known. */
     private final Map<String, Known> crashes = new LinkedHashMap<>();
 
-    /** At which crashes each request was without a part of an answer. */
+    /** For each request, the crashes at which no part of its answer had arrived. */
     private final Map<RequestDigest, Set<String>> unbegun = new HashMap<>();
 
-    /** At which crashes each request was at all. */
+    /** For each request, all crashes at which it was in flight. */
     private final Map<RequestDigest, Set<String>> present = new HashMap<>();
 
     private Map<RequestDigest, Set<String>> culprits = Map.of();
 
-    /** The quick parts of all requests that were at a crash. */
+    /** The quick digests of all requests that were in flight at a crash. */
     private volatile Set<Integer> quick = Set.of();
 
     private record Known(Set<RequestDigest> present, Set<RequestDigest> cleared, long atMillis) {
@@ -55,11 +55,12 @@
     }
 
     /**
-     * Begins with no crash.
+     * Creates a registry without crashes.
      *
-     * @param memoryMillis for how long a crash is remembered, and a culprit refused after its last, in milliseconds
-     * @param most how many crashes are remembered at the most; the oldest go first
-     * @param endpoints how many endpoints there are
+     * @param memoryMillis the time for which a crash is remembered, and a poison request is refused after its last
+     *     crash, in milliseconds
+     * @param maxCrashes the maximum number of crashes remembered; the oldest are dropped first
+     * @param endpointCount the number of endpoints
      */
     public CrashBook(long memoryMillis, int most, IntSupplier endpoints) {
         this.memoryMillis = memoryMillis;
@@ -67,13 +68,13 @@
         this.endpoints = Objects.requireNonNull(endpoints, "endpoints is null");
     }
 
-    // -- what happens
+    // -- events
 
     /**
-     * An endpoint crashed, or more is known of a crash.
+     * Records a crash of an endpoint, or further requests involved in a known crash.
      *
      * @param crash the crash
-     * @param atMillis when it was, on the steady clock
+     * @param atMillis the time of the crash on the monotonic clock
      */
     public synchronized void crashed(EndpointCrash crash, long atMillis) {
         Objects.requireNonNull(crash, "crash is null");
@@ -100,12 +101,12 @@
     }
 
     /**
-     * An endpoint answered a request, so that this did not cause the crashes that are known by now. A part of an answer tells so of those
-     * crashes at which no part had come.
+     * Clears a request that an endpoint answered of the crashes known by now. Part of an answer clears it only of
+     * crashes at which no part had arrived.
      *
      * @param request the request
-     * @param whole whether the answer came whole
-     * @return at how many crashes it had been without a part of an answer
+     * @param whole whether the answer is complete
+     * @return the number of crashes at which it had been without any part of an answer
      */
     public synchronized int cleared(RequestDigest request, boolean whole) {
         Objects.requireNonNull(request, "request is null");
@@ -121,10 +122,10 @@
     }
 
     /**
-     * Takes what another process tells.
+     * Applies an update of another process.
      *
-     * @param news what it tells
-     * @param atMillis when it was, on the steady clock
+     * @param update the update
+     * @param atMillis the time of the event on the monotonic clock
      */
     public void take(CrashNews news, long atMillis) {
         switch (news) {
@@ -134,9 +135,9 @@
     }
 
     /**
-     * Forgets what is too old.
+     * Removes expired crashes.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public synchronized void forgetOld(long nowMillis) {
         List<String> old = crashes.entrySet().stream()
@@ -149,7 +150,10 @@
         }
     }
 
-    /** Since when a crash is to be remembered: one that a culprit explains, since the last of the culprit's. */
+    /**
+     * Returns the time from which a crash is remembered. A crash attributed to a poison request counts from the last
+     * crash of that request.
+     */
     private long countsFromMillis(String endpoint) {
         return culprits.values().stream()
                 .filter(explained -> explained.contains(endpoint))
@@ -193,8 +197,8 @@
     }
 
     /**
-     * The crashes that count against each request. An endpoint has borne the beginning of a request of whose answer a part had come;
-     * such crashes count only against a request that has no three without.
+     * Determines the crashes that count against each request. If part of the answer had arrived, the endpoint had
+     * survived the start of the request; such crashes count only against requests with fewer than three others.
      */
     private Culprits.Evidence evidence() {
         Map<RequestDigest, Set<String>> counted = new HashMap<>(unbegun);
@@ -215,22 +219,22 @@
         return times;
     }
 
-    // -- what follows
+    // -- queries
 
     /**
-     * Whether any request is suspected. Where none is, no request has to be recognised.
+     * Returns whether any request is suspected. Otherwise no request digests need to be computed.
      *
-     * @return false if no crash is known at which a request was
+     * @return false if no request was in flight at any known crash
      */
     public boolean suspectsAny() {
         return !quick.isEmpty();
     }
 
     /**
-     * Whether a request may have been at a crash. Where it surely was at none, its whole digest is not needed.
+     * Returns whether a request may have been in flight at a crash. If not, its full digest need not be computed.
      *
      * @param request the request's digest
-     * @return false if no request at any crash has the same quick part
+     * @return false if no request involved in a crash has the same quick digest
      */
     public boolean mayKnow(LazyDigest request) {
         Set<Integer> known = quick;
@@ -238,11 +242,11 @@
     }
 
     /**
-     * What is held of a request.
+     * Returns how strongly a request is suspected of causing crashes.
      *
      * @param request the request
-     * @param nowMillis the time on the steady clock
-     * @return its standing
+     * @param nowMillis the time on the monotonic clock
+     * @return the level of suspicion
      */
     public synchronized Standing standing(RequestDigest request, long nowMillis) {
         Set<String> explained = culprits.get(Objects.requireNonNull(request, "request is null"));
@@ -254,8 +258,8 @@
         return unexplained == 0 ? new Standing.Unsuspected() : new Standing.Suspected(unexplained);
     }
 
-    private long lastMillis(Set<String> endpoints) {
-        return endpoints.stream()
+    private long lastMillis(Set<String> crashedEndpoints) {
+        return crashedEndpoints.stream()
                 .mapToLong(endpoint -> crashes.get(endpoint).atMillis())
                 .max()
                 .orElseThrow();
@@ -268,7 +272,7 @@
     }
 
     /**
-     * The requests that are refused.
+     * Returns the requests that are refused as poison requests.
      *
      * @return their digests
      */
@@ -277,9 +281,9 @@
     }
 
     /**
-     * The crashes that are remembered.
+     * Returns the number of crashes remembered.
      *
-     * @return their number
+     * @return the number of crashes
      */
     public synchronized int known() {
         return crashes.size();
--- a/src/main/java/org/micabarrow/crashes/CrashNews.java
+++ b/src/main/java/org/micabarrow/crashes/CrashNews.java
@@ -2,31 +2,29 @@
 
 import java.util.Objects;
 
-/** What processes tell each other of crashes. */
+/** An update by which processes inform each other of crashes. */
 public sealed interface CrashNews {
 
     /**
      * An endpoint crashed.
      *
-     * @param crash the crash, as far as one process knows it
+     * @param crash the crash, as far as the sending process knows it
      */
     record Crashed(EndpointCrash crash) implements CrashNews {
 
-        /** Checks that nothing is missing. */
         public Crashed {
             Objects.requireNonNull(crash, "crash is null");
         }
     }
 
     /**
-     * A suspected request did not end the endpoint that ran it.
+     * A suspected request did not crash the endpoint that ran it.
      *
      * @param request the request
-     * @param whole whether its answer came whole, else a part of it
+     * @param whole whether its answer arrived completely; if not, only part of it did
      */
     record Cleared(RequestDigest request, boolean whole) implements CrashNews {
 
-        /** Checks that nothing is missing. */
         public Cleared {
             Objects.requireNonNull(request, "request is null");
         }
--- a/src/main/java/org/micabarrow/crashes/Culprits.java
+++ b/src/main/java/org/micabarrow/crashes/Culprits.java
@@ -9,29 +9,35 @@
 import java.util.Set;
 
 /**
- * Finds the requests that explain why endpoints crashed. A crash takes all requests along that are there, so that harmless ones
- * are at several crashes too while another request brings these about. A crash that a culprit explains counts against nobody
- * else; where two requests were at the same crashes, neither is a culprit until one was at crashes without the other; and the more
- * endpoints crash at the same time, the more crashes it takes.
+ * Detects the poison requests that explain endpoint crashes. A crash affects all requests in flight at the endpoint, so
+ * harmless requests are involved in several crashes too while a poison request causes these. A crash that a poison
+ * request explains does not count against other requests. Two requests that were involved in the same crashes are not
+ * considered poison until one of them was involved in crashes without the other. The more endpoints crash at the same
+ * time, the more crashes are required.
  */
 final class Culprits {
 
-    /** At how many crashes a request must have been. */
+    /** Minimum number of crashes in which a poison request was involved. */
     static final int LEAST_CRASHES = 3;
 
-    /** At how many of these no other request may have been that was at a second one. */
+    /** Minimum number of these crashes without any other request that was involved in several crashes. */
     private static final int LEAST_ALONE = 2;
 
-    /** From how many crashes on a single one without another suspect is enough. */
+    /** Number of crashes from which a single one without another suspect suffices. */
     private static final int MANY_CRASHES = 4;
 
-    /** From how many crashes on nothing else is asked for, of a request of whose answer no part has come since the first. */
+    /**
+     * Number of crashes that suffices on its own, for a request without any part of an answer since the first of them.
+     */
     private static final int MOST_CRASHES = 5;
 
-    /** How long before a crash others count as being at the same time, in milliseconds: about what a request takes. */
+    /**
+     * Time before a crash within which other crashes count as simultaneous, in milliseconds: roughly the duration of a
+     * request.
+     */
     private static final long SAME_TIME_MILLIS = 1_000;
 
-    /** How likely it may be that a harmless request was at as many crashes by chance. */
+    /** Highest accepted probability that a harmless request was involved in as many crashes by chance. */
     private static final double MOST_CHANCE = 0.01;
 
     private final Map<String, Long> times;
@@ -48,20 +54,20 @@
     }
 
     /**
-     * What is known.
+     * The known crashes.
      *
-     * @param crashes the crashes at which each request was
-     * @param begun the requests of whose answers a part has come since the first of these
-     * @param times when each crash was, in milliseconds
+     * @param crashes the crashes in which each request was involved
+     * @param partlyAnswered the requests of whose answers a part has arrived since the first of these crashes
+     * @param times the time of each crash in milliseconds
      */
     record Evidence(Map<RequestDigest, Set<String>> crashes, Set<RequestDigest> begun, Map<String, Long> times) {}
 
     /**
-     * Finds culprits; the same crashes lead to the same culprits, in whatever order they were learned of.
+     * Detects poison requests. The result does not depend on the order in which the crashes became known.
      *
-     * @param evidence what is known
-     * @param endpoints how many endpoints there are
-     * @return the culprits, and the crashes that each explains
+     * @param evidence the known crashes
+     * @param endpointCount the number of endpoints
+     * @return the poison requests, and the crashes that each of them explains
      */
     static Map<RequestDigest, Set<String>> of(Evidence evidence, int endpoints) {
         Map<RequestDigest, Set<String>> repeated = new HashMap<>();
@@ -86,10 +92,10 @@
         return found;
     }
 
-    /** A request that was at several crashes that nothing explains yet. */
+    /** A request that was involved in several unexplained crashes. */
     private record Suspect(RequestDigest request, int crashes, int alone, double chance, boolean begun) {
 
-        /** Whether it is unlikely to have been there by chance, or only beside another suspect. */
+        /** Whether the request is unlikely to have been involved by chance or only because of another suspect. */
         private boolean standsOut() {
             return alone >= LEAST_ALONE && chance <= MOST_CHANCE;
         }
@@ -122,8 +128,9 @@
     }
 
     /**
-     * How likely a harmless request is at as many crashes by chance: once it was at one, each further time it is where one of those
-     * crashes happens that do at the same time.
+     * Estimates the probability that a harmless request was involved in as many crashes by chance. After its first
+     * crash, each further attempt of it runs at one of the endpoints that crash simultaneously, with the probability
+     * that their fraction of all endpoints gives.
      */
     private double chance(Set<String> crashes) {
         double others = crashes.stream()
--- a/src/main/java/org/micabarrow/crashes/EndpointCrash.java
+++ b/src/main/java/org/micabarrow/crashes/EndpointCrash.java
@@ -5,11 +5,11 @@
 import org.micabarrow.routing.EndpointStart;
 
 /**
- * The end of one start of an endpoint that nobody had planned, with requests that were there.
+ * The unplanned end of one start of an endpoint, with requests that were in flight there.
  *
- * @param endpoint names the start of the endpoint
- * @param aboard the requests that had been sent there and of whose answers nothing had come
- * @param begun the requests of whose answers a part had come: the endpoint had borne their beginning
+ * @param endpoint identifies the start of the endpoint
+ * @param unanswered the requests of whose answers nothing had arrived
+ * @param partlyAnswered the requests of whose answers a part had arrived: the endpoint had survived their start
  */
 public record EndpointCrash(String endpoint, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
 
@@ -21,11 +21,11 @@
     }
 
     /**
-     * The end of an endpoint's start.
+     * Creates the crash of one start of an endpoint.
      *
      * @param start the start
-     * @param aboard the requests that were there without a part of an answer
-     * @param begun those with one
+     * @param unanswered the requests in flight of whose answers nothing had arrived
+     * @param partlyAnswered those of whose answers a part had arrived
      * @return the crash
      */
     public static EndpointCrash of(EndpointStart start, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
--- a/src/main/java/org/micabarrow/crashes/LazyDigest.java
+++ b/src/main/java/org/micabarrow/crashes/LazyDigest.java
@@ -5,15 +5,15 @@
 import org.micabarrow.attempts.ClientRequest;
 
 /**
- * The digest of a request, of which its quick part is worked out first: that alone tells of nearly every request that it is none of those
- * that somebody looks for. Used by one thread.
+ * The digest of a request, computed on demand. Its quick part is computed first and suffices to rule out nearly every
+ * request that is not searched for. Not thread-safe: confined to one thread.
  */
 public abstract sealed class LazyDigest {
 
     private LazyDigest() {}
 
     /**
-     * The digest of a request, to be worked out.
+     * Returns the digest of a request, to be computed on demand.
      *
      * @param request the request
      * @return its digest
@@ -23,24 +23,24 @@
     }
 
     /**
-     * A digest that is known.
+     * Wraps a digest that is already computed.
      *
      * @param digest the digest
-     * @return the digest
+     * @return the wrapped digest
      */
     public static LazyDigest of(RequestDigest digest) {
         return new Known(Objects.requireNonNull(digest, "digest is null"));
     }
 
     /**
-     * The quick part.
+     * Returns the quick part of the digest.
      *
-     * @return what {@link RequestDigest#quick} tells of the digest
+     * @return the value of {@link RequestDigest#quick}
      */
     public abstract int quick();
 
     /**
-     * The whole digest.
+     * Returns the full digest.
      *
      * @return the digest
      */
--- a/src/main/java/org/micabarrow/crashes/PortProbe.java
+++ b/src/main/java/org/micabarrow/crashes/PortProbe.java
@@ -3,16 +3,16 @@
 import java.util.function.Consumer;
 import org.micabarrow.routing.EndpointEntry;
 
-/** Finds out whether an endpoint's process is there after a connection to it broke. */
+/** Checks whether an endpoint's process still exists after a connection to it broke. */
 @FunctionalInterface
 public interface PortProbe {
 
     /**
-     * Tries to connect.
+     * Attempts to connect to the endpoint.
      *
      * @param endpoint the endpoint
-     * @param then learns once, on the thread for traffic, whether its instance refused the connection since nobody listens;
-     *     an instance that says nothing tells nothing
+     * @param callback called once, on the traffic thread, with whether the instance refused the connection because no
+     *     process listens on the port; false if the instance did not respond, which proves nothing
      */
     void ask(EndpointEntry endpoint, Consumer<Boolean> then);
 }
--- a/src/main/java/org/micabarrow/crashes/RequestDigest.java
+++ b/src/main/java/org/micabarrow/crashes/RequestDigest.java
@@ -9,37 +9,37 @@
 import org.micabarrow.state.Digest;
 
 /**
- * What is alike in a request however often and wherever it comes: its method, host, path, query, organisation and body. The
- * id of the attempt is not, since each try of a client has its own.
+ * Identifies equal requests, however often and through whichever entry they arrive, by method, host, path, query,
+ * organisation and body. The id of the attempt is not included, since each attempt of a client has its own.
  *
- * @param hex the digest, in hex
+ * @param hex the digest in hexadecimal
  */
 public record RequestDigest(String hex) {
 
-    /** The digits of the quick part, which stand first. */
+    /** Number of digits of the quick part, which come first. */
     private static final int QUICK_LENGTH = 8;
 
-    /** The bytes of the whole that are kept: enough that two requests of all that ever come do not share them. */
+    /** Number of bytes kept of the full digest: enough that no two requests are expected to share them. */
     private static final int KEPT_BYTES = 12;
 
-    /** Two digits a byte. */
+    /** Two digits per byte. */
     private static final int HEX_LENGTH = QUICK_LENGTH + 2 * KEPT_BYTES;
 
     private static final byte BETWEEN_PARTS = 0;
 
-    /** Checks that it is of the length that all have. */
+    /** Checks the length and the digits. */
     public RequestDigest {
         Objects.requireNonNull(hex, "hex is null");
         if (hex.length() != HEX_LENGTH) {
-            throw new IllegalArgumentException("a digest of " + hex.length() + " digits");
+            throw new IllegalArgumentException("request digest has " + hex.length() + " digits instead of 32");
         }
         if (!hex.chars().allMatch(HexFormat::isHexDigit)) {
-            throw new IllegalArgumentException("a digest that is not in hex");
+            throw new IllegalArgumentException("request digest is not hexadecimal");
         }
     }
 
     /**
-     * The digest of a request.
+     * Computes the digest of a request.
      *
      * @param request the request
      * @return its digest
@@ -57,11 +57,11 @@
     }
 
     /**
-     * The quick part of a request's digest, some hundred times cheaper than the whole. Two requests that differ have the same one by
-     * chance, or because a client saw to it.
+     * Computes the quick part of a request's digest, which is about a hundred times cheaper than the full digest.
+     * Different requests may share it by chance, or because a client constructed them to.
      *
      * @param request the request
-     * @return a number
+     * @return a checksum
      */
     public static int quickOf(ClientRequest request) {
         Objects.requireNonNull(request, "request is null");
@@ -72,15 +72,18 @@
     }
 
     /**
-     * The quick part.
+     * Returns the quick part.
      *
-     * @return what {@link #quickOf} tells of the request
+     * @return the value of {@link #quickOf} for the request
      */
     public int quick() {
         return HexFormat.fromHexDigits(hex, 0, QUICK_LENGTH);
     }
 
-    /** No part holds a zero byte, so that two requests whose parts are cut differently differ. */
+    /**
+     * Terminates each part by a zero byte, which no part contains, so that requests whose parts are split differently
+     * have different digests.
+     */
     private static void add(MessageDigest digest, String part) {
         digest.update(part.getBytes(StandardCharsets.UTF_8));
         digest.update(BETWEEN_PARTS);
--- a/src/main/java/org/micabarrow/crashes/Standing.java
+++ b/src/main/java/org/micabarrow/crashes/Standing.java
@@ -1,23 +1,23 @@
 package org.micabarrow.crashes;
 
-/** What is held of a request for the crashes of endpoints at which it was. */
+/** How strongly a request is suspected of causing the endpoint crashes in which it was involved. */
 public sealed interface Standing {
 
-    /** It was at none, or has been answered since. */
+    /** The request was involved in no crash, or has been answered since. */
     record Unsuspected() implements Standing {}
 
     /**
-     * It was at some, and may have caused them.
+     * The request was involved in crashes and may have caused them.
      *
-     * @param crashes how many
+     * @param crashes the number of crashes
      */
     record Suspected(int crashes) implements Standing {}
 
     /**
-     * It caused them, as far as can be told.
+     * The request is considered a poison request.
      *
-     * @param crashes how many
-     * @param forMillis for how long it is refused from now on
+     * @param crashes the number of crashes attributed to it
+     * @param forMillis how long it is refused from now on, in milliseconds
      */
     record Refused(int crashes, long forMillis) implements Standing {}
 }
--- a/src/main/java/org/micabarrow/crashes/SuspectPlacement.java
+++ b/src/main/java/org/micabarrow/crashes/SuspectPlacement.java
@@ -11,25 +11,26 @@
 import org.micabarrow.state.Digest;
 
 /**
- * Keeps suspected requests apart, so that the next crash tells which of them causes it, and so that one of them ends no more
- * endpoints than one at a time. A request that was at one crash goes where no other suspect of this process is, if it can; most
- * such are harmless and must not wait. One that was at more goes only there, one at a time, and all processes try endpoints for
- * it in the same order. Used by one thread.
+ * Keeps suspected requests apart, so that the next crash shows which of them causes it, and so that a poison request
+ * crashes endpoints only one at a time. A request that was involved in one crash is sent to an endpoint without other
+ * suspects of this process if possible; most such requests are harmless and must not wait. A request that was involved
+ * in more crashes is sent only to such endpoints, one attempt at a time, and all processes try endpoints for it in the
+ * same order. Not thread-safe: confined to one thread.
  */
 public final class SuspectPlacement {
 
-    /** From how many crashes on a request goes only where no other suspect is. */
+    /** Number of crashes from which a request is sent only to endpoints without other suspects. */
     private static final int ALONE_FROM = 2;
 
     private final Map<EndpointStart, Map<RequestDigest, Integer>> there = new HashMap<>();
 
-    /** Begins with no suspect anywhere. */
+    /** Creates an isolation without suspects. */
     public SuspectPlacement() {}
 
-    // -- what is where
+    // -- requests in flight
 
     /**
-     * A suspected request is sent to an endpoint.
+     * Records that a suspected request is sent to an endpoint.
      *
      * @param endpoint the endpoint's start
      * @param request the request
@@ -39,7 +40,7 @@
     }
 
     /**
-     * A suspected request is at an endpoint no more.
+     * Records that a suspected request is no longer in flight at an endpoint.
      *
      * @param endpoint the endpoint's start
      * @param request the request
@@ -51,25 +52,25 @@
         });
     }
 
-    // -- where to
+    // -- selection
 
     /**
-     * Whether a suspect has to be kept apart from others, even if it has to wait for that.
+     * Returns whether a suspect must be isolated from others, even if it has to wait for that.
      *
-     * @param suspected what is held of it
-     * @return true if it was at more than one crash
+     * @param suspected its level of suspicion
+     * @return true if it was involved in more than one crash
      */
     public static boolean apart(Standing.Suspected suspected) {
         return suspected.crashes() >= ALONE_FROM;
     }
 
     /**
-     * The endpoints at which no other suspect is, in the order in which they are to be tried. None are, for a request that is to be
-     * kept apart, while it runs already.
+     * Returns the endpoints without other suspects, in the order in which they are to be tried. Returns none for a
+     * request that must be isolated while it is already in flight.
      *
-     * @param endpoints the endpoints that there are
+     * @param endpoints all endpoints
      * @param request the request
-     * @param suspected what is held of it
+     * @param suspected its level of suspicion
      * @return some of the endpoints
      */
     public List<EndpointEntry> free(
@@ -89,7 +90,7 @@
         return there.values().stream().anyMatch(requests -> requests.containsKey(request));
     }
 
-    /** An order that depends on the request and the endpoints alone, and differs from request to request. */
+    /** Returns an order that depends only on the request and the endpoints, and differs from request to request. */
     private static List<EndpointEntry> inCommonOrder(List<EndpointEntry> endpoints, RequestDigest request) {
         Map<EndpointEntry, Long> ranks = new HashMap<>();
         endpoints.forEach(endpoint -> ranks.put(endpoint, Digest.rank(request.hex(), endpoint.id())));
--- a/src/main/java/org/micabarrow/crashes/package-info.java
+++ b/src/main/java/org/micabarrow/crashes/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the endpoints that run them: how they are recognised, and from when on they are refused. */
+/** Poison requests, which crash the endpoints that run them: how they are detected, and when they are refused. */
 package org.micabarrow.crashes;
--- a/src/main/java/org/micabarrow/limits/EndpointLimit.java
+++ b/src/main/java/org/micabarrow/limits/EndpointLimit.java
@@ -9,17 +9,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What one entry knows of the limit of one start of an endpoint, and when its own part of it allows the next request. Requests are kept
- * apart by a whole period each, so that time in which none comes, or in which the process stands still, saves up nothing. Used by one
- * thread.
+ * What one entry knows about the rate limit of one start of an endpoint, and when its quota share allows the next
+ * request. Requests are spaced by a whole period each, so no burst credit accumulates while none arrive or the process
+ * is paused. Not thread-safe: confined to one thread.
  */
 public final class EndpointLimit {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
     /**
-     * For how long what was heard counts with others, in milliseconds. A limit that was not named again for that long is no longer left to the
-     * entries that take part: the end of it may have passed this entry by.
+     * Time for which an observation is passed on to other processes, in milliseconds. A limit that has not been stated
+     * again for that long is also no longer left to the entries with a share of it, since this entry may have missed
+     * that it was lifted.
      */
     static final long COUNTED_MILLIS = 30_000;
 
@@ -30,16 +31,16 @@
     private Optional<LimitNews> newest = Optional.empty();
     private Optional<EntryRank> rank = Optional.empty();
 
-    /** Empty while the entry takes no part. */
+    /** Empty while this entry has no share of the limit. */
     private Optional<LimitShare> share = Optional.empty();
 
     private long sinceMillis;
 
     /**
-     * Begins without a limit.
+     * Creates the state of an endpoint without a rate limit.
      *
      * @param endpoint the endpoint's id
-     * @param entries how many entries there are
+     * @param entryCount the number of entries
      * @param random spreads the first requests of entries that do not know their ranks
      */
     public EndpointLimit(String endpoint, KnownEntries entries, RandomGenerator random) {
@@ -48,15 +49,15 @@
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
-    // -- what is said
+    // -- observations
 
     /**
-     * An answer of the endpoint came.
+     * Records an answer of the endpoint.
      *
-     * @param perSecond the limit that it names, in requests a second; empty if none
-     * @param sentMillis when the request was sent, on the steady clock
-     * @param nowMillis the time on the steady clock
-     * @return whether the limit is another than before
+     * @param perSecond the limit that it states, in requests per second; empty if it states none
+     * @param sentMillis the time at which the request was sent, on the monotonic clock
+     * @param nowMillis the time on the monotonic clock
+     * @return whether the limit changed
      */
     public boolean answered(OptionalDouble perSecond, long sentMillis, long nowMillis) {
         return perSecond.isPresent()
@@ -64,7 +65,9 @@
                 : notNamed(sentMillis, nowMillis);
     }
 
-    /** The answer to a request that was sent before the limit was named may have been on its way since before, and tells nothing. */
+    /**
+     * Ignores the answer to a request that was sent before the limit was stated: it may have been under way since then.
+     */
     private boolean notNamed(long sentMillis, long nowMillis) {
         return limit().filter(named -> named.atMillis() <= sentMillis).isPresent()
                 && hear(new LimitNews.Ended(nowMillis));
@@ -76,10 +79,10 @@
     }
 
     /**
-     * Another process told what the endpoint said to it.
+     * Records what the endpoint stated to another process.
      *
-     * @param news the news, by this process's steady clock
-     * @return whether the limit is another than before
+     * @param observation the observation, by this process's monotonic clock
+     * @return whether the limit changed
      */
     public boolean told(LimitNews news) {
         return newest.filter(known -> !news.after(known)).isEmpty() && take(news);
@@ -95,19 +98,19 @@
     }
 
     /**
-     * The endpoint's agent told the entry's rank.
+     * Records the entry's rank as reported by the endpoint's agent.
      *
-     * @param told the rank
+     * @param newRank the rank
      */
     public void ranked(EntryRank told) {
         rank = Optional.of(Objects.requireNonNull(told, "told is null"));
     }
 
     /**
-     * What this entry heard from the endpoint itself and tells others.
+     * Returns the update with this entry's own observation for other processes.
      *
-     * @param nowMillis the time on the steady clock
-     * @return the word; empty if there is none that still counts
+     * @param nowMillis the time on the monotonic clock
+     * @return the update; empty if there is no observation or it has expired
      */
     public Optional<LimitWord> word(long nowMillis) {
         return heard.filter(news -> nowMillis - news.atMillis() <= COUNTED_MILLIS)
@@ -115,18 +118,18 @@
     }
 
     /**
-     * The limit.
+     * Returns the current limit.
      *
-     * @return the limit with the moment at which it was said; empty if the endpoint names none
+     * @return the limit and the time at which it was stated; empty if the endpoint states none
      */
     public Optional<LimitNews.Named> limit() {
         return newest.filter(LimitNews.Named.class::isInstance).map(LimitNews.Named.class::cast);
     }
 
     /**
-     * Writes a line about the limit as it is now.
+     * Logs the current limit after a change.
      *
-     * @param from who said so
+     * @param from the source of the change
      */
     public void logChange(String from) {
         LOG.info(
@@ -141,10 +144,10 @@
     // -- sending
 
     /**
-     * Whether the entry may send a request now.
+     * Returns whether the entry may send a request now.
      *
-     * @param agentTells whether the endpoint's agent tells ranks now
-     * @param nowMillis the time on the steady clock
+     * @param ranksAvailable whether the endpoint's agent currently reports ranks
+     * @param nowMillis the time on the monotonic clock
      * @return true also if there is no limit
      */
     public boolean allows(boolean agentTells, long nowMillis) {
@@ -156,10 +159,10 @@
     }
 
     /**
-     * How long it takes until the entry may send a request.
+     * Returns the time until the entry may send a request.
      *
-     * @param agentTells whether the endpoint's agent tells ranks now
-     * @param nowMillis the time on the steady clock
+     * @param ranksAvailable whether the endpoint's agent currently reports ranks
+     * @param nowMillis the time on the monotonic clock
      * @return milliseconds, not below 0; empty if the limit is left to other entries
      */
     public OptionalLong untilNextMillis(boolean agentTells, long nowMillis) {
@@ -174,15 +177,18 @@
     }
 
     /**
-     * The entry sends a request.
+     * Records that the entry sends a request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void sent(long nowMillis) {
         sinceMillis = nowMillis;
     }
 
-    /** Works out the share. An entry that did not take part in this way before begins at a moment of its own. */
+    /**
+     * Updates the quota share. When an entry gets a share of this kind for the first time, its first period is offset
+     * from those of other entries.
+     */
     private void takePart(LimitNews.Named named, boolean agentTells, long nowMillis) {
         LimitShare present = share(named, agentTells, nowMillis);
         if (present.periodMillis(named.perSecond()).isEmpty()) {
--- a/src/main/java/org/micabarrow/limits/EntryRank.java
+++ b/src/main/java/org/micabarrow/limits/EntryRank.java
@@ -9,27 +9,28 @@
 import org.micabarrow.state.Digest;
 
 /**
- * An entry's place among the entries that ask one agent.
+ * The rank of an entry among the entries that query one agent.
  *
  * @param rank the number of entries before it
- * @param entries how many there are
+ * @param entries the number of entries
  */
 public record EntryRank(int rank, int entries) {
 
-    /** Checks that the place is one of those that there are. */
+    /** Checks that the rank is from 0 to {@code entries - 1}. */
     public EntryRank {
         if (rank < 0 || rank >= entries) {
-            throw new IllegalArgumentException("rank " + rank + " of " + entries + " entries");
+            throw new IllegalArgumentException("rank " + rank + " is out of range for " + entries + " entries");
         }
     }
 
     /**
-     * Ranks entries by rendezvous hashing: one that comes or goes moves each of the others by one place at the most, and agents rank them
-     * differently, so that the limits of several endpoints are not left to the same few entries.
+     * Ranks entries by rendezvous hashing. An entry that is added or removed moves each of the others by at most one
+     * rank. Agents produce different rankings, so that the limits of several endpoints are not left to the same few
+     * entries.
      *
      * @param entries the names of the entries
      * @param agent the agent's name
-     * @return the rank of each
+     * @return the rank of each entry
      */
     public static Map<String, EntryRank> ranks(Collection<String> entries, String agent) {
         Objects.requireNonNull(agent, "agent is null");
--- a/src/main/java/org/micabarrow/limits/KnownEntries.java
+++ b/src/main/java/org/micabarrow/limits/KnownEntries.java
@@ -1,28 +1,31 @@
 package org.micabarrow.limits;
 
 /**
- * How many entries there are, by what agents tell. An agent that has just started, or is cut off, hears of fewer, so that the most that any
- * of them told lately counts. Used by one thread.
+ * The number of entries, as reported by agents. An agent that has just started or is cut off receives queries from
+ * fewer entries, so the highest recent report counts. Not thread-safe: confined to one thread.
  */
 public final class KnownEntries {
 
-    /** What an entry goes by that no agent ever told: more than send to one endpoint. */
+    /** Count that is assumed before the first report: more entries than send to one endpoint. */
     static final int ASSUMED = 64;
 
-    /** How long a number counts against smaller ones, in milliseconds: an agent that starts has heard all entries by then. */
+    /**
+     * Time for which a report takes precedence over lower ones, in milliseconds: an agent that starts has been queried
+     * by all entries by then.
+     */
     private static final long COUNTED_MILLIS = 3_000;
 
     private int most = ASSUMED;
     private long mostAtMillis = Long.MIN_VALUE / 2;
 
-    /** Begins with no number told. */
+    /** Creates a count without reports. */
     public KnownEntries() {}
 
     /**
-     * An agent told how many entries ask it.
+     * Records a report of an agent.
      *
-     * @param entries the number
-     * @param nowMillis the time on the steady clock
+     * @param entries the number of entries that query it
+     * @param nowMillis the time on the monotonic clock
      */
     public void told(int entries, long nowMillis) {
         if (entries >= most || nowMillis - mostAtMillis > COUNTED_MILLIS) {
@@ -32,9 +35,9 @@
     }
 
     /**
-     * How many there are.
+     * Returns the number of entries.
      *
-     * @return the most that was told lately, or else last
+     * @return the highest recent report, or else the last one
      */
     public int count() {
         return most;
--- a/src/main/java/org/micabarrow/limits/LimitNews.java
+++ b/src/main/java/org/micabarrow/limits/LimitNews.java
@@ -1,55 +1,55 @@
 package org.micabarrow.limits;
 
-/** What an endpoint said of the requests that it takes, and when. */
+/** What an endpoint stated about its rate limit, and when. */
 public sealed interface LimitNews {
 
     /**
-     * When it was heard.
+     * Returns the time at which the statement was received.
      *
-     * @return the moment on the steady clock of whoever keeps this, in milliseconds
+     * @return the time on the monotonic clock of the process that holds this observation, in milliseconds
      */
     long atMillis();
 
     /**
-     * The endpoint names a limit.
+     * The endpoint states a limit.
      *
-     * @param perSecond the requests a second that it takes from all entries together, not below 0
-     * @param atMillis when that was heard, on the steady clock
+     * @param perSecond the requests per second that it accepts from all entries together, not below 0
+     * @param atMillis the time at which the statement was received, on the monotonic clock
      */
     record Named(double perSecond, long atMillis) implements LimitNews {
 
-        /** Checks that the limit is a number of requests. */
+        /** Checks that the limit is valid. */
         public Named {
             requireLimit(perSecond);
         }
     }
 
     /**
-     * The endpoint names no limit any more.
+     * The endpoint no longer states a limit.
      *
-     * @param atMillis when that was heard, on the steady clock
+     * @param atMillis the time at which that was received, on the monotonic clock
      */
     record Ended(long atMillis) implements LimitNews {}
 
     /**
-     * Whether this was heard after something else.
+     * Returns whether this observation is newer than another.
      *
-     * @param other what else was heard
-     * @return true if it is the newer one
+     * @param other the other observation
+     * @return true if it was received later
      */
     default boolean after(LimitNews other) {
         return atMillis() > other.atMillis();
     }
 
     /**
-     * Checks that a number can be a limit.
+     * Checks that a number is a valid limit.
      *
-     * @param perSecond requests a second
-     * @throws IllegalArgumentException if it is below 0 or no number
+     * @param perSecond the requests per second
+     * @throws IllegalArgumentException if it is negative, infinite or not a number
      */
     static void requireLimit(double perSecond) {
         if (!Double.isFinite(perSecond) || perSecond < 0) {
-            throw new IllegalArgumentException("a limit of " + perSecond + " requests a second");
+            throw new IllegalArgumentException("rate limit of " + perSecond + " requests per second is negative or not finite");
         }
     }
 }
--- a/src/main/java/org/micabarrow/limits/LimitRelay.java
+++ b/src/main/java/org/micabarrow/limits/LimitRelay.java
@@ -5,8 +5,8 @@
 import java.util.OptionalDouble;
 
 /**
- * What an agent passes on between entries of the limit that the endpoint beside it names: the newest of what entries heard in answers and
- * what the endpoint's reports say. Safe for several threads.
+ * Passes the rate limit of the endpoint beside an agent on to entries: the newest of the entries' own observations and
+ * the endpoint's reports. Thread-safe.
  */
 public final class LimitRelay {
 
@@ -15,14 +15,14 @@
 
     private record Kept(int endpoint, LimitNews news) {}
 
-    /** Begins with no news. */
+    /** Creates a relay without observations. */
     public LimitRelay() {}
 
     /**
-     * An entry told what it heard.
+     * Records the update of an entry.
      *
-     * @param word what it told
-     * @param nowMillis the time on the steady clock
+     * @param update the update
+     * @param nowMillis the time on the monotonic clock
      */
     public synchronized void told(LimitWord word, long nowMillis) {
         Objects.requireNonNull(word, "word is null");
@@ -30,11 +30,11 @@
     }
 
     /**
-     * The endpoint reported. That a report names no limit tells something only if one before did: endpoints may name it in answers to
-     * requests alone.
+     * Records a report of the endpoint. A report without a limit is significant only if the previous one stated a
+     * limit, since endpoints may state it in answers to requests alone.
      *
-     * @param perSecond the limit that the report names, empty if none
-     * @param nowMillis the time on the steady clock
+     * @param perSecond the limit that the report states, empty if none
+     * @param nowMillis the time on the monotonic clock
      */
     public synchronized void reported(OptionalDouble perSecond, long nowMillis) {
         if (perSecond.isPresent()) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * What entries are told.
+     * Returns the update that is sent to entries.
      *
-     * @param nowMillis the time on the steady clock
-     * @return the newest news; empty if there are none that still count
+     * @param nowMillis the time on the monotonic clock
+     * @return the newest observation; empty if there is none or it has expired
      */
     public synchronized Optional<LimitWord> word(long nowMillis) {
         return newest.filter(kept -> nowMillis - kept.news().atMillis() <= EndpointLimit.COUNTED_MILLIS)
--- a/src/main/java/org/micabarrow/limits/LimitShare.java
+++ b/src/main/java/org/micabarrow/limits/LimitShare.java
@@ -2,26 +2,32 @@
 
 import java.util.OptionalLong;
 
-/** The part of an endpoint's limit that is one entry's: one request a period. */
+/** The quota share of one entry in an endpoint's rate limit: one request per period. */
 public sealed interface LimitShare {
 
-    /** Milliseconds in a second. */
+    /** Milliseconds per second. */
     double MILLIS_A_SECOND = 1_000;
 
-    /** The entries that share a limit, beyond one for each request a second: each may begin with one request in the same instant. */
+    /**
+     * Number of entries that get a share in addition to one for each request per second. Each of them may send its
+     * first request at the same instant.
+     */
     int ENTRIES_AT_ONCE = 3;
 
     /**
-     * The part of a limit that entries use which do not know their ranks. They begin at random moments, so that more than usual may come
-     * together.
+     * Fraction of a limit that is used by entries which do not know their ranks. Their first requests are sent at
+     * random times, so more of them than usual may coincide.
      */
     double UNRANKED_PART = 0.5;
 
-    /** The least limit that is shared, in requests a second: without any request its end would never show. */
+    /**
+     * The lowest limit that is divided, in requests per second. Without any request an entry would never learn that the
+     * limit was lifted.
+     */
     double LEAST_PER_SECOND = 0.1;
 
     /**
-     * How far apart the entry's requests are.
+     * Returns the interval between the entry's requests.
      *
      * @param perSecond the limit
      * @return milliseconds; empty if the entry sends none
@@ -29,16 +35,17 @@
     OptionalLong periodMillis(double perSecond);
 
     /**
-     * When the entry's first request may follow what made its share.
+     * Returns the delay of the entry's first request after it got its share.
      *
      * @param perSecond the limit
      * @param random a number from 0 to 1
-     * @return milliseconds; of no use if the entry sends none
+     * @return milliseconds; meaningless if the entry sends no requests
      */
     long firstAfterMillis(double perSecond, double random);
 
     /**
-     * The share of an entry that knows its rank. Only as many take part as may send one request each in the same instant.
+     * The share of an entry that knows its rank. The limit is divided among no more entries than may send one request
+     * each at the same instant.
      *
      * @param rank its rank among the entries
      */
@@ -59,9 +66,9 @@
     }
 
     /**
-     * The share of an entry that knows, or assumes, only how many entries there are.
+     * The share of an entry that knows, or assumes, only the number of entries.
      *
-     * @param entries how many
+     * @param entries the number of entries
      */
     record Unranked(int entries) implements LimitShare {
 
--- a/src/main/java/org/micabarrow/limits/LimitWord.java
+++ b/src/main/java/org/micabarrow/limits/LimitWord.java
@@ -3,27 +3,29 @@
 import java.util.OptionalDouble;
 
 /**
- * What processes tell each other of an endpoint's limit.
+ * An update by which processes inform each other of an endpoint's rate limit.
  *
- * @param endpoint names the endpoint, see {@link #token}; {@link #BESIDE} for the one beside the agent that tells
- * @param perSecond the limit in requests a second; empty if the endpoint names none any more
- * @param millisAgo how long ago the endpoint said so, in milliseconds
+ * @param endpointToken identifies the endpoint, see {@link #token}; {@link #LOCAL_ENDPOINT} for the one beside the agent
+ *     that sends the update
+ * @param perSecond the limit in requests per second; empty if the endpoint no longer states one
+ * @param ageMillis the time since the endpoint stated it, in milliseconds
  */
 public record LimitWord(int endpoint, OptionalDouble perSecond, int millisAgo) {
 
-    /** Stands for the endpoint beside an agent, whose reports do not name it. */
+    /** Stands for the endpoint beside an agent, whose reports do not identify it. */
     public static final int BESIDE = 0;
 
-    /** Checks that the age and the limit are possible. */
+    /** Checks that the age and the limit are valid. */
     public LimitWord {
         if (millisAgo < 0) {
-            throw new IllegalArgumentException("an age of " + millisAgo + " ms");
+            throw new IllegalArgumentException("age must not be negative: " + millisAgo + " ms");
         }
         perSecond.ifPresent(LimitNews::requireLimit);
     }
 
     /**
-     * Names an endpoint in few bytes. Another one at the same address has another token, but for one in four thousand million.
+     * Returns a compact identifier of an endpoint. The probability that another endpoint at the same address has the
+     * same token is one in 2^32.
      *
      * @param endpoint the endpoint's id
      * @return the token
@@ -33,12 +35,12 @@
     }
 
     /**
-     * The word for some news.
+     * Creates the update for an observation.
      *
      * @param endpoint the endpoint's token
-     * @param news the news
-     * @param nowMillis the time on the steady clock
-     * @return the word
+     * @param observation the observation
+     * @param nowMillis the time on the monotonic clock
+     * @return the update
      */
     public static LimitWord of(int endpoint, LimitNews news, long nowMillis) {
         int millisAgo = (int) Math.clamp(nowMillis - news.atMillis(), 0, Integer.MAX_VALUE);
@@ -50,23 +52,24 @@
     }
 
     /**
-     * Whether this is about an endpoint.
+     * Returns whether this update concerns an endpoint.
      *
-     * @param id the endpoint's id, where the agent that tells is beside it
-     * @return true also if the agent did not name it
+     * @param id the id of the endpoint beside the agent that sent the update
+     * @return true also if the agent did not identify it
      */
     public boolean isOf(String id) {
         return endpoint == BESIDE || endpoint == token(id);
     }
 
     /**
-     * The news by the clock of who was told. The word took up to a whole round trip. Where that leaves open which of two came last, an end
-     * counts as the later one: a limit that goes on is named by the next answer, while an entry that sends nothing would never hear of an
-     * end again.
+     * Converts the update to an observation by the clock of the recipient. The update was under way for up to a whole
+     * round trip. Where that leaves the order of two observations open, a lifted limit counts as the later one: a limit
+     * that still applies is stated by the next answer, while an entry that sends nothing would otherwise never learn
+     * that the limit was lifted.
      *
-     * @param askedMillis when the question was sent that was answered with this, on the steady clock
-     * @param nowMillis the time on the steady clock
-     * @return the news
+     * @param queriedMillis the time at which the query was sent to which this is the reply, on the monotonic clock
+     * @param nowMillis the time on the monotonic clock
+     * @return the observation
      */
     public LimitNews news(long askedMillis, long nowMillis) {
         return perSecond.isPresent()
--- a/src/main/java/org/micabarrow/limits/package-info.java
+++ b/src/main/java/org/micabarrow/limits/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Requests a second that an endpoint takes from all entries together. No process divides them: every entry works its own share out of what
- * the endpoint last said and of how many entries there are, which agents count by the questions that they are asked.
+ * Rate limits: the requests per second that an endpoint accepts from all entries together. No process divides them
+ * centrally. Each entry computes its own quota share from the endpoint's last statement and the number of entries,
+ * which agents determine from the queries that they receive.
  */
 package org.micabarrow.limits;
--- a/src/main/java/org/micabarrow/routing/Choice.java
+++ b/src/main/java/org/micabarrow/routing/Choice.java
@@ -2,40 +2,41 @@
 
 import java.util.OptionalLong;
 
-/** What was chosen. */
+/** The result of selecting an endpoint for a request. */
 public sealed interface Choice {
 
     /**
-     * An endpoint.
+     * An endpoint was selected.
      *
-     * @param endpoint where to send the request
-     * @param predictedMillis when its first event is expected
+     * @param endpoint the endpoint to send the request to
+     * @param predictedMillis the predicted time until its first event, in milliseconds
      */
     record Send(EndpointEntry endpoint, double predictedMillis) implements Choice {}
 
     /**
-     * All endpoints that could serve are full.
+     * All eligible endpoints are full.
      *
-     * @param endpoints how many there are
+     * @param endpoints the number of eligible endpoints
      */
     record Full(int endpoints) implements Choice {}
 
     /**
-     * All endpoints that could serve have asked for rest.
+     * All eligible endpoints are in backoff.
      *
-     * @param endpoints how many there are
-     * @param millis how long the first of them rests, in milliseconds
+     * @param endpoints the number of eligible endpoints
+     * @param millis the time until the first backoff ends, in milliseconds
      */
     record Resting(int endpoints, long millis) implements Choice {}
 
     /**
-     * All endpoints that could serve have been sent what this entry may send them of the requests a second that they take.
+     * This entry has used up its quota share at all eligible endpoints.
      *
-     * @param endpoints how many there are
-     * @param millis how long it takes until one may be sent another request, in milliseconds; empty if that is left to other entries
+     * @param endpoints the number of eligible endpoints
+     * @param millis the time until one of them may be sent another request, in milliseconds; empty if their rate limits
+     *     are left entirely to other entries
      */
     record Limited(int endpoints, OptionalLong millis) implements Choice {}
 
-    /** No endpoint can serve at all. */
+    /** No endpoint is eligible. */
     record None() implements Choice {}
 }
--- a/src/main/java/org/micabarrow/routing/EndpointChoice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointChoice.java
@@ -14,21 +14,24 @@
 import org.micabarrow.limits.KnownEntries;
 
 /**
- * Chooses the endpoint for a request: the one that is expected to answer first, with a preference for the entry's own
- * region, and none at all if the objective could not be met. Used by one thread.
+ * Selects the endpoint with the shortest predicted time to the first event, with a preference for the entry's own
+ * region. Selects none if the objective cannot be met. Not thread-safe: confined to one thread.
  */
 public final class EndpointChoice {
 
     /**
-     * What sending to another region counts as, in milliseconds of delay. Bytes between regions are paid for; in relation
-     * to a request's worth the price is that of a few hundredths of its objective.
+     * Penalty for sending a request to another region, in milliseconds of delay. Traffic between regions is billed;
+     * relative to the value of a request its price corresponds to a few hundredths of the objective.
      */
     private static final double OTHER_REGION_MILLIS = 60;
 
-    /** How long an agent of the entry's region may be silent before its endpoint is passed over: two questions lost. */
+    /**
+     * Time without contact after which an endpoint of the entry's own region is passed over, in milliseconds: two lost
+     * queries.
+     */
     private static final long NEAR_SILENCE_MILLIS = 400;
 
-    /** As above for agents of other regions, which are asked less often. */
+    /** As above for other regions, whose agents are queried less often. */
     private static final long FAR_SILENCE_MILLIS = 1_000;
 
     private final Map<EndpointStart, EndpointLoad> loads = new HashMap<>();
@@ -40,7 +43,7 @@
     private final String region;
 
     /**
-     * Makes a choice that knows nothing of any load.
+     * Creates a selector without any load information.
      *
      * @param region the entry's region
      * @param regions the region of each data hall
@@ -51,30 +54,30 @@
     }
 
     /**
-     * What is known of an endpoint's load.
+     * Returns the load of one start of an endpoint. Load of earlier starts does not carry over.
      *
-     * @param start the endpoint's start; what was known of a former one holds no more
-     * @return its load, to be updated
+     * @param start the endpoint's start
+     * @return its mutable load
      */
     public EndpointLoad load(EndpointStart start) {
         return loads.computeIfAbsent(start, key -> new EndpointLoad(new EndpointLimit(key.id(), entries, random)));
     }
 
     /**
-     * What is known of the load of an endpoint that does not tell when it was started.
+     * Returns the load of an endpoint that does not report its start time.
      *
      * @param id the endpoint's id
-     * @return its load, to be updated
+     * @return its mutable load
      */
     public EndpointLoad load(String id) {
         return load(EndpointStart.untold(id));
     }
 
     /**
-     * Whether own requests wait at an endpoint.
+     * Returns whether requests of this entry are in flight at an endpoint.
      *
      * @param start the endpoint's start
-     * @return false if none does, or nothing is known of it
+     * @return false if there are none, or the endpoint is unknown
      */
     public boolean awaits(EndpointStart start) {
         EndpointLoad load = loads.get(start);
@@ -82,35 +85,35 @@
     }
 
     /**
-     * Forgets endpoints that are gone or have started again, once no request waits there any more: what still does must be seen
-     * to have fallen silent.
+     * Forgets endpoints that are no longer listed or have restarted, once no request is in flight there. Endpoints with
+     * requests in flight are kept, so that their unresponsiveness can still be detected.
      *
-     * @param present those that are listed
+     * @param present the listed endpoints
      */
     public void keepOnly(Collection<EndpointEntry> present) {
         Set<EndpointStart> starts = present.stream().map(EndpointEntry::start).collect(Collectors.toSet());
         loads.entrySet()
                 .removeIf(
-                        one -> !starts.contains(one.getKey()) && one.getValue().idle());
+                        entry -> !starts.contains(entry.getKey()) && entry.getValue().idle());
     }
 
-    // -- leaving
+    // -- draining
 
     /**
-     * An endpoint said in an answer that it leaves.
+     * Records that an endpoint stated in an answer that it is draining.
      *
      * @param start the endpoint's start
-     * @return false if it had said so before
+     * @return false if this was recorded before
      */
     public boolean saidThatItLeaves(EndpointStart start) {
         return leaving.add(start);
     }
 
     /**
-     * Whether an endpoint takes nothing new, by its entry, its answers or its agent.
+     * Returns whether an endpoint accepts no new requests, according to its registration, its answers or its agent.
      *
      * @param endpoint the endpoint
-     * @return true if one of them says so
+     * @return true if any of them says so
      */
     public boolean leaves(EndpointEntry endpoint) {
         return leaves(known(endpoint));
@@ -123,43 +126,43 @@
     }
 
     /**
-     * How many requests for models this entry lately had to turn away for want of room.
+     * Returns the recent demand that this entry could not serve for lack of capacity.
      *
-     * @return the count, to be kept
+     * @return the mutable count of refused model requests
      */
     public UnmetDemand unmet() {
         return unmet;
     }
 
     /**
-     * How many entries there are, which share the limits of endpoints.
+     * Returns the number of entries among which rate limits are divided.
      *
-     * @return what agents told, to be updated
+     * @return the mutable count, as reported by agents
      */
     public KnownEntries entries() {
         return entries;
     }
 
-    // -- choosing
+    // -- selection
 
     /**
-     * Whether an endpoint's limit allows this entry a request now.
+     * Returns whether an endpoint's rate limit allows this entry a request now.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true also if it has none
+     * @param nowMillis the time on the monotonic clock
+     * @return true also if the endpoint has no rate limit
      */
     public boolean withinLimit(EndpointEntry endpoint, long nowMillis) {
         return known(endpoint).withinLimit(nowMillis);
     }
 
     /**
-     * Chooses.
+     * Selects an endpoint.
      *
      * @param candidates the service's endpoints
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return the choice
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return the selection
      */
     public Choice choose(List<EndpointEntry> candidates, Wanted wanted, long nowMillis) {
         List<KnownEndpoint> known = known(candidates);
@@ -177,7 +180,7 @@
         return pool.isEmpty() ? new Choice.None() : first(pool, wanted, nowMillis);
     }
 
-    /** The endpoint of some that is expected to answer first, if any of them has room. */
+    /** Selects the endpoint with the shortest predicted time to the first event among those with capacity. */
     private Choice first(List<KnownEndpoint> pool, Wanted wanted, long nowMillis) {
         Choice first = new Choice.Full(pool.size());
         double least = Double.POSITIVE_INFINITY;
@@ -205,23 +208,23 @@
     }
 
     /**
-     * Whether an endpoint has asked this process to send it nothing now.
+     * Returns whether an endpoint has asked this process for a backoff that is still active.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true until the rest is over
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the backoff ends
      */
     public boolean rests(EndpointEntry endpoint, long nowMillis) {
         return known(endpoint).rests(nowMillis);
     }
 
     /**
-     * How long it takes until the first of some endpoints may be sent to again.
+     * Returns the time until the first of the eligible endpoints ends its backoff.
      *
      * @param candidates a service's endpoints
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds; empty if one that may get the request does not rest, or none may get it
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds; empty if an eligible endpoint is not in backoff, or none is eligible
      */
     public OptionalLong allRestMillis(List<EndpointEntry> candidates, Wanted wanted, long nowMillis) {
         return KnownEndpoint.allRestMillis(
@@ -229,8 +232,9 @@
     }
 
     /**
-     * The endpoints to choose among. Those with failures or a slow link do if there are no others. Those that fell silent do only if no
-     * endpoint of the service is heard of at all: then it is more likely that this entry does not hear.
+     * Returns the endpoints to select from. Endpoints with failures or a slow link are used only if there are no
+     * others. Unresponsive endpoints are used only if there is no recent contact with any endpoint of the service: then
+     * it is more likely that this entry itself is cut off.
      */
     private List<KnownEndpoint> pool(List<KnownEndpoint> candidates, List<KnownEndpoint> able, long nowMillis) {
         List<KnownEndpoint> heard = KnownEndpoint.keep(able, one -> !silent(one, nowMillis));
@@ -243,11 +247,12 @@
     }
 
     /**
-     * Whether nothing is heard of an endpoint any more.
+     * Returns whether contact with an endpoint is lost.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true if its agent used to tell, and it and its agent have been silent for too long
+     * @param nowMillis the time on the monotonic clock
+     * @return true if its agent has reported before, and neither the endpoint nor its agent has been heard from within
+     *     the timeout
      */
     public boolean silent(EndpointEntry endpoint, long nowMillis) {
         return silent(known(endpoint), nowMillis);
@@ -262,12 +267,13 @@
     }
 
     /**
-     * Whether an endpoint's agent is to be asked before a request is sent there. An endpoint that still holds an older
-     * version than was named must not get what it may begin after the version's bound: while its instance stands still,
-     * requests wait in front of it, where only a reset of their connections takes them back.
+     * Returns whether an endpoint's agent must be queried before a request is sent there. An endpoint that still holds
+     * an older version than the newest announced one must not get requests that it could start after that version's
+     * deadline: while its instance is paused, requests queue up in front of it, and only resetting their connections
+     * withdraws them.
      *
      * @param endpoint the endpoint
-     * @param wanted what is to be sent
+     * @param request the request to send
      * @return whether the endpoint holds an older version and has an agent
      */
     public boolean mustAsk(EndpointEntry endpoint, Wanted wanted) {
@@ -278,12 +284,12 @@
     }
 
     /**
-     * Whether an endpoint may get a request at all, however full it is.
+     * Returns whether an endpoint may get a request at all, regardless of its load.
      *
      * @param endpoint the endpoint
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return false if it leaves, was tried, or does not hold a version that may answer
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return false if it is draining, was tried, or does not hold a version that may answer
      */
     public boolean able(EndpointEntry endpoint, Wanted wanted, long nowMillis) {
         return able(known(endpoint), wanted, nowMillis);
@@ -298,7 +304,7 @@
         }
         long held = one.version(wanted.model().get());
         EndpointLoad load = one.load();
-        // What waits in a slow link may arrive when the older version may answer no more.
+        // Requests delayed by a slow link may arrive when the older version may no longer answer.
         boolean linkInDoubt = load.unanswered()
                 || load.delayedLately(nowMillis)
                 || load.agentSilent(patienceMillis(one.endpoint()), nowMillis);
@@ -311,21 +317,22 @@
     }
 
     /**
-     * Whether an endpoint is left out, as long as there are others, because of how its last requests ended.
+     * Returns whether an endpoint is ejected because of recent failures. Ejected endpoints are used only if there are
+     * no others.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true until its exclusion ends
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the ejection ends
      */
     public boolean failing(EndpointEntry endpoint, long nowMillis) {
         return load(endpoint.start()).failures().excluded(nowMillis);
     }
 
     /**
-     * How long a request may wait for room and still be in time.
+     * Returns how long a request may wait for a free slot and still meet its objective.
      *
-     * @param wanted what is to be sent
-     * @return milliseconds; not above 0 if it may not wait
+     * @param request the request to send
+     * @return milliseconds; 0 or less if it must not wait
      */
     public long spareMillis(Wanted wanted) {
         return EndpointRoom.spareMillis(wanted);
--- a/src/main/java/org/micabarrow/routing/EndpointEntry.java
+++ b/src/main/java/org/micabarrow/routing/EndpointEntry.java
@@ -5,18 +5,19 @@
 import java.util.OptionalLong;
 
 /**
- * An endpoint as it entered itself in the platform's store.
+ * An endpoint as it registered itself in the platform's store.
  *
- * @param id its id, which it keeps when it starts again
+ * @param id its id, which is the same after a restart
  * @param service its service
  * @param address its host and port
  * @param dataHall its data hall
- * @param slots how many requests it runs at once
- * @param leaving whether it takes no new requests
- * @param models the weight version it held of each model when it wrote the entry
- * @param layers how many layers it held then; the greatest number if it does not tell
- * @param startedMillis the Unix millisecond of its start; empty if it does not tell
- * @param writes a count that rises with each write of the entry since then; empty if it does not tell
+ * @param slots the number of requests it runs concurrently
+ * @param draining whether it accepts no new requests
+ * @param models the weight version of each model that it held when it wrote the registration
+ * @param layers the number of layers it held then; the greatest number if it does not report them
+ * @param startedMillis the Unix time of its start in milliseconds; empty if it does not report it
+ * @param writeCount a count that rises with each write of the registration since the start; empty if it does not report
+ *     it
  */
 public record EndpointEntry(
         String id,
@@ -41,17 +42,17 @@
     }
 
     /**
-     * An endpoint that tells neither when it was started nor how often it has written its entry.
+     * Creates the registration of an endpoint that reports neither its start time nor its write count.
      *
      * @param id its id
      * @param service its service
      * @param address its host and port
      * @param dataHall its data hall
-     * @param slots how many requests it runs at once
-     * @param leaving whether it takes no new requests
-     * @param models the weight version it held of each model when it wrote the entry
-     * @param layers how many layers it held then; the greatest number if it does not tell
-     * @return its entry
+     * @param slots the number of requests it runs concurrently
+     * @param draining whether it accepts no new requests
+     * @param models the weight version of each model that it held when it wrote the registration
+     * @param layers the number of layers it held then; the greatest number if it does not report them
+     * @return its registration
      */
     public static EndpointEntry of(
             String id,
@@ -67,10 +68,10 @@
     }
 
     /**
-     * The entry as it would be if the endpoint told its start so.
+     * Returns a copy of this registration with another start time.
      *
-     * @param millis the Unix millisecond of its start; empty if it does not tell
-     * @return an entry that differs by this at most
+     * @param millis the Unix time of the endpoint's start in milliseconds; empty if it does not report it
+     * @return the copy
      */
     public EndpointEntry withStart(OptionalLong millis) {
         return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, millis, writes);
@@ -81,26 +82,26 @@
     }
 
     /**
-     * Whether an entry says the same as another, however often each was written.
+     * Returns whether another registration has the same content, regardless of the write counts.
      *
-     * @param other the other
-     * @return true if they differ by the count of writes at most
+     * @param other the other registration
+     * @return true if they differ by their write counts at most
      */
     public boolean saysTheSameAs(EndpointEntry other) {
         return equals(other.withWrites(writes));
     }
 
     /**
-     * The start of the endpoint that the entry is of.
+     * Returns the start of the endpoint that this registration belongs to.
      *
-     * @return the start, by which beliefs of the endpoint are kept
+     * @return the start, the key for everything known about the endpoint
      */
     public EndpointStart start() {
         return new EndpointStart(id, startedMillis);
     }
 
     /**
-     * The instance that it runs on.
+     * Returns the host of the instance on which the endpoint runs.
      *
      * @return the host part of its address
      */
--- a/src/main/java/org/micabarrow/routing/EndpointLoad.java
+++ b/src/main/java/org/micabarrow/routing/EndpointLoad.java
@@ -5,12 +5,12 @@
 import org.micabarrow.limits.EndpointLimit;
 
 /**
- * What an entry knows of the work at one start of an endpoint: its own requests there, what the endpoint's agent told, and
- * how its last requests ended. Used by one thread.
+ * What an entry knows about the load of one start of an endpoint: its own requests in flight there, the last report of
+ * the endpoint's agent, and the outcomes of recent requests. Not thread-safe: confined to one thread.
  */
 public final class EndpointLoad {
 
-    /** How old what an agent told may be before it is no longer counted, in milliseconds. */
+    /** Time after which an agent's report is no longer used, in milliseconds. */
     private static final long TOLD_MILLIS = 2_000;
 
     private int requests;
@@ -29,9 +29,9 @@
     private final EndpointLimit limit;
 
     /**
-     * Begins without any request, and with nothing told.
+     * Creates a load without requests and without a report.
      *
-     * @param limit what is known of the endpoint's limit, to be updated
+     * @param rateLimit the endpoint's rate limit, to be updated
      */
     public EndpointLoad(EndpointLimit limit) {
         this.limit = Objects.requireNonNull(limit, "limit is null");
@@ -40,7 +40,7 @@
     // -- own requests
 
     /**
-     * A request is sent there.
+     * Records that a request was sent to the endpoint.
      *
      * @param promptTokens the tokens of its prompt
      */
@@ -50,7 +50,7 @@
     }
 
     /**
-     * A request's answer has begun, or the request is over before that.
+     * Records that the answer to a request has begun, or that the request ended before that.
      *
      * @param promptTokens the tokens of its prompt
      */
@@ -58,68 +58,68 @@
         waitingPromptTokens -= promptTokens;
     }
 
-    /** A request is over. */
+    /** Records that a request ended. */
     public void ended() {
         requests--;
     }
 
     /**
-     * Whether no own request is there.
+     * Returns whether no request of this entry is in flight.
      *
-     * @return true if all are over
+     * @return true if all have ended
      */
     public boolean idle() {
         return requests == 0;
     }
 
     /**
-     * The prompt tokens of own requests whose answers have not begun.
+     * Returns the prompt tokens of this entry's requests whose answers have not begun.
      *
-     * @return their number
+     * @return the number of tokens
      */
     public int ownPromptTokens() {
         return waitingPromptTokens;
     }
 
     /**
-     * The prompt tokens of all requests whose answers have not begun, as far as known.
+     * Returns the prompt tokens of all requests whose answers have not begun, as far as known.
      *
-     * @param nowMillis the time on the steady clock
-     * @return their number
+     * @param nowMillis the time on the monotonic clock
+     * @return the number of tokens
      */
     public int waitingPromptTokens(long nowMillis) {
         return waitingPromptTokens + (toldLately(nowMillis) ? told.othersPromptTokens() : 0);
     }
 
     /**
-     * Whether the endpoint's agent used to tell, and neither it nor the endpoint is heard any more: their instance may
-     * stand still or be cut off.
+     * Returns whether the endpoint's agent has reported before and neither the agent nor the endpoint has been heard
+     * from within a timeout. Their instance may be paused or cut off.
      *
-     * @param patienceMillis how long their silence is borne
-     * @param nowMillis the time on the steady clock
-     * @return true if what was heard last is older
+     * @param timeoutMillis the longest accepted time without contact
+     * @param nowMillis the time on the monotonic clock
+     * @return true if the last contact is older
      */
     public boolean silent(long patienceMillis, long nowMillis) {
         return agentSilent(patienceMillis, nowMillis) && nowMillis - heardAtMillis > patienceMillis;
     }
 
     /**
-     * A part of an answer came from the endpoint.
+     * Records that data of an answer arrived from the endpoint.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void heard(long nowMillis) {
         heardAtMillis = nowMillis;
     }
 
-    // -- what the agent told
+    // -- reports of the agent
 
     /**
-     * The endpoint's agent told what it does.
+     * Records a report of the endpoint's agent.
      *
-     * @param news what it told
-     * @param delay how long ago it was asked, in milliseconds
-     * @param nowMillis the time on the steady clock
+     * @param newReport the report
+     * @param delayMillis the time since the query was sent, in milliseconds
+     * @param nowMillis the time on the monotonic clock
      */
     public void told(LoadReport news, long delay, long nowMillis) {
         told = news;
@@ -131,36 +131,39 @@
         version = Math.max(version, news.version());
     }
 
-    /** The agent told of another start of the endpoint: what is known of this one is over, until the agent tells of it. */
+    /**
+     * Records that the agent reported another start of the endpoint. Nothing known about this start is used until the
+     * agent reports this start again.
+     */
     public void toldOfAnotherStart() {
         startedAgain = true;
     }
 
     /**
-     * Whether the endpoint's agent last told of another start of the endpoint, which holds nothing of what this one did.
+     * Returns whether the agent last reported another start of the endpoint, which holds no state of this one.
      *
-     * @return true until it tells of this one
+     * @return true until it reports this start
      */
     public boolean startedAgain() {
         return startedAgain;
     }
 
-    /** The agent did not answer a question in time. */
+    /** Records that the agent did not reply to a query in time. */
     public void notAnswered() {
         unanswered = true;
     }
 
     /**
-     * Whether the agent left a question unanswered and has told nothing since.
+     * Returns whether the agent has left a query without a reply and has not reported since.
      *
-     * @return true until it tells something again
+     * @return true until its next report
      */
     public boolean unanswered() {
         return unanswered;
     }
 
     /**
-     * Whether the endpoint's agent ever told anything.
+     * Returns whether the endpoint's agent has ever reported.
      *
      * @return false for an endpoint without an agent
      */
@@ -169,19 +172,19 @@
     }
 
     /**
-     * Whether the endpoint's agent told anything lately.
+     * Returns whether the last report of the endpoint's agent is recent enough to be used.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true if what it told still counts
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the report expires
      */
     public boolean toldLately(long nowMillis) {
         return nowMillis - toldAtMillis <= TOLD_MILLIS;
     }
 
     /**
-     * How old what the endpoint's agent told last is.
+     * Returns the age of the last report of the endpoint's agent.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      * @return milliseconds
      */
     public long millisSinceTold(long nowMillis) {
@@ -189,144 +192,145 @@
     }
 
     /**
-     * Whether the endpoint's agent used to tell and tells no more, be the endpoint heard or not: questions or answers may be
-     * lost in a link that is full.
+     * Returns whether the endpoint's agent has reported before but not within a timeout, regardless of contact with the
+     * endpoint itself: queries or replies may get lost on a saturated link.
      *
-     * @param patienceMillis how long its silence is borne
-     * @param nowMillis the time on the steady clock
-     * @return true if what it told last is older
+     * @param timeoutMillis the longest accepted time without a report
+     * @param nowMillis the time on the monotonic clock
+     * @return true if the last report is older
      */
     public boolean agentSilent(long patienceMillis, long nowMillis) {
         return hasAgent() && nowMillis - toldAtMillis > patienceMillis;
     }
 
     /**
-     * Whether the way to the endpoint and back takes long, because its instance's link is narrow or full.
+     * Returns whether the round trip to the endpoint is slow because its instance's link is narrow or saturated.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true if its agent's last answer, if it still counts, came late
+     * @param nowMillis the time on the monotonic clock
+     * @return true if the agent's last reply has not expired and was late
      */
     public boolean delayed(long nowMillis) {
         return toldLately(nowMillis) && link.slow();
     }
 
     /**
-     * Whether the way to the endpoint and back took long lately, so that it may do so again.
+     * Returns whether the round trip to the endpoint was slow recently and may therefore become slow again.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true for a while after each late answer of its agent
+     * @param nowMillis the time on the monotonic clock
+     * @return true for a while after each late reply of its agent
      */
     public boolean delayedLately(long nowMillis) {
         return link.slowLately(nowMillis);
     }
 
     /**
-     * An answer told which weight version it comes from.
+     * Records the weight version that an answer came from.
      *
-     * @param answered the version
+     * @param answeredVersion the version
      */
     public void answeredBy(long answered) {
         version = Math.max(version, answered);
     }
 
     /**
-     * The newest weight version that the endpoint was seen to hold.
+     * Returns the newest weight version that the endpoint is known to have held.
      *
-     * @return the version, 0 if none was seen
+     * @return the version, 0 if none is known
      */
     public long version() {
         return version;
     }
 
     /**
-     * Whether the endpoint takes up weights just now.
+     * Returns whether the endpoint is loading weights now.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true if its agent said so lately
+     * @param nowMillis the time on the monotonic clock
+     * @return true if its agent reported so recently
      */
     public boolean loading(long nowMillis) {
         return told.loading() && toldLately(nowMillis);
     }
 
     /**
-     * Whether the endpoint leaves, by what its agent told last. Where starts are not told, an agent's word may be of the start before,
-     * so it holds only until the agent tells otherwise.
+     * Returns whether the endpoint is draining according to its agent's last report. If the endpoint does not report
+     * its start time, that report may concern the previous start, so it counts only until the next report.
      *
-     * @return true if its agent said so
+     * @return true if its agent reported so
      */
     public boolean toldThatItLeaves() {
         return told.leaving() && !startedAgain;
     }
 
     /**
-     * The requests at the endpoint, as far as known: what its agent told plus what was sent since.
+     * Returns the number of requests at the endpoint as far as known: the number in the last report plus the requests
+     * sent since.
      *
-     * @param nowMillis the time on the steady clock
-     * @return their number, at least the entry's own
+     * @param nowMillis the time on the monotonic clock
+     * @return at least the number of this entry's own requests
      */
     public int requests(long nowMillis) {
         return toldLately(nowMillis) ? Math.max(requests, told.requests() + requests - requestsWhenTold) : requests;
     }
 
     /**
-     * Whether one more of the entry's requests fits into the places that are its own: those that its requests have, which it may
-     * fill again when they end, and those that the agent dealt to it. Without that, all entries would take a place that one
-     * of them reads of, and the requests that come last wait inside the endpoint.
+     * Returns whether this entry may send one more request within its allotted slots: those that its requests in flight
+     * occupy, which it may reuse when they end, and the free ones that the agent allotted to it. Without allotment all
+     * entries would use the same reported free slot, and all but the first request would wait inside the endpoint.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true also if the agent dealt none out, or has not told anything lately
+     * @param nowMillis the time on the monotonic clock
+     * @return true also if the agent does not allot slots or has not reported recently
      */
     public boolean ownsPlace(long nowMillis) {
         return !toldLately(nowMillis) || requests - requestsWhenTold < told.places();
     }
 
-    // -- rest
+    // -- backoff
 
     /**
-     * The rest that the endpoint has asked for.
+     * Returns the backoff that the endpoint has asked for.
      *
-     * @return the rest, to be kept
+     * @return the mutable backoff
      */
     public Rest rest() {
         return rest;
     }
 
     /**
-     * Whether one more of the entry's requests may be sent there as far as the endpoint's rest goes.
+     * Returns whether the endpoint's backoff allows one more request of this entry.
      *
-     * @param nowMillis the time on the steady clock
-     * @return false while it rests, and while enough are there afterwards
+     * @param nowMillis the time on the monotonic clock
+     * @return false during the backoff, and after it while the ramp-up limit is reached
      */
     public boolean restAllows(long nowMillis) {
         return rest.allows(requests, nowMillis);
     }
 
-    // -- limit
+    // -- rate limit
 
     /**
-     * The requests a second that the endpoint takes from all entries together.
+     * Returns the rate limit that the endpoint applies to all entries together.
      *
-     * @return what is known of it, to be updated
+     * @return the mutable rate limit
      */
     public EndpointLimit limit() {
         return limit;
     }
 
     /**
-     * Whether this entry's part of the limit allows a request.
+     * Returns whether this entry's quota share allows a request now.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true also if there is no limit
+     * @param nowMillis the time on the monotonic clock
+     * @return true also if there is no rate limit
      */
     public boolean limitAllows(long nowMillis) {
         return limit.allows(toldLately(nowMillis), nowMillis);
     }
 
     /**
-     * How long it takes until this entry's part of the limit allows a request.
+     * Returns the time until this entry's quota share allows a request.
      *
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds, 0 also if there is no limit; empty if it is left to other entries
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds, 0 also if there is no rate limit; empty if the limit is left to other entries
      */
     public OptionalLong untilLimitAllowsMillis(long nowMillis) {
         return limit.untilNextMillis(toldLately(nowMillis), nowMillis);
@@ -335,9 +339,9 @@
     // -- first events
 
     /**
-     * How late the first events of the endpoint's answers are.
+     * Returns the measured delay of the endpoint's first events.
      *
-     * @return the record, to be kept
+     * @return the mutable measurement
      */
     public FirstEventDelay firstEvents() {
         return firstEvents;
@@ -346,9 +350,9 @@
     // -- failures
 
     /**
-     * How the endpoint's last requests ended.
+     * Returns the recent failures of the endpoint.
      *
-     * @return the record, to be kept
+     * @return the mutable failures
      */
     public Failures failures() {
         return failures;
--- a/src/main/java/org/micabarrow/routing/EndpointRoom.java
+++ b/src/main/java/org/micabarrow/routing/EndpointRoom.java
@@ -1,36 +1,43 @@
 package org.micabarrow.routing;
 
-/** Whether an endpoint has room for a request, which is so while its first event is expected within the objective. */
+/**
+ * Decides whether an endpoint has capacity for a request: a model endpoint has, while the first event is predicted
+ * within the objective and a slot is free.
+ */
 final class EndpointRoom {
 
-    /** The part of the objective that is kept for what the prediction of the first event misses. */
+    /** Fraction of the objective that is reserved for errors of the prediction. */
     private static final double OBJECTIVE_KEPT = 0.2;
 
     /**
-     * The part of an endpoint's slots that is kept from requests that cannot be in time any more: at full load their answers, worth a
-     * quarter, would take the places of answers that can still be in time.
+     * Fraction of an endpoint's slots that is reserved for requests which can still meet their objective. At full load
+     * late answers, which are worth a quarter, would otherwise take slots from answers that are still in time.
      */
     private static final double SLOTS_KEPT_FROM_LATE = 0.25;
 
-    /** The part of the objective for which a late request may wait behind others; its own prompt may take longer than that. */
+    /**
+     * Fraction of the objective for which a late request may wait behind others. The processing of its own prompt may
+     * take longer.
+     */
     private static final double LATE_OBJECTIVE_PART = 0.5;
 
-    /** How many times its slots a plain endpoint may hold, its queue included, before requests are refused. */
+    /** Number of requests that a plain endpoint may hold per slot, its queue included, before requests are refused. */
     private static final double PLAIN_SLOTS = 2;
 
-    /** What a full plain endpoint's queue is expected to cost for each slot's worth of requests, in milliseconds. */
+    /** Predicted delay per slot's worth of requests in the queue of a full plain endpoint, in milliseconds. */
     private static final double PLAIN_ROUND_MILLIS = 80;
 
-    /** How many requests an endpoint of a model may hold in relation to its slots. */
+    /** Number of requests that a model endpoint may hold per slot. */
     private static final double MODEL_SLOTS = 1;
 
     private EndpointRoom() {}
 
     /**
-     * How long a request may wait for room and still be in time, if it then finds an endpoint that has nothing else to read.
+     * Returns how long a request may wait for a free slot and still meet its objective, assuming that it then gets an
+     * idle endpoint.
      *
-     * @param wanted what is to be sent
-     * @return milliseconds; not above 0 if it may not wait, as those for plain services, whose requests are short
+     * @param request the request to send
+     * @return milliseconds; 0 or less if it must not wait, as for plain services, whose requests are short
      */
     static long spareMillis(Wanted wanted) {
         return wanted.model()
@@ -39,17 +46,17 @@
                 .orElse(0L);
     }
 
-    /** Whether an answer cannot be in time any more, wherever the request is sent. */
+    /** Returns whether an answer cannot meet its objective at any endpoint. */
     private static boolean tooLate(Wanted wanted) {
         return wanted.late() || spareMillis(wanted) <= 0;
     }
 
-    /** Within which the first event must be predicted to come. */
+    /** Returns the time within which the first event must be predicted, in milliseconds. */
     private static double millisToBegin(Wanted wanted) {
         return wanted.millisToObjective() - wanted.objectiveMillis() * OBJECTIVE_KEPT;
     }
 
-    /** Whether an endpoint that may get a request has room for it. */
+    /** Returns whether an eligible endpoint has capacity for a request. */
     static boolean isFor(Wanted wanted, EndpointEntry endpoint, EndpointLoad load, long nowMillis) {
         if (!load.restAllows(nowMillis)) {
             return false;
@@ -73,9 +80,9 @@
     }
 
     /**
-     * When the first event of a request's answer is expected, in milliseconds from now, by what first events at the endpoint took
-     * lately. It says which endpoint is the quickest, not whether one has room: where links are full all are slow, and a request that
-     * waits for a quick one is late for certain.
+     * Predicts the time until the first event of a request's answer, in milliseconds, corrected by the recent delays of
+     * first events at the endpoint. Used to compare endpoints, not to decide about capacity: when links are saturated
+     * all endpoints are slow, and a request that waits for a fast one is certainly late.
      */
     static double predictedMillis(Wanted wanted, EndpointEntry endpoint, EndpointLoad load, long nowMillis) {
         if (wanted.model().isEmpty()) {
@@ -84,7 +91,7 @@
         return figuresMillis(wanted, load, nowMillis) * load.firstEvents().factor(nowMillis);
     }
 
-    /** When the first event is expected by the figures of the service and what is known of the endpoint's load. */
+    /** Predicts the time until the first event from the service's model profile and the known load of the endpoint. */
     private static double figuresMillis(Wanted wanted, EndpointLoad load, long nowMillis) {
         return firstEvent(
                 wanted.model().get(),
@@ -92,12 +99,15 @@
                 load.waitingPromptTokens(nowMillis) + wanted.promptTokens());
     }
 
-    /** When the first event is expected where nothing else runs. */
+    /** Predicts the time until the first event at an idle endpoint. */
     private static double aloneMillis(ModelService model, int promptTokens) {
         return firstEvent(model, 0, promptTokens);
     }
 
-    /** When the first event is expected: after the steps under way, the prompts ahead, its own, and its first steps. */
+    /**
+     * Predicts the time until the first event: the steps in progress, the prompts ahead and the request's own prompt,
+     * and its first steps.
+     */
     private static double firstEvent(ModelService model, int requests, int promptTokens) {
         double step = model.stepMillis() + model.stepMillisPerSequence() * requests;
         double steps = model.stride() * step;
--- a/src/main/java/org/micabarrow/routing/EndpointStart.java
+++ b/src/main/java/org/micabarrow/routing/EndpointStart.java
@@ -5,41 +5,40 @@
 import java.util.OptionalLong;
 
 /**
- * One start of an endpoint. An endpoint that starts again keeps its id, but holds nothing of before and knows nothing of
- * it: whatever is believed of an endpoint is believed of one start.
+ * One start of an endpoint. An endpoint that restarts keeps its id but no state, so everything known about an endpoint
+ * is kept per start.
  *
  * @param id the endpoint's id
- * @param startedMillis the Unix millisecond of the start; empty if the endpoint does not tell it
+ * @param startedMillis the Unix time of the start in milliseconds; empty if the endpoint does not report it
  */
 public record EndpointStart(String id, OptionalLong startedMillis) {
 
     /**
-     * The count of tokens, so that one has at most six digits: bytes between regions are paid for. Two starts of an endpoint have
-     * the same token if they are whole multiples of 1,000 s apart, to the millisecond.
+     * Number of distinct tokens. It keeps tokens to six digits, since traffic between regions is billed. Two starts of
+     * an endpoint share a token if they are an exact multiple of 1,000 s apart, to the millisecond.
      */
     private static final int TOKENS = 1_000_000;
 
-    /** Checks that nothing is missing. */
     public EndpointStart {
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(startedMillis, "startedMillis is null");
     }
 
     /**
-     * A start of an endpoint that does not tell when it was.
+     * Returns the start of an endpoint that does not report its start time.
      *
      * @param id the endpoint's id
-     * @return the only start of the endpoint that there is
+     * @return the only start known for this endpoint
      */
     public static EndpointStart untold(String id) {
         return new EndpointStart(id, OptionalLong.empty());
     }
 
     /**
-     * What an agent names the start of its endpoint by.
+     * Returns the token by which an agent identifies the start of its endpoint.
      *
-     * @param startedMillis the Unix millisecond of the start; empty if the endpoint does not tell it
-     * @return a token that another start of the endpoint does not have; empty if the start is not told
+     * @param startedMillis the Unix time of the start in milliseconds; empty if the endpoint does not report it
+     * @return a token that differs from those of the endpoint's other starts; empty if the start time is not reported
      */
     public static OptionalInt token(OptionalLong startedMillis) {
         return startedMillis.isEmpty()
@@ -48,10 +47,10 @@
     }
 
     /**
-     * Whether a token names this start.
+     * Returns whether a token may identify this start.
      *
-     * @param token the token that an agent told; empty if its endpoint does not tell when it was started
-     * @return true also if the token or the start is not told
+     * @param token the token reported by an agent; empty if its endpoint does not report its start time
+     * @return true also if the token or the start time is not reported
      */
     public boolean mayBe(OptionalInt token) {
         OptionalInt own = token(startedMillis);
--- a/src/main/java/org/micabarrow/routing/Failures.java
+++ b/src/main/java/org/micabarrow/routing/Failures.java
@@ -1,34 +1,40 @@
 package org.micabarrow.routing;
 
-/** How the last requests at an endpoint ended, and until when it is left out because of that. Used by one thread. */
+/**
+ * Tracks the failures of recent requests at an endpoint and ejects it for a while because of them. Not thread-safe:
+ * confined to one thread.
+ */
 public final class Failures {
 
-    /** How long an endpoint is left out after the first failure in a row, in milliseconds; doubled by each further one. */
+    /**
+     * Duration of the ejection after the first of consecutive connection failures, in milliseconds; doubled by each
+     * further one.
+     */
     private static final long FIRST_EXCLUSION_MILLIS = 1_000;
 
-    /** The longest exclusion, in milliseconds: an endpoint that is back gets traffic again within this. */
+    /** Longest ejection, in milliseconds: a recovered endpoint gets traffic again within this time. */
     private static final long LONGEST_EXCLUSION_MILLIS = 8_000;
 
-    /** The weight of the newest answer in the share of failures. */
+    /** Weight of the newest answer in the smoothed failure ratio. */
     private static final double FAILURE_SMOOTHING = 0.15;
 
-    /** The share of failed answers from which an endpoint is left out: well above the errors that healthy services give. */
+    /** Failure ratio above which an endpoint is ejected: well above the error ratio of healthy services. */
     private static final double FAILURE_SHARE = 0.5;
 
     private int inARow;
     private double share;
     private long excludedUntilMillis = Long.MIN_VALUE;
 
-    /** The endpoint gave an answer that may be passed on. */
+    /** Records an answer that may be passed on. */
     public void succeeded() {
         inARow = 0;
         share *= 1 - FAILURE_SMOOTHING;
     }
 
     /**
-     * A connection failed, broke, or gave what is no answer.
+     * Records a connection that failed or broke, or an answer that does not belong to the request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void broke(long nowMillis) {
         long exclusion = FIRST_EXCLUSION_MILLIS << Math.min(inARow, 3);
@@ -37,9 +43,9 @@
     }
 
     /**
-     * The endpoint answered with an error of its own.
+     * Records an answer with an error of the endpoint itself.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void failed(long nowMillis) {
         share += (1 - share) * FAILURE_SMOOTHING;
@@ -49,20 +55,20 @@
     }
 
     /**
-     * At the endpoint's address is another one, or it holds another weight version than is wanted: its entry is older than
-     * what it tells of itself.
+     * Records that another endpoint answered at the address, or that the endpoint holds another weight version than
+     * requested: its registration is out of date.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void misdirected(long nowMillis) {
         excludedUntilMillis = Math.max(excludedUntilMillis, nowMillis + FIRST_EXCLUSION_MILLIS);
     }
 
     /**
-     * Whether the endpoint is left out because of failures.
+     * Returns whether the endpoint is ejected because of failures.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true until the exclusion ends
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the ejection ends
      */
     public boolean excluded(long nowMillis) {
         return nowMillis < excludedUntilMillis;
--- a/src/main/java/org/micabarrow/routing/FirstEventDelay.java
+++ b/src/main/java/org/micabarrow/routing/FirstEventDelay.java
@@ -1,36 +1,40 @@
 package org.micabarrow.routing;
 
 /**
- * How much longer the first events of an endpoint's answers take than predicted. The prediction goes by the figures of the service, so
- * an endpoint that is slow for a while gets requests as if it were not, until its slots are taken. Answers loads on engines of which some
- * are slow, and large prompts that wait for each other. Used by one thread.
+ * Measures how much longer the first events of an endpoint's answers take than predicted. The prediction is based on
+ * the service's model profile, so without this correction a temporarily slow endpoint would get requests like any other
+ * until its slots are occupied. Covers engines that are slow for a while and large prompts that wait for each other.
+ * Not thread-safe: confined to one thread.
  */
 public final class FirstEventDelay {
 
-    /** The weight of the newest answer. */
+    /** Weight of the newest answer. */
     private static final double NEWEST_WEIGHT = 0.3;
 
     /**
-     * How quickly the past is forgotten, in milliseconds: an endpoint that gets no requests because it was slow is tried again after
-     * a few seconds.
+     * Decay time of past measurements, in milliseconds: an endpoint that gets no requests because it was slow is tried
+     * again after a few seconds.
      */
     private static final double MEMORY_MILLIS = 2_000;
 
-    /** The greatest factor's logarithm, so that no single answer shuts an endpoint out for longer than it is remembered. */
+    /**
+     * Upper bound of the factor's logarithm, so that a single answer does not exclude an endpoint for longer than it is
+     * remembered.
+     */
     private static final double MOST_LOG = 2;
 
     private double logFactor;
     private long atMillis;
 
-    /** Makes a record of an endpoint that is as quick as predicted. */
+    /** Creates a measurement that corrects nothing. */
     public FirstEventDelay() {}
 
     /**
-     * A first event came.
+     * Records the first event of an answer.
      *
-     * @param predictedMillis when it was expected after the sending, this delay included
-     * @param tookMillis when it came after the sending
-     * @param nowMillis the time on the steady clock
+     * @param predictedMillis the predicted time from the attempt to the first event, this correction included
+     * @param tookMillis the actual time
+     * @param nowMillis the time on the monotonic clock
      */
     public void observed(double predictedMillis, long tookMillis, long nowMillis) {
         double error = Math.log(Math.max(1, tookMillis) / Math.max(1, predictedMillis));
@@ -39,9 +43,9 @@
     }
 
     /**
-     * How many times as long as the figures of the service say a first event is expected to take.
+     * Returns the factor by which first events are expected to take longer than the model profile predicts.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      * @return at least 1
      */
     public double factor(long nowMillis) {
--- a/src/main/java/org/micabarrow/routing/KnownEndpoint.java
+++ b/src/main/java/org/micabarrow/routing/KnownEndpoint.java
@@ -6,32 +6,38 @@
 import java.util.function.Predicate;
 
 /**
- * An endpoint and its load, which is looked up once for each decision. Decisions are made hundreds of times a second over all endpoints, so
- * that lists of these are gone through without streams.
+ * An endpoint and its load, which is looked up once per decision. Decisions are made hundreds of times a second over
+ * all endpoints, so lists of candidates are iterated without streams.
  *
  * @param endpoint the endpoint
- * @param load what is known of its load
+ * @param load its known load
  */
 record KnownEndpoint(EndpointEntry endpoint, EndpointLoad load) {
 
-    /** The weight version of a model that it holds, by its entry or by what it did since; 0 if none. */
+    /**
+     * Returns the weight version of a model that the endpoint holds, from its registration or from later reports and
+     * answers; 0 if none.
+     */
     long version(ModelService model) {
         long entered =
                 endpoint.layers() < model.layers() ? 0 : endpoint.models().getOrDefault(model.model(), 0L);
         return Math.max(entered, load.version());
     }
 
-    /** Whether it has asked this process to send it nothing now. */
+    /** Returns whether the endpoint has asked this process for a backoff that is still active. */
     boolean rests(long nowMillis) {
         return load.rest().lasts(nowMillis);
     }
 
-    /** Whether this process's part of its limit allows a request. */
+    /** Returns whether this process's quota share of the endpoint's rate limit allows a request now. */
     boolean withinLimit(long nowMillis) {
         return load.limitAllows(nowMillis);
     }
 
-    /** How long it takes until the limit of one of some allows a request; empty if all are left to other entries. */
+    /**
+     * Returns the shortest time until the rate limit of a candidate allows a request; empty if all limits are left to
+     * other entries.
+     */
     static OptionalLong firstWithinLimitMillis(List<KnownEndpoint> some, long nowMillis) {
         return some.stream()
                 .map(one -> one.load().untilLimitAllowsMillis(nowMillis))
@@ -40,12 +46,12 @@
                 .min();
     }
 
-    /** Whether neither failures nor a slow link speak against it. */
+    /** Returns whether the endpoint is neither ejected nor behind a slow link. */
     boolean well(long nowMillis) {
         return !load.failures().excluded(nowMillis) && !load.delayed(nowMillis);
     }
 
-    /** Those of some for which a condition holds. */
+    /** Returns the candidates that match a condition. */
     static List<KnownEndpoint> keep(List<KnownEndpoint> some, Predicate<KnownEndpoint> condition) {
         List<KnownEndpoint> kept = new ArrayList<>(some.size());
         for (KnownEndpoint one : some) {
@@ -56,7 +62,10 @@
         return kept;
     }
 
-    /** How long it takes until the first of some may be sent to again; empty if one does not rest, or there are none. */
+    /**
+     * Returns the time until the first candidate ends its backoff; empty if a candidate is not in backoff or there are
+     * none.
+     */
     static OptionalLong allRestMillis(List<KnownEndpoint> some, long nowMillis) {
         long least = Long.MAX_VALUE;
         for (KnownEndpoint one : some) {
--- a/src/main/java/org/micabarrow/routing/LeavingStarts.java
+++ b/src/main/java/org/micabarrow/routing/LeavingStarts.java
@@ -5,17 +5,20 @@
 import java.util.Set;
 
 /**
- * The starts of endpoints that said in an answer that they leave. No entry takes that back, be it read later or written before: it holds
- * for that start of the endpoint, and for no other one at its address. Used by one thread.
+ * The starts of endpoints that stated in an answer that they are draining. A registration does not revoke that, even if
+ * it is read later, since it may have been written before. The statement applies to that start only, not to other
+ * starts at the same address. Not thread-safe: confined to one thread.
  */
 final class LeavingStarts {
 
-    /** How many are remembered: more than leave while an entry of theirs may be written late. */
+    /**
+     * Maximum number of starts remembered: more than drain while one of their registrations may still be written late.
+     */
     private static final int MOST = 1_000;
 
     private final Set<EndpointStart> starts = new LinkedHashSet<>();
 
-    /** Remembers a start, and tells whether that is news. */
+    /** Adds a start, and returns whether it is new. */
     boolean add(EndpointStart start) {
         Objects.requireNonNull(start, "start is null");
         if (starts.size() == MOST && !starts.contains(start)) {
--- a/src/main/java/org/micabarrow/routing/LinkDelay.java
+++ b/src/main/java/org/micabarrow/routing/LinkDelay.java
@@ -1,24 +1,24 @@
 package org.micabarrow.routing;
 
-/** How long the way to an endpoint and back takes, by its agent's answers. Used by one thread. */
+/** Measures the round-trip time to an endpoint by the replies of its agent. Not thread-safe: confined to one thread. */
 final class LinkDelay {
 
     /**
-     * From when on the way to an endpoint and back counts as slow, in milliseconds: about an objective, so that no answer could
-     * come in time; links that weights pass through take up to a fifth of a second.
+     * Round-trip time above which a link is slow, in milliseconds: about one objective, so that no answer could be in
+     * time. Links that carry weights take up to a fifth of a second.
      */
     private static final long SLOW_MILLIS = 400;
 
     /**
-     * For how long after a slow answer a link may be slow again, in milliseconds. A narrow link is quick between two chunks of
-     * weights, and each of them fills it for a second.
+     * Time after a slow reply during which the link may become slow again, in milliseconds. A narrow link is fast
+     * between two chunks of weights, and each chunk fills it for a second.
      */
     private static final long SLOW_AGAIN_MILLIS = 3_000;
 
     private long lastMillis;
     private long lastSlowMillis = -SLOW_AGAIN_MILLIS - 1;
 
-    /** An answer came so long after its question. */
+    /** Records the delay between a query and its reply. */
     void measured(long delayMillis, long nowMillis) {
         lastMillis = delayMillis;
         if (delayMillis > SLOW_MILLIS) {
@@ -26,12 +26,12 @@
         }
     }
 
-    /** Whether the last answer came late. */
+    /** Returns whether the last reply was late. */
     boolean slow() {
         return lastMillis > SLOW_MILLIS;
     }
 
-    /** Whether an answer came late a while ago at most. */
+    /** Returns whether a reply was late recently. */
     boolean slowLately(long nowMillis) {
         return nowMillis - lastSlowMillis <= SLOW_AGAIN_MILLIS;
     }
--- a/src/main/java/org/micabarrow/routing/LoadReport.java
+++ b/src/main/java/org/micabarrow/routing/LoadReport.java
@@ -3,15 +3,15 @@
 import java.util.OptionalInt;
 
 /**
- * What an endpoint's agent told.
+ * A report of an endpoint's agent about the endpoint's load.
  *
- * @param requests the requests at the endpoint, those in its queue too
- * @param othersPromptTokens prompt tokens that other entries have waiting there
- * @param loading whether the endpoint is taking up weights
+ * @param requests the number of requests at the endpoint, its queue included
+ * @param othersPromptTokens the prompt tokens of other entries' requests that wait there
+ * @param loading whether the endpoint is loading weights
  * @param version the weight version it holds; 0 for none
- * @param places how many of the endpoint's free places are this entry's, until it is told again
- * @param start names the endpoint's start, see {@link EndpointStart#token}
- * @param leaving whether the endpoint says that it leaves
+ * @param allottedSlots the free slots of the endpoint that are allotted to this entry until the next report
+ * @param start identifies the endpoint's start, see {@link EndpointStart#token}
+ * @param draining whether the endpoint reports that it is draining
  */
 public record LoadReport(
         int requests,
@@ -22,18 +22,18 @@
         OptionalInt start,
         boolean leaving) {
 
-    /** What {@link #places} is where an agent deals none out: all that are free may be taken. */
+    /** Value of {@link #allottedSlots} if an agent does not allot slots: all free slots may be used. */
     public static final int ANY_PLACES = Integer.MAX_VALUE;
 
     /**
-     * What an agent tells of an endpoint that stays.
+     * Creates the report of an endpoint that is not draining.
      *
-     * @param requests the requests at the endpoint, those in its queue too
-     * @param othersPromptTokens prompt tokens that other entries have waiting there
-     * @param loading whether the endpoint is taking up weights
+     * @param requests the number of requests at the endpoint, its queue included
+     * @param othersPromptTokens the prompt tokens of other entries' requests that wait there
+     * @param loading whether the endpoint is loading weights
      * @param version the weight version it holds; 0 for none
-     * @param places how many of the endpoint's free places are this entry's, until it is told again
-     * @param start names the endpoint's start, see {@link EndpointStart#token}
+     * @param allottedSlots the free slots of the endpoint that are allotted to this entry until the next report
+     * @param start identifies the endpoint's start, see {@link EndpointStart#token}
      */
     public LoadReport(
             int requests, int othersPromptTokens, boolean loading, long version, int places, OptionalInt start) {
@@ -41,11 +41,11 @@
     }
 
     /**
-     * What an agent tells that deals no places out.
+     * Creates the report of an agent that does not allot slots.
      *
-     * @param requests the requests at the endpoint, those in its queue too
-     * @param othersPromptTokens prompt tokens that other entries have waiting there
-     * @param loading whether the endpoint is taking up weights
+     * @param requests the number of requests at the endpoint, its queue included
+     * @param othersPromptTokens the prompt tokens of other entries' requests that wait there
+     * @param loading whether the endpoint is loading weights
      * @param version the weight version it holds; 0 for none
      */
     public LoadReport(int requests, int othersPromptTokens, boolean loading, long version) {
@@ -53,24 +53,24 @@
     }
 
     /**
-     * What the agent of an endpoint tells that does not tell when it was started.
+     * Creates the report of an endpoint that does not report its start time.
      *
-     * @param requests the requests at the endpoint, those in its queue too
-     * @param othersPromptTokens prompt tokens that other entries have waiting there
-     * @param loading whether the endpoint is taking up weights
+     * @param requests the number of requests at the endpoint, its queue included
+     * @param othersPromptTokens the prompt tokens of other entries' requests that wait there
+     * @param loading whether the endpoint is loading weights
      * @param version the weight version it holds; 0 for none
-     * @param places how many of the endpoint's free places are this entry's, until it is told again
+     * @param allottedSlots the free slots of the endpoint that are allotted to this entry until the next report
      */
     public LoadReport(int requests, int othersPromptTokens, boolean loading, long version, int places) {
         this(requests, othersPromptTokens, loading, version, places, OptionalInt.empty());
     }
 
     /**
-     * The same, told to one entry.
+     * Returns a copy of this report for one entry.
      *
-     * @param others prompt tokens that other entries have waiting there
-     * @param dealt how many of the free places are the entry's
-     * @return what the entry is told
+     * @param otherPromptTokens the prompt tokens of other entries' requests that wait there
+     * @param slots the number of free slots allotted to the entry
+     * @return the report for the entry
      */
     public LoadReport to(int others, int dealt) {
         return new LoadReport(requests, others, loading, version, dealt, start, leaving);
--- a/src/main/java/org/micabarrow/routing/ModelService.java
+++ b/src/main/java/org/micabarrow/routing/ModelService.java
@@ -1,17 +1,17 @@
 package org.micabarrow.routing;
 
 /**
- * The figures of a service whose endpoints run a model.
+ * The performance parameters of a model as it runs on the endpoints of a service.
  *
  * @param model the model's name
- * @param slots how many requests an endpoint runs at once
- * @param prefillTokensPerMilli prompt tokens that an endpoint reads in a millisecond
- * @param stepMillis the time of one token step
- * @param stepMillisPerSequence what each running request adds to a step, in milliseconds
- * @param stride the token steps that an endpoint runs before it looks at waiting prompts again
+ * @param slots the number of requests that an endpoint runs concurrently
+ * @param prefillTokensPerMilli the prompt tokens that an endpoint processes per millisecond
+ * @param stepMillis the duration of one token step
+ * @param stepMillisPerSequence the time that each running request adds to a step, in milliseconds
+ * @param stride the number of token steps that an endpoint runs before it processes waiting prompts again
  * @param layers the layers of the model
  * @param chunks the chunks of one weight version
- * @param chunkBytes the size of a chunk
+ * @param chunkBytes the size of a chunk in bytes
  */
 public record ModelService(
         String model,
--- a/src/main/java/org/micabarrow/routing/RequestKind.java
+++ b/src/main/java/org/micabarrow/routing/RequestKind.java
@@ -1,27 +1,27 @@
 package org.micabarrow.routing;
 
-/** What may be done again with a request of a route. */
+/** How often the requests of a route may run, and whether their answers are streams. */
 public enum RequestKind {
     /** May run any number of times. */
     IDEMPOTENT,
-    /** May run once. */
+    /** May run at most once. */
     AT_MOST_ONCE,
-    /** A stream of events that may go on at another endpoint after the last event received. */
+    /** A stream of events that another endpoint may resume after the last event received. */
     RESUMABLE_STREAM,
-    /** A stream of events that may run once. */
+    /** A stream of events that may run at most once. */
     STREAM;
 
     /**
-     * Whether a request may be sent again although it may have run.
+     * Returns whether a request may be sent again although it may have run.
      *
-     * @return true if running twice does no harm
+     * @return true if running twice is harmless
      */
     public boolean repeatable() {
         return this == IDEMPOTENT || this == RESUMABLE_STREAM;
     }
 
     /**
-     * Whether the answer is a series of events.
+     * Returns whether the answer is a stream of events.
      *
      * @return true for streams
      */
--- a/src/main/java/org/micabarrow/routing/Rest.java
+++ b/src/main/java/org/micabarrow/routing/Rest.java
@@ -1,25 +1,26 @@
 package org.micabarrow.routing;
 
 /**
- * The rest that an endpoint has asked this process for, and how it is sent to again afterwards: one request first, and twice as many
- * with each answer, since all that waits would otherwise reach it in the same instant. Used by one thread.
+ * The backoff that an endpoint has asked this process for, and the ramp-up after it. The ramp-up starts with one
+ * request in flight and doubles the limit with each answer; without it all waiting requests would reach the endpoint at
+ * once. Not thread-safe: confined to one thread.
  */
 public final class Rest {
 
-    /** With how many requests at once an endpoint counts as sent to as before. */
+    /** Number of requests in flight at which the ramp-up is complete. */
     private static final int AS_BEFORE = 32;
 
-    /** Stands for any number of requests. */
+    /** Stands for an unlimited number of requests. */
     private static final int ANY = 0;
 
     private long untilMillis = Long.MIN_VALUE;
     private int most = ANY;
 
     /**
-     * The endpoint asks for rest.
+     * Records that the endpoint asked for a backoff.
      *
-     * @param millis for how long, in milliseconds; a shorter time than is left changes nothing
-     * @param nowMillis the time on the steady clock
+     * @param millis its duration in milliseconds; ignored if the active backoff lasts longer
+     * @param nowMillis the time on the monotonic clock
      */
     public void asked(long millis, long nowMillis) {
         untilMillis = Math.max(untilMillis, nowMillis + millis);
@@ -27,40 +28,40 @@
     }
 
     /**
-     * Whether the endpoint wants nothing now.
+     * Returns whether the backoff is active.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true until the rest is over
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the backoff ends
      */
     public boolean lasts(long nowMillis) {
         return nowMillis < untilMillis;
     }
 
     /**
-     * How long the rest lasts.
+     * Returns the remaining time of the backoff.
      *
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds from now; not above 0 if it is over
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds; 0 if it has ended
      */
     public long leftMillis(long nowMillis) {
         return lasts(nowMillis) ? untilMillis - nowMillis : 0;
     }
 
     /**
-     * Whether one more request may be sent.
+     * Returns whether one more request may be sent.
      *
-     * @param requests how many of this process are there
-     * @param nowMillis the time on the steady clock
-     * @return false while the rest lasts, and after it while as many are there as may be
+     * @param requests the number of requests that this process has in flight at the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return false during the backoff, and after it while the ramp-up limit is reached
      */
     public boolean allows(int requests, long nowMillis) {
         return !lasts(nowMillis) && (most == ANY || requests < most);
     }
 
     /**
-     * The endpoint answered a request.
+     * Records that the endpoint answered a request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void answered(long nowMillis) {
         if (most != ANY && !lasts(nowMillis)) {
--- a/src/main/java/org/micabarrow/routing/Route.java
+++ b/src/main/java/org/micabarrow/routing/Route.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * A route of the manifest in force.
+ * A route of the active manifest.
  *
  * @param name its name
- * @param host the host whose requests it takes
- * @param pathPrefix how their paths begin
- * @param shares the services among which requests are divided
+ * @param host the host whose requests it matches
+ * @param pathPrefix the path prefix that it matches
+ * @param weightedServices the services among which requests are divided
  * @param kind what may be repeated
- * @param timeoutMillis the longest time that a request may be held
- * @param objectiveMillis the time within which an answer earns its full worth
- * @param priority its rank, 0 first
- * @param maxAttempts to how many endpoints one request may be sent
+ * @param timeoutMillis the longest time for which a request may be held
+ * @param objectiveMillis the time within which an answer has its full value
+ * @param priority its priority, 0 is the most urgent
+ * @param maxAttempts the maximum number of endpoints to which one request may be sent
  * @param open whether requests need no key
  */
 public record Route(
@@ -29,7 +29,7 @@
         int maxAttempts,
         boolean open) {
 
-    /** Copies the shares. */
+    /** Copies the services. */
     public Route {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(host, "host is null");
@@ -39,17 +39,17 @@
     }
 
     /**
-     * A service's part of a route's requests.
+     * A service's fraction of a route's requests.
      *
      * @param service the service
-     * @param weight its part, in relation to the other parts
+     * @param weight its weight relative to the other services
      */
     public record Share(String service, double weight) {}
 
     /**
-     * Chooses a service.
+     * Selects a service at random in proportion to the weights.
      *
-     * @param draw a random number from 0 to below 1
+     * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service
      */
     public String service(double draw) {
--- a/src/main/java/org/micabarrow/routing/RouteManifest.java
+++ b/src/main/java/org/micabarrow/routing/RouteManifest.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** One version of the operators' manifest: routes, services, keys and the limits of requests. Immutable. */
+/** One version of the operators' manifest: routes, services, keys and request limits. Immutable. */
 public final class RouteManifest {
 
     private final long version;
@@ -28,14 +28,14 @@
     }
 
     /**
-     * What a manifest consists of.
+     * The contents of a manifest.
      *
-     * @param version its number
+     * @param version its version number
      * @param routes its routes
      * @param services its services by name
      * @param owners the owner of each key
-     * @param keysNeeded whether routes that are not open need a key
-     * @param maxBodyBytes the greatest body that a client may send
+     * @param keysRequired whether routes that are not open require a key
+     * @param maxBodyBytes the maximum size of a client's request body in bytes
      */
     public record Parts(
             long version,
@@ -50,23 +50,23 @@
      *
      * @param name its name
      * @param maxConnections the connections that each endpoint accepts from all callers together
-     * @param model the figures of its model, empty for plain services
+     * @param model the profile of its model, empty for plain services
      * @param origin the host and port of the origin of weights, empty for all other services
      */
     public record Service(String name, int maxConnections, Optional<ModelService> model, Optional<String> origin) {}
 
     /**
-     * Who holds a key.
+     * The owner of a key.
      *
      * @param organisation the organisation's name
-     * @param priority its rank, which goes before that of the route; empty if it has none
+     * @param priority its priority, which takes precedence over that of the route; empty if it has none
      */
     public record KeyOwner(String organisation, Optional<Integer> priority) {}
 
     /**
-     * Makes a manifest.
+     * Creates a manifest.
      *
-     * @param parts what it consists of
+     * @param parts its contents
      * @return the manifest
      */
     public static RouteManifest of(Parts parts) {
@@ -83,22 +83,22 @@
         return all;
     }
 
-    // -- questions
+    // -- queries
 
     /**
-     * The number of this version.
+     * Returns the version number of this manifest.
      *
-     * @return the number
+     * @return the version number
      */
     public long version() {
         return version;
     }
 
     /**
-     * The route of a request: of the host's routes, the one with the longest prefix of the path.
+     * Returns the route of a request: of the host's routes, the one with the longest matching path prefix.
      *
-     * @param host the host asked for
-     * @param path the path asked for
+     * @param host the requested host
+     * @param path the requested path
      * @return the route, empty if there is none
      */
     public Optional<Route> route(String host, String path) {
@@ -108,7 +108,7 @@
     }
 
     /**
-     * A service by its name.
+     * Returns a service by its name.
      *
      * @param name the name
      * @return the service, empty if the manifest has none of that name
@@ -118,17 +118,17 @@
     }
 
     /**
-     * Whether another manifest has the same services: all that agents act on.
+     * Returns whether another manifest has the same services. Agents act on nothing else.
      *
-     * @param other the other
-     * @return true if no service differs in anything
+     * @param other the other manifest
+     * @return true if the services are equal
      */
     public boolean sameServices(RouteManifest other) {
         return services.equals(other.services);
     }
 
     /**
-     * Where the origin of weights is.
+     * Returns the address of the origin of weights.
      *
      * @return its host and port, empty if the manifest names none
      */
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Who holds a key.
+     * Returns the owner of a key.
      *
      * @param key the key
      * @return the owner, empty for an unknown key
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Whether routes that are not open need a key.
+     * Returns whether routes that are not open require a key.
      *
      * @return true if the manifest names organisations
      */
@@ -156,9 +156,9 @@
     }
 
     /**
-     * The greatest body that a client may send.
+     * Returns the maximum size of a client's request body.
      *
-     * @return its size in bytes
+     * @return the size in bytes
      */
     public long maxBodyBytes() {
         return maxBodyBytes;
--- a/src/main/java/org/micabarrow/routing/UnmetDemand.java
+++ b/src/main/java/org/micabarrow/routing/UnmetDemand.java
@@ -1,23 +1,25 @@
 package org.micabarrow.routing;
 
 /**
- * How many requests an entry lately had to turn away because no endpoint had room. Used by one thread.
+ * Counts the requests that an entry recently refused because no endpoint had capacity. Not thread-safe: confined to one
+ * thread.
  *
- * <p>By this agents deal out the free places of their endpoints. Dealt out by the requests that came, an entry with many
- * clients would keep more than its part, because it always has a request waiting when one of its places falls free.
+ * <p>Agents allot the free slots of their endpoints in proportion to this count. In proportion to the requests
+ * received, an entry with many clients would keep more than its fair share, because it always has a request waiting
+ * when one of its slots becomes free.
  */
 public final class UnmetDemand {
 
-    /** How quickly the past is forgotten, in milliseconds: a burst shows within a second, single requests even out. */
+    /** Decay time of the count, in milliseconds: a burst has its effect within a second, single requests even out. */
     private static final double MEMORY_MILLIS = 1_000;
 
     private double perMemory;
     private long atMillis;
 
     /**
-     * Counts a request that was turned away.
+     * Counts a refused request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void turnedAway(long nowMillis) {
         perMemory = faded(nowMillis) + 1;
@@ -25,10 +27,10 @@
     }
 
     /**
-     * The requests turned away in about the last second.
+     * Returns the number of requests refused in about the last second.
      *
-     * @param nowMillis the time on the steady clock
-     * @return their number
+     * @param nowMillis the time on the monotonic clock
+     * @return the decayed count
      */
     public int lately(long nowMillis) {
         return (int) Math.round(faded(nowMillis));
--- a/src/main/java/org/micabarrow/routing/Wanted.java
+++ b/src/main/java/org/micabarrow/routing/Wanted.java
@@ -4,16 +4,17 @@
 import java.util.Set;
 
 /**
- * What is to be sent.
+ * The properties of a request on which the selection of its endpoint depends.
  *
  * @param promptTokens the tokens of its prompt, 0 for plain services
- * @param objectiveMillis the time within which it should begin to be answered
- * @param millisToObjective what is left of that time since its client first tried; 0 or less if it is over
- * @param millisLeft how long its client will still wait
- * @param model the figures of the service's model, empty for plain services
- * @param leastVersion the weight version that must answer; 0 for any
- * @param newestVersion the newest weight version that was named; 0 if none was
- * @param tried the ids of the endpoints that it was sent to already; one that has started again since counts all the same
+ * @param objectiveMillis the time within which its answer should begin
+ * @param millisToObjective the remainder of that time since its client's first attempt; 0 or less if it has passed
+ * @param remainingMillis how long its client will still wait, in milliseconds
+ * @param model the profile of the service's model, empty for plain services
+ * @param minVersion the lowest weight version that may answer; 0 for any
+ * @param newestVersion the newest announced weight version; 0 if there is none
+ * @param triedEndpoints the ids of the endpoints to which it was already sent, including those that have restarted
+ *     since
  */
 public record Wanted(
         int promptTokens,
@@ -25,7 +26,7 @@
         long newestVersion,
         Set<String> tried) {
 
-    /** A request whose client tries for the first time, and waits for as long as it takes. */
+    /** Creates a first attempt of a client that waits without a limit. */
     Wanted(
             int promptTokens,
             long objectiveMillis,
--- a/src/main/java/org/micabarrow/routing/package-info.java
+++ b/src/main/java/org/micabarrow/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Which route a request takes, and which endpoint it is sent to. Nothing here knows a socket or the platform. */
+/** Selects the route of a request and the endpoint to which it is sent. Independent of sockets and of the platform. */
 package org.micabarrow.routing;
--- a/src/test/java/org/micabarrow/admission/AdmissionTest.java
+++ b/src/test/java/org/micabarrow/admission/AdmissionTest.java
@@ -18,7 +18,6 @@
 import org.micabarrow.routing.ModelService;
 import org.micabarrow.routing.Wanted;
 
-/** What happens to a request now. */
 class AdmissionTest {
 
     private static final int MODEL_TOKENS_PER_MILLI = 20;
@@ -28,7 +27,7 @@
     private static final long CLIENT_MILLIS = 6_000;
     private static final long NOW = 100_000;
 
-    /** Two rounds of steps and 1,000 prompt tokens take 150 ms, and a fifth of the objective is kept. */
+    /** Two rounds of steps and 1,000 prompt tokens take 150 ms, and a fifth of the objective is reserved. */
     private static final long SPARE = 250;
 
     private final EndpointChoice choice = new EndpointChoice("r", Map.of("h", "r"));
@@ -50,35 +49,35 @@
     }
 
     @Test
-    void shouldSendWhenThereIsRoom() {
+    void shouldSendWhenSlotIsFree() {
         assertInstanceOf(Decision.Send.class, decide(OBJECTIVE));
     }
 
     @Test
-    void shouldWaitForAsLongAsAnswerCanBeInTimeWhenAllPlacesAreTaken() {
+    void shouldWaitAsLongAsAnswerCanBeInTimeWhenNoSlotIsFree() {
         requestsThere(4, 0);
         assertEquals(new Decision.Wait(SPARE, 1), decide(OBJECTIVE));
         assertEquals(new Decision.Wait(1, 1), decide(OBJECTIVE - SPARE + 1));
     }
 
     @Test
-    void shouldRefuseAtOnceWhenAnswerCannotBeInTimeAnyMore() {
+    void shouldRefuseImmediatelyWhenAnswerCanNoLongerBeInTime() {
         requestsThere(4, 0);
         assertEquals(new Decision.Full(1), decide(OBJECTIVE - SPARE));
         assertEquals(new Decision.Full(1), decide(-1_000));
     }
 
     @Test
-    void shouldSendWhatCannotBeInTimeWhileAQuarterOfThePlacesIsFree() {
+    void shouldSendRequestThatIsTooLateOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
         requestsThere(2, 2);
         assertInstanceOf(Decision.Send.class, decide(OBJECTIVE - SPARE));
         requestsThere(3, 1);
         assertEquals(new Decision.Full(1), decide(OBJECTIVE - SPARE));
     }
 
-    /** Its prompt alone takes longer than the objective. */
+    /** The prompt alone takes longer than the objective. */
     @Test
-    void shouldSendRequestThatCanBeInTimeNowhereWhileAQuarterOfThePlacesIsFree() {
+    void shouldSendRequestThatIsTooLongOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
         int promptTokens = 2 * MODEL_TOKENS_PER_MILLI * (int) OBJECTIVE;
         Wanted large =
                 new Wanted(promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
@@ -89,7 +88,7 @@
     }
 
     @Test
-    void shouldRefuseAtOnceWhenPromptAloneTakesLongerThanClientWaits() {
+    void shouldRefuseImmediatelyWhenPromptAloneTakesLongerThanClientWaits() {
         int promptTokens = MODEL_TOKENS_PER_MILLI * (int) CLIENT_MILLIS;
         Wanted endless =
                 new Wanted(promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
@@ -97,7 +96,7 @@
     }
 
     @Test
-    void shouldWaitWhenFreePlacesAreThoseOfOtherEntries() {
+    void shouldWaitWhenFreeSlotsAreAllottedToOtherEntries() {
         requestsThere(2, 0);
         assertInstanceOf(Decision.Wait.class, decide(OBJECTIVE));
         requestsThere(2, 1);
@@ -105,7 +104,7 @@
     }
 
     @Test
-    void shouldFillOwnPlaceAgainWhenOwnRequestEnds() {
+    void shouldReuseOwnSlotWhenOwnRequestEnds() {
         choice.load("a").began(0);
         requestsThere(4, 0);
         choice.load("a").ended();
@@ -113,7 +112,7 @@
     }
 
     @Test
-    void shouldServeLateRequestOnlyWhileAQuarterOfThePlacesIsFree() {
+    void shouldSendLateRequestOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
         requestsThere(2, 2);
         assertInstanceOf(Decision.Send.class, decide(-1));
         requestsThere(3, 1);
@@ -122,13 +121,13 @@
     }
 
     @Test
-    void shouldSayWhenNoEndpointCanServe() {
+    void shouldReturnUnableWhenNoEndpointCanServe() {
         assertInstanceOf(
                 Decision.Unable.class, admission.decide(List.of(), wanted(OBJECTIVE, Optional.of(MODEL)), NOW));
     }
 
     @Test
-    void shouldRefuseRequestOfPlainServiceAtOnceWhenItIsFull() {
+    void shouldRefuseImmediatelyWhenPlainServiceIsFull() {
         for (int i = 0; i < 8; i++) {
             choice.load("a").began(0);
         }
@@ -136,7 +135,7 @@
                 new Decision.Full(1), admission.decide(List.of(endpoint), wanted(OBJECTIVE, Optional.empty()), NOW));
     }
 
-    // -- limits
+    // -- rate limits
 
     private void limitOf(String id, double perSecond) {
         choice.load(id).limit().ranked(new EntryRank(0, 1));
@@ -144,14 +143,14 @@
     }
 
     @Test
-    void shouldRefuseWithNextTurnWhenLimitAllowsNothingNow() {
+    void shouldRefuseWithTimeOfNextRequestWhenRateLimitIsReached() {
         requestsThere(0, 4);
         limitOf("a", 2);
         assertEquals(new Decision.Limited(1, OptionalLong.of(500)), decide(OBJECTIVE));
     }
 
     @Test
-    void shouldRefuseWithoutTimeWhenLimitIsLeftToOtherEntries() {
+    void shouldRefuseWithoutTimeWhenRateLimitIsLeftToOtherEntries() {
         requestsThere(0, 4);
         choice.load("a").limit().ranked(new EntryRank(10, 11));
         choice.load("a").limit().answered(OptionalDouble.of(2), NOW, NOW);
@@ -159,7 +158,7 @@
     }
 
     @Test
-    void shouldSendWhenTurnHasCome() {
+    void shouldSendWhenRateLimitPeriodHasPassed() {
         requestsThere(0, 4);
         limitOf("a", 2);
         Wanted wanted = wanted(OBJECTIVE, Optional.of(MODEL));
@@ -169,7 +168,7 @@
     }
 
     @Test
-    void shouldSendToOtherEndpointWhenLimitAllowsNothingNow() {
+    void shouldSendToOtherEndpointWhenRateLimitIsReached() {
         EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
         limitOf("a", 2);
         Decision decision = admission.decide(List.of(endpoint, other), wanted(OBJECTIVE, Optional.of(MODEL)), NOW);
@@ -182,7 +181,7 @@
     }
 
     @Test
-    void shouldWaitForRoomWhenEndpointWithoutLimitIsFull() {
+    void shouldWaitForSlotWhenEndpointWithoutRateLimitIsFull() {
         EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
         limitOf("a", 2);
         choice.load("b").told(new LoadReport(4, 0, false, 1, 0), 1, NOW);
--- a/src/test/java/org/micabarrow/admission/FirstTriesTest.java
+++ b/src/test/java/org/micabarrow/admission/FirstTriesTest.java
@@ -7,7 +7,6 @@
 import org.micabarrow.Samples;
 import org.micabarrow.routing.Route;
 
-/** When clients first tried, as far as the time that they give tells it. */
 class FirstTriesTest {
 
     private final FirstTries tries = new FirstTries();
@@ -31,12 +30,12 @@
     }
 
     @Test
-    void shouldTakeRequestForFirstTryWhenNothingIsKnown() {
+    void shouldAssumeFirstAttemptWhenNothingIsKnown() {
         assertEquals(0, millisSince("r", 4_100));
     }
 
     @Test
-    void shouldTellHowLongAgoClientFirstTriedWhenItGivesLessThanOthers() {
+    void shouldEstimateTimeSinceFirstAttemptWhenClientStatesLessThanOthers() {
         oneIsRefused();
         come(20, 6_000);
         assertEquals(1_900, millisSince("r", 4_100));
@@ -44,14 +43,14 @@
     }
 
     @Test
-    void shouldKeepRoutesApart() {
+    void shouldKeepRoutesSeparate() {
         oneIsRefused();
         come(20, 6_000);
         assertEquals(0, millisSince("other", 1_000));
     }
 
     @Test
-    void shouldNotMistakeFirstTriesWhenHalfOfTheRequestsAreReturns() {
+    void shouldRecogniseFirstAttemptsWhenHalfOfTheRequestsAreRetries() {
         oneIsRefused();
         for (int i = 0; i < 100; i++) {
             come(1, 6_000);
@@ -62,7 +61,7 @@
     }
 
     @Test
-    void shouldNotPutHonestClientsBehindWhenSomeClaimToWaitForever() {
+    void shouldNotPenaliseHonestClientsWhenSomeClaimToWaitForever() {
         oneIsRefused();
         for (int i = 0; i < 100; i++) {
             come(5, 6_000);
@@ -72,7 +71,7 @@
     }
 
     @Test
-    void shouldFollowWhenClientsGiveAnotherTimeFromNowOn() {
+    void shouldAdaptWhenClientsStateAnotherTime() {
         oneIsRefused();
         come(100, 6_000);
         come(100, 3_000);
@@ -80,20 +79,20 @@
     }
 
     @Test
-    void shouldNeverTellNegativeTimes() {
+    void shouldNotReturnNegativeTimesWhenClientStatesMoreThanOthers() {
         oneIsRefused();
         come(20, 6_000);
         assertTrue(millisSince("r", 9_000) >= 0);
     }
 
     @Test
-    void shouldTakeRequestForFirstTryWhenNobodyWasRefused() {
+    void shouldAssumeFirstAttemptWhenNoClientWasRefused() {
         come(20, 6_000);
         assertEquals(0, millisSince("r", 4_100));
     }
 
     @Test
-    void shouldTakeRequestForFirstTryWhenAllThatWereRefusedMustBeBack() {
+    void shouldAssumeFirstAttemptWhenAllRetriesMustHaveArrived() {
         oneIsRefused();
         come(20, 6_000);
         long connected = NOW + 1_800 + 1_000;
@@ -101,9 +100,9 @@
         assertEquals(0, tries.millisSince("r", 4_100, connected + 1));
     }
 
-    /** As a request is that ends endpoints, and one whose client claims to wait for ever. */
+    /** Covers poison requests, and clients that claim to wait forever. */
     @Test
-    void shouldAwaitNobodyForLongerThanRouteHoldsRequestsWhenRefusedForMinutes() {
+    void shouldExpectRetriesNoLongerThanRouteHoldsRequestsWhenRefusedForMinutes() {
         tries.refused(ROUTE, Long.MAX_VALUE, NOW);
         come(20, 6_000);
         assertEquals(1_900, tries.millisSince("r", 4_100, NOW + TIMEOUT));
@@ -111,7 +110,7 @@
     }
 
     @Test
-    void shouldTakeRequestForFirstTryWhenItLacksLessThanAnyRefusedClientStaysAway() {
+    void shouldAssumeFirstAttemptWhenTimeIsOnlySlightlyShorterThanUsual() {
         oneIsRefused();
         come(20, 6_000);
         assertEquals(0, millisSince("r", 5_600));
--- a/src/test/java/org/micabarrow/admission/PlaceSharesTest.java
+++ b/src/test/java/org/micabarrow/admission/PlaceSharesTest.java
@@ -9,7 +9,6 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Free places as an agent deals them out. */
 class PlaceSharesTest {
 
     private static PlaceShares seeded(long seed) {
@@ -17,28 +16,28 @@
     }
 
     @Test
-    void shouldDealAllFreePlacesWhenOneEntryAsks() {
+    void shouldAllotAllFreeSlotsWhenOneEntryQueries() {
         int dealt = seeded(1).deal("a", 0, 5, 0);
-        assertTrue(dealt == 5 || dealt == 6, "the part of a place that it begins with may make one more: " + dealt);
+        assertTrue(dealt == 5 || dealt == 6, "the initial fraction of a slot may add one: " + dealt);
     }
 
     @Test
-    void shouldNotDealAllPlacesAtOnceWhenEndpointIsEmpty() {
+    void shouldNotAllotAllSlotsAtOnceWhenEndpointIsEmpty() {
         assertEquals(6, PlaceShares.dealable(16, 0));
         assertEquals(4, PlaceShares.dealable(16, 12));
         assertEquals(0, PlaceShares.dealable(16, 19));
-        assertEquals(1, PlaceShares.dealable(1, 0), "a single place is dealt out whole");
+        assertEquals(1, PlaceShares.dealable(1, 0), "a single slot is allotted whole");
     }
 
     @Test
-    void shouldDealNothingWhenNothingIsFree() {
+    void shouldAllotNothingWhenNoSlotIsFree() {
         PlaceShares shares = seeded(1);
         assertEquals(0, shares.deal("a", 3, 0, 0));
         assertEquals(0, shares.deal("a", 3, -4, 10), "more requests than slots");
     }
 
     @Test
-    void shouldDealInProportionToWhatEntriesTurnedAway() {
+    void shouldAllotInProportionToRequestsRefusedByEntries() {
         PlaceShares shares = seeded(1);
         int toA = 0;
         int toB = 0;
@@ -51,15 +50,15 @@
     }
 
     @Test
-    void shouldCountEntryNoMoreWhenItHasNotAskedForAWhile() {
+    void shouldNotCountEntryWhenItsLastQueryHasExpired() {
         PlaceShares shares = seeded(1);
         shares.deal("gone", 99, 10, 0);
         assertTrue(shares.deal("a", 0, 10, 2_000) >= 10);
     }
 
-    /** One place that stays free goes to one entry at a time, not to all of them at once. */
+    /** A single free slot is allotted to one entry at a time, not to all of them at once. */
     @Property(tries = 200, seed = "7")
-    void shouldNotDealOnePlaceToAllWhenManyAsk(@ForAll @IntRange(min = 2, max = 20) int entries, @ForAll long seed) {
+    void shouldNotAllotOneSlotToAllWhenManyEntriesQuery(@ForAll @IntRange(min = 2, max = 20) int entries, @ForAll long seed) {
         PlaceShares shares = seeded(seed);
         int all = 0;
         int rounds = 40;
@@ -68,7 +67,7 @@
                 all += shares.deal("e" + entry, 0, 1, round * 150L);
             }
         }
-        // Until all entries are known, the first ones get more; each begins with less than one place.
+        // Until all entries are known, the first ones get more; each begins with a fraction of a slot.
         assertTrue(all <= rounds + 2 * entries, "dealt " + all + " in " + rounds + " rounds to " + entries);
     }
 }
--- a/src/test/java/org/micabarrow/admission/RoomWaitTest.java
+++ b/src/test/java/org/micabarrow/admission/RoomWaitTest.java
@@ -10,7 +10,7 @@
 import org.micabarrow.admission.WaitingLine.Place;
 import org.micabarrow.admission.WaitingLine.Waiter;
 
-/** How a request's wait for room begins and ends, played on the line itself. */
+/** Runs waits against a real queue. */
 class RoomWaitTest {
 
     private static final long LATEST = 100;
@@ -50,7 +50,7 @@
 
         @Override
         public void outOfTime() {
-            told.add("out of time");
+            told.add("expired");
         }
     }
 
@@ -62,7 +62,7 @@
                 case "begin-again" -> room.begin(0, LATEST, "again");
                 case "full" -> next = new Decision.Full(1);
                 case "unable" -> next = new Decision.Unable();
-                case "look" -> line.serve();
+                case "dispatch" -> line.serve();
                 case "in-time" -> line.expire(LATEST);
                 case "late" -> line.expire(LATEST + 1);
                 case "end" -> room.end();
@@ -73,24 +73,24 @@
 
     @ParameterizedTest
     @CsvSource({
-        // events,                     waits, in line, told
-        "-,                            false, 0,       ''",
-        "end,                          false, 0,       ''",
-        "begin,                        true,  1,       ''",
-        "begin look,                   true,  1,       ''",
-        "begin look in-time,           true,  1,       ''",
-        "begin full look,              false, 0,       Full first",
-        "begin unable look,            false, 0,       Unable first",
-        "begin full look look late,    false, 0,       Full first",
-        "begin late,                   false, 0,       out of time",
-        "begin late full look end,     false, 0,       out of time",
-        "begin end,                    false, 0,       ''",
-        "begin end full look late,     false, 0,       ''",
-        "begin-again full look,        true,  1,       Full again",
-        "begin-again full look end,    false, 0,       Full again",
-        "begin-again full look late,   false, 0,       Full again; out of time"
+        // events,                            waits, queued, notified
+        "-,                                 false, 0,      ''",
+        "end,                               false, 0,      ''",
+        "begin,                             true,  1,      ''",
+        "begin dispatch,                    true,  1,      ''",
+        "begin dispatch in-time,            true,  1,      ''",
+        "begin full dispatch,               false, 0,      Full first",
+        "begin unable dispatch,             false, 0,      Unable first",
+        "begin full dispatch dispatch late, false, 0,      Full first",
+        "begin late,                        false, 0,      expired",
+        "begin late full dispatch end,      false, 0,      expired",
+        "begin end,                         false, 0,      ''",
+        "begin end full dispatch late,      false, 0,      ''",
+        "begin-again full dispatch,         true,  1,      Full again",
+        "begin-again full dispatch end,     false, 0,      Full again",
+        "begin-again full dispatch late,    false, 0,      Full again; expired"
     })
-    void shouldWaitUntilDecisionTimeOrEnd(String events, boolean waits, int inLine, String expected) {
+    void shouldWaitUntilDecisionExpiryOrEnd(String events, boolean waits, int inLine, String expected) {
         play(events);
         assertEquals(waits, room.waits());
         assertEquals(inLine, line.size());
--- a/src/test/java/org/micabarrow/admission/TakenRoomTest.java
+++ b/src/test/java/org/micabarrow/admission/TakenRoomTest.java
@@ -11,7 +11,7 @@
 import org.micabarrow.limits.KnownEntries;
 import org.micabarrow.routing.EndpointLoad;
 
-/** What one sending takes at its endpoint after each row of steps. */
+/** Checks the endpoint's load after each sequence of steps, and at each notification of freed capacity. */
 class TakenRoomTest {
 
     private static final int PROMPT = 70;
@@ -21,14 +21,14 @@
 
     @ParameterizedTest
     @CsvSource({
-        // steps,     idle,  prompt left, begun, what each look through the line sees
-        "-,           false, 70,          false, ''",
-        "read,        false, 0,           true,  taken:0",
-        "read read,   false, 0,           true,  taken:0",
-        "read free,   true,  0,           true,  taken:0 free:0",
-        "free,        true,  0,           true,  taken:0 free:0"
+        // steps,     idle,  pending prompt, started, state at each notification
+        "-,         false, 70,             false,   ''",
+        "read,      false, 0,              true,    taken:0",
+        "read read, false, 0,              true,    taken:0",
+        "read free, true,  0,              true,    taken:0 free:0",
+        "free,      true,  0,              true,    taken:0 free:0"
     })
-    void shouldFreePromptFirstAndThenPlace(String steps, boolean idle, int prompt, boolean begun, String seen) {
+    void shouldReleasePromptBeforeSlot(String steps, boolean idle, int prompt, boolean begun, String seen) {
         TakenRoom room = new TakenRoom(
                 load, PROMPT, () -> looks.add((load.idle() ? "free:" : "taken:") + load.ownPromptTokens()));
         for (String step : steps.split(" ")) {
