--- a/src/test/java/org/micabarrow/admission/WaitingLineTest.java
+++ b/src/test/java/org/micabarrow/admission/WaitingLineTest.java
@@ -7,7 +7,6 @@
 import org.junit.jupiter.api.Test;
 import org.micabarrow.admission.WaitingLine.Place;
 
-/** The order in which requests get room, and when they give up. */
 class WaitingLineTest {
 
     private final WaitingLine line = new WaitingLine();
@@ -35,7 +34,7 @@
     }
 
     @Test
-    void shouldStartThoseFirstWhoseTimeRunsOutFirstWhenRoomComes() {
+    void shouldStartByPriorityAndExpiryWhenCapacityIsFreed() {
         join("later", 1, 300);
         join("sooner", 1, 200);
         join("urgent", 0, 400);
@@ -48,7 +47,7 @@
     }
 
     @Test
-    void shouldStartInOrderOfComingWhenAllElseIsEqual() {
+    void shouldStartInOrderOfArrivalWhenAllElseIsEqual() {
         join("first", 1, 200);
         join("second", 1, 200);
         room = 1;
@@ -57,7 +56,7 @@
     }
 
     @Test
-    void shouldLetThoseGoAtOnceThatCannotBeInTimeAnyMore() {
+    void shouldExpireRequestsWhenTheyCanNoLongerBeInTime() {
         join("over", 1, 100);
         join("still", 1, 200);
         line.expire(101);
@@ -69,7 +68,7 @@
     }
 
     @Test
-    void shouldForgetThoseThatLeft() {
+    void shouldNotNotifyRequestsWhenTheyWereRemoved() {
         Place place = join("left", 1, 100);
         line.leave(place);
         room = 1;
@@ -80,7 +79,7 @@
     }
 
     @Test
-    void shouldTryNextOnesWhenFirstFindsNoRoom() {
+    void shouldTryNextRequestsWhenFirstFindsNoCapacity() {
         line.join(1, 100, new WaitingLine.Waiter() {
             @Override
             public boolean tryStart() {
@@ -98,7 +97,7 @@
     }
 
     @Test
-    void shouldServeOnceWhenStartingOneFreesRoom() {
+    void shouldDispatchOnceWhenStartingRequestFreesCapacity() {
         line.join(1, 100, new WaitingLine.Waiter() {
             @Override
             public boolean tryStart() {
--- a/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
@@ -10,7 +10,6 @@
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.routing.Route;
 
-/** Which requests are sent again. */
 class AttemptPolicyTest {
 
     private static Route route(RequestKind kind, int attempts) {
@@ -28,13 +27,13 @@
         "IDEMPOTENT,       true,  2, 1000, false",
         "IDEMPOTENT,       false, 1, 10,   false"
     })
-    void shouldDecideByKindAndTime(RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
+    void shouldDecideByKindAndRemainingTime(RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(sendings, mayHaveRun, left);
         assertEquals(again, AttemptPolicy.again(route(kind, 2), progress, () -> true));
     }
 
     @Test
-    void shouldTakeNothingFromBudgetWhenRequestMayNotRunAgain() {
+    void shouldNotConsumeBudgetWhenRequestMayNotRunAgain() {
         AtomicInteger taken = new AtomicInteger();
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, true, 1_000);
         AttemptPolicy.again(route(RequestKind.AT_MOST_ONCE, 2), progress, () -> taken.incrementAndGet() > 0);
@@ -49,13 +48,13 @@
         "STREAM,           9999, false",
         "AT_MOST_ONCE,     9999, false"
     })
-    void shouldCallAnswerOverdueAfterTwoObjectivesWhenRequestMayRunAgain(
+    void shouldReportOverdueAfterTwoObjectivesWhenRequestMayRunAgain(
             RequestKind kind, long sentMillis, boolean overdue) {
         assertEquals(overdue, AttemptPolicy.overdue(route(kind, 2), sentMillis));
     }
 
     @Test
-    void shouldStopWhenBudgetIsSpent() {
+    void shouldStopWhenBudgetIsExhausted() {
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, false, 1_000);
         assertEquals(false, AttemptPolicy.again(route(RequestKind.IDEMPOTENT, 2), progress, () -> false));
     }
--- a/src/test/java/org/micabarrow/attempts/EventSplitterTest.java
+++ b/src/test/java/org/micabarrow/attempts/EventSplitterTest.java
@@ -11,7 +11,6 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Streams are passed on event by event. */
 class EventSplitterTest {
 
     private static byte[] bytes(String text) {
@@ -19,7 +18,7 @@
     }
 
     @Test
-    void shouldHoldBackEventThatIsNotWhole() {
+    void shouldHoldBackEventWhenItIsIncomplete() {
         EventSplitter splitter = new EventSplitter();
         assertEquals("id: 1\ndata: a\n\n", new String(splitter.whole(bytes("id: 1\ndata: a\n\nid: 2\nda"))));
         assertEquals(Optional.of("1"), splitter.lastId());
@@ -27,23 +26,23 @@
     }
 
     @Test
-    void shouldKnowCarriageReturns() {
+    void shouldAcceptCarriageReturns() {
         EventSplitter splitter = new EventSplitter();
         assertEquals(15, splitter.whole(bytes("id:7\r\ndata:\r\n\r\nx")).length);
         assertEquals(Optional.of("7"), splitter.lastId());
     }
 
     @Test
-    void shouldForgetRemainderWhenItsConnectionBroke() {
+    void shouldDiscardRemainderWhenConnectionBroke() {
         EventSplitter splitter = new EventSplitter();
         splitter.whole(bytes("id: 1\n\nid: 2\nbroken"));
         splitter.dropRemainder();
         assertEquals("id: 2\nwhole\n\n", new String(splitter.whole(bytes("id: 2\nwhole\n\n"))));
     }
 
-    /** However the bytes are cut, what comes out is what went in, and every part ends at an event's end. */
+    /** However the input is cut, the concatenated output equals it, and every piece of output ends with an event. */
     @Property(seed = "11", tries = 300)
-    void shouldPassEverythingOnHoweverItIsCut(
+    void shouldPassEverythingOnHoweverInputIsSplit(
             @ForAll @IntRange(min = 1, max = 6) int events, @ForAll @IntRange(min = 1, max = 9) int cut) {
         StringBuilder text = new StringBuilder();
         for (int i = 1; i <= events; i++) {
--- a/src/test/java/org/micabarrow/attempts/RequestTimesTest.java
+++ b/src/test/java/org/micabarrow/attempts/RequestTimesTest.java
@@ -5,7 +5,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is left of a request's times as its clock goes on. */
 class RequestTimesTest {
 
     private static final long BEGAN = 10_000;
@@ -24,13 +23,13 @@
         " 700, 1000,  900, -200",
         "-100, 1000,    0, -100"
     })
-    void shouldTellWhatIsLeftOfClientsAndRoutesTime(long given, long timeout, long after, long left) {
+    void shouldReturnRemainingTimeOfClientAndRoute(long given, long timeout, long after, long left) {
         assertEquals(left, times(given, timeout, 500, 0).leftMillis(BEGAN + after));
     }
 
     @ParameterizedTest
     @CsvSource({"3000, 1000, 1000", "700, 1000, 700", "0, 1000, 1", "-100, 1000, 1"})
-    void shouldHoldRequestForLeftTimeAndOneMillisecondAtLeast(long given, long timeout, long held) {
+    void shouldHoldRequestForRemainingTimeButAtLeastOneMillisecond(long given, long timeout, long held) {
         assertEquals(held, times(given, timeout, 500, 0).heldMillis());
     }
 
@@ -43,7 +42,7 @@
         "900,   0, false, -400",
         "900, 300, true,  500"
     })
-    void shouldTellWhatIsLeftOfObjectiveSinceFirstTry(long sinceFirstTry, long after, boolean begun, long left) {
+    void shouldReturnRemainderOfObjectiveSinceFirstAttempt(long sinceFirstTry, long after, boolean begun, long left) {
         assertEquals(left, times(3_000, 1_000, 500, sinceFirstTry).toObjectiveMillis(BEGAN + after, begun));
     }
 }
--- a/src/test/java/org/micabarrow/attempts/SendingsTest.java
+++ b/src/test/java/org/micabarrow/attempts/SendingsTest.java
@@ -8,18 +8,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is known of a request's sendings after each row of events. */
 class SendingsTest {
 
     private final Sendings sendings = new Sendings();
 
-    /** Plays events: an upper-case letter is a sending to that endpoint. */
+    /** Applies events; an upper-case letter is an attempt at that endpoint. */
     private void play(String events) {
         for (String event : events.split(" ")) {
             switch (event) {
                 case "-" -> {}
-                case "ask" -> sendings.ask();
-                case "withheld" -> sendings.withheld();
+                case "query" -> sendings.ask();
+                case "not-sent" -> sendings.withheld();
                 case "late-at-A" -> sendings.cameLateAt("A");
                 case "not-run" -> sendings.ended(AttemptEnd.NOT_RUN);
                 case "misdirected" -> sendings.ended(AttemptEnd.MISDIRECTED);
@@ -36,20 +35,20 @@
 
     @ParameterizedTest
     @CsvSource({
-        // events,                      tried, count, may have run, came late
-        "-,                             -,     0,     false,        false",
-        "A,                             A,     1,     false,        false",
-        "A not-run B,                   A B,   2,     false,        false",
-        "A misdirected,                 A,     1,     false,        false",
-        "A unknown,                     A,     1,     true,         false",
-        "A failed,                      A,     1,     true,         false",
-        "A unknown B not-run,           A B,   2,     true,         false",
-        "A withheld,                    A,     0,     false,        false",
-        "A withheld late-at-A,          -,     0,     false,        true",
-        "A withheld late-at-A A,        A,     1,     false,        true",
-        "A not-run B withheld late-at-A, B,    1,     false,        true"
+        // events,                         tried, count, may have run, connected late
+        "-,                              -,     0,     false,        false",
+        "A,                              A,     1,     false,        false",
+        "A not-run B,                    A B,   2,     false,        false",
+        "A misdirected,                  A,     1,     false,        false",
+        "A unknown,                      A,     1,     true,         false",
+        "A failed,                       A,     1,     true,         false",
+        "A unknown B not-run,            A B,   2,     true,         false",
+        "A not-sent,                     A,     0,     false,        false",
+        "A not-sent late-at-A,           -,     0,     false,        true",
+        "A not-sent late-at-A A,         A,     1,     false,        true",
+        "A not-run B not-sent late-at-A, B,     1,     false,        true"
     })
-    void shouldKnowWhatHasHappened(String events, String tried, int count, boolean mayHaveRun, boolean cameLate) {
+    void shouldTrackAttempts(String events, String tried, int count, boolean mayHaveRun, boolean cameLate) {
         play(events);
         assertEquals(set(tried), sendings.tried());
         assertEquals(count, sendings.count());
@@ -60,8 +59,8 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"-, true", "ask, true", "ask ask, false", "ask ask A, true", "ask A ask, true", "A ask ask, false"})
-    void shouldAskTwoAgentsInVainBeforeOneSending(String events, boolean mayAsk) {
+    @CsvSource({"-, true", "query, true", "query query, false", "query query A, true", "query A query, true", "A query query, false"})
+    void shouldAllowTwoAgentQueriesBeforeOneAttempt(String events, boolean mayAsk) {
         play(events);
         assertEquals(mayAsk, sendings.ask());
     }
--- a/src/test/java/org/micabarrow/crashes/CrashBookTest.java
+++ b/src/test/java/org/micabarrow/crashes/CrashBookTest.java
@@ -29,14 +29,14 @@
     }
 
     @Test
-    void shouldRefuseForAsLongAsCrashIsRememberedWhenThreeEndpointsEnded() {
+    void shouldRefuseUntilLastCrashExpiresWhenThreeEndpointsCrashed() {
         threeCrashes();
         assertEquals(new Standing.Refused(3, MEMORY_MILLIS - 1_000), book.standing(HARMFUL, 10_000));
         assertEquals(Set.of(HARMFUL), book.refused());
     }
 
     @Test
-    void shouldClearOthersWhenCulpritExplainsTheirCrash() {
+    void shouldClearOthersWhenPoisonRequestExplainsTheirCrash() {
         crash("e1", 0, HARMFUL, HARMLESS);
         assertEquals(new Standing.Suspected(1), book.standing(HARMLESS, 100));
         threeCrashes();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void shouldCountCrashOnceWhenSeveralProcessesTellOfIt() {
+    void shouldCountCrashOnceWhenSeveralProcessesReportIt() {
         crash("e1", 0, HARMFUL);
         crash("e1", 50, HARMFUL, HARMLESS);
         assertEquals(new Standing.Suspected(1), book.standing(HARMFUL, 100));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void shouldStartAnewWhenRequestIsAnswered() {
+    void shouldResetSuspicionWhenRequestIsAnswered() {
         crash("e1", 0, HARMFUL);
         crash("e2", 5_000, HARMFUL);
         assertEquals(2, book.cleared(HARMFUL, true));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void shouldStayClearedWhenCrashIsToldAgain() {
+    void shouldStayClearedWhenCrashIsReportedAgain() {
         crash("e1", 0, HARMFUL);
         book.cleared(HARMFUL, true);
         crash("e1", 50, HARMFUL);
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void shouldCountOnlyCrashesWithoutPartOfAnswerWhenPartCame() {
+    void shouldClearOnlyUnansweredCrashesWhenPartOfAnswerArrived() {
         crash("e1", 0, HARMFUL);
         crash("e2", 5_000, HARMFUL);
         assertEquals(2, book.cleared(HARMFUL, false));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void shouldServeAgainWhenLastCrashIsForgotten() {
+    void shouldServeAgainWhenLastCrashExpires() {
         threeCrashes();
         book.forgetOld(9_000 + MEMORY_MILLIS - 1);
         assertInstanceOf(Standing.Refused.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS - 1));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void shouldForgetOldestWhenThereAreTooMany() {
+    void shouldDropOldestCrashesWhenThereAreTooMany() {
         for (int i = 0; i < 5 * MOST; i++) {
             crash("e" + i, i * 10_000L, digest("c" + i));
         }
--- a/src/test/java/org/micabarrow/crashes/CulpritsTest.java
+++ b/src/test/java/org/micabarrow/crashes/CulpritsTest.java
@@ -24,7 +24,10 @@
         return new String(new BigInteger(digest.hex(), 16).toByteArray(), StandardCharsets.UTF_8);
     }
 
-    /** Crashes as {@code time:requests}, such as {@code 0:ab 5:ac}; capital letters are requests that had begun to be answered. */
+    /**
+     * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters stand for requests
+     * whose answers had begun.
+     */
     private static Culprits.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
         Map<String, Long> times = new HashMap<>();
@@ -46,18 +49,18 @@
 
     @ParameterizedTest
     @CsvSource({
-        "one after the other,                       0:ab 9:ac 18:ad,                 a",
-        "two crashes are too few,                   0:ab 9:ac,                       ''",
-        "both were at all of them,                  0:ab 9:ab 18:ab,                 ''",
-        "one was at two more without the other,     0:ab 9:ab 18:ab 27:ac 36:ad,     a",
-        "beside the culprit of each crash,          0:ax 9:ax 18:ax 27:a 36:a,       a",
-        "two culprits in turn,                      0:a 9:b 18:a 27:b 36:a 45:b,     ab",
-        "a crash that a culprit explains,           0:a 9:a 18:a 27:ab 36:b 45:b,    a",
-        "begun at three,                            0:A 9:A 18:A,                    ''",
-        "begun at four,                             0:A 9:A 18:A 27:A,               a",
-        "many others end in the same second,        0:a 0:b 0:c 0:d 0:e 0:f 0:g 0:a 0:a, ''"
+        "one after the other,                            0:ab 9:ac 18:ad,                     a",
+        "two crashes are too few,                        0:ab 9:ac,                           ''",
+        "both were involved in all crashes,              0:ab 9:ab 18:ab,                     ''",
+        "one was involved in two more without the other, 0:ab 9:ab 18:ab 27:ac 36:ad,         a",
+        "another suspect in the first three crashes,     0:ax 9:ax 18:ax 27:a 36:a,           a",
+        "two poison requests in turn,                    0:a 9:b 18:a 27:b 36:a 45:b,         ab",
+        "a crash that a poison request explains,         0:a 9:a 18:a 27:ab 36:b 45:b,        a",
+        "answers had begun at three,                     0:A 9:A 18:A,                        ''",
+        "answers had begun at four,                      0:A 9:A 18:A 27:A,                   a",
+        "many other endpoints crash in the same second,  0:a 0:b 0:c 0:d 0:e 0:f 0:g 0:a 0:a, ''"
     })
-    void shouldFindThoseThatExplainTheCrashes(String what, String crashes, String culprits) {
+    void shouldDetectPoisonRequests(String what, String crashes, String culprits) {
         Set<String> found = new TreeSet<>();
         Culprits.of(evidence(crashes), ENDPOINTS).keySet().forEach(one -> found.add(name(one)));
         assertEquals(culprits, String.join("", found), what);
--- a/src/test/java/org/micabarrow/crashes/RequestDigestTest.java
+++ b/src/test/java/org/micabarrow/crashes/RequestDigestTest.java
@@ -30,7 +30,7 @@
     private static final ClientRequest ONE = request("1", "POST", "h", "/x?q=1", "org-a", "body");
 
     @Test
-    void shouldBeTheSameWhenRequestComesAgainUnderAnotherId() {
+    void shouldBeEqualWhenRequestIsRepeatedUnderAnotherId() {
         ClientRequest again = request("another", "POST", "h", "/x?q=1", "org-a", "body");
         assertEquals(RequestDigest.of(ONE), RequestDigest.of(again));
         assertEquals(RequestDigest.of(ONE), LazyDigest.of(again).get());
@@ -45,13 +45,13 @@
         "POST, h,  /x?q=1, org-a, bodies",
         "POST, h,  /x?q=1, org-a, ''"
     })
-    void shouldDifferWhenPartOfRequestDoes(String method, String host, String target, String org, String body) {
+    void shouldDifferWhenPartOfRequestDiffers(String method, String host, String target, String org, String body) {
         ClientRequest other = request("1", method, host, target, org, body);
         assertNotEquals(RequestDigest.of(ONE), RequestDigest.of(other));
     }
 
     @Test
-    void shouldBeginWithItsQuickPart() {
+    void shouldBeginWithQuickPart() {
         assertEquals(RequestDigest.quickOf(ONE), RequestDigest.of(ONE).quick());
         assertEquals(RequestDigest.quickOf(ONE), LazyDigest.of(ONE).quick());
         assertEquals(
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void shouldRefuseWhatIsNoDigest() {
+    void shouldRejectInvalidDigest() {
         assertThrows(IllegalArgumentException.class, () -> new RequestDigest("12"));
         assertThrows(IllegalArgumentException.class, () -> new RequestDigest("x".repeat(32)));
     }
--- a/src/test/java/org/micabarrow/crashes/SuspectPlacementTest.java
+++ b/src/test/java/org/micabarrow/crashes/SuspectPlacementTest.java
@@ -23,7 +23,7 @@
     private final SuspectPlacement placement = new SuspectPlacement();
 
     @Test
-    void shouldLeaveOutEndpointsWithOtherSuspects() {
+    void shouldSkipEndpointsWithOtherSuspects() {
         placement.began(endpoints.getFirst().start(), OTHER);
         assertEquals(endpoints.subList(1, 6), placement.free(endpoints, ONE, ONCE));
         placement.ended(endpoints.getFirst().start(), OTHER);
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void shouldRunOneAtATimeWhenAtMoreThanOneCrash() {
+    void shouldRunOneAttemptAtATimeWhenInvolvedInMoreThanOneCrash() {
         placement.began(endpoints.getFirst().start(), ONE);
         assertEquals(endpoints, placement.free(endpoints, ONE, ONCE));
         assertEquals(List.of(), placement.free(endpoints, ONE, TWICE));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void shouldTryEndpointsInSameOrderEverywhereWhenAtMoreThanOneCrash() {
+    void shouldTryEndpointsInSameOrderEverywhereWhenInvolvedInMoreThanOneCrash() {
         List<EndpointEntry> order = placement.free(endpoints, ONE, TWICE);
         assertEquals(order, new SuspectPlacement().free(endpoints.reversed(), ONE, TWICE));
         assertNotEquals(order, placement.free(endpoints, OTHER, TWICE));
--- a/src/test/java/org/micabarrow/limits/EndpointLimitTest.java
+++ b/src/test/java/org/micabarrow/limits/EndpointLimitTest.java
@@ -53,19 +53,19 @@
     // -- sending
 
     @Test
-    void shouldAllowAnythingWhenNoLimitIsNamed() {
+    void shouldAllowAnythingWhenNoLimitIsStated() {
         assertEquals(100, sentIn(1_000));
         assertEquals(OptionalLong.of(0), limit.untilNextMillis(AGENT_TELLS, now));
     }
 
     @Test
-    void shouldAllowAsManyAsEndpointTakesWhenThereIsNoOtherEntry() {
+    void shouldUseWholeLimitWhenThereIsNoOtherEntry() {
         name(2, now);
         assertEquals(20, sentIn(10_010));
     }
 
     @Test
-    void shouldSaveNothingUpWhileNoRequestComes() {
+    void shouldNotAccumulateCreditWhenNoRequestsArrive() {
         name(2, now);
         sentIn(1_000);
         now += 60_000;
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void shouldFollowWhenLimitChanges() {
+    void shouldAdaptWhenLimitChanges() {
         name(1, now);
         sentIn(5_000);
         name(10, now);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void shouldSayWhenNextRequestMayBeSent() {
+    void shouldReturnTimeUntilNextRequest() {
         name(2, now);
         assertEquals(OptionalLong.of(500), limit.untilNextMillis(AGENT_TELLS, now));
         now += 200;
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void shouldSendNothingWhenEnoughOthersComeBefore() {
+    void shouldSendNothingWhenEnoughEntriesHaveLowerRanks() {
         limit.ranked(new EntryRank(4, 5));
         name(1, now);
         assertEquals(OptionalLong.empty(), limit.untilNextMillis(AGENT_TELLS, now));
@@ -98,62 +98,62 @@
     }
 
     @Test
-    void shouldTakePartWhenLimitWasNotNamedAgainForLong() {
+    void shouldGetShareWhenLimitWasNotStatedAgainForLong() {
         limit.ranked(new EntryRank(4, 5));
         entries.told(5, now);
         name(1, now);
         now += EndpointLimit.COUNTED_MILLIS + 1;
-        assertTrue(sentIn(20_000) > 0, "or it never hears of the end");
+        assertTrue(sentIn(20_000) > 0, "otherwise it never learns that the limit was lifted");
     }
 
     @Test
-    void shouldSendLessWhenNobodyTellsHowManyEntriesThereAre() {
+    void shouldSendLessWhenNumberOfEntriesIsUnknown() {
         name(64, now);
         assertEquals(10, sentIn(20_000, !AGENT_TELLS), 1);
     }
 
     @Test
-    void shouldSendOneInAWhileWhenLimitIsZero() {
+    void shouldSendOneRequestOccasionallyWhenLimitIsZero() {
         name(0, now);
         assertEquals(2, sentIn(20_100));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1e6, 1e12, Double.MAX_VALUE})
-    void shouldHoldNothingBackWhenLimitIsHuge(double perSecond) {
+    void shouldAllowEverythingWhenLimitIsHuge(double perSecond) {
         limit.ranked(new EntryRank(59, 60));
         name(perSecond, now);
         now += 1;
         assertEquals(100, sentIn(1_000));
     }
 
-    // -- what is said
+    // -- observations
 
     @Test
-    void shouldForgetLimitWhenAnswerNamesNone() {
+    void shouldLiftLimitWhenAnswerStatesNone() {
         name(1, now);
         assertTrue(answerWithout(now, now + 100));
         assertEquals(Optional.empty(), limit.limit());
     }
 
     @Test
-    void shouldKeepLimitWhenAnswerIsOfRequestSentBefore() {
+    void shouldKeepLimitWhenAnswerBelongsToEarlierRequest() {
         name(1, now);
         assertFalse(answerWithout(now - 1, now + 100));
         assertTrue(limit.limit().isPresent());
     }
 
     @Test
-    void shouldHearOfLimitAndOfItsEndFromAgent() {
+    void shouldApplyLimitAndItsLiftingWhenReceivedFromAgent() {
         assertTrue(limit.told(new LimitNews.Named(1, now)));
-        assertFalse(limit.told(new LimitNews.Named(1, now + 100)), "nothing new");
-        assertFalse(limit.told(new LimitNews.Ended(now)), "older than what is known");
+        assertFalse(limit.told(new LimitNews.Named(1, now + 100)), "the limit is unchanged");
+        assertFalse(limit.told(new LimitNews.Ended(now)), "older than the latest observation");
         assertTrue(limit.told(new LimitNews.Ended(now + 200)));
         assertEquals(Optional.empty(), limit.limit());
     }
 
     @Test
-    void shouldTellOthersOnlyWhatItHeardItself() {
+    void shouldPassOnOnlyOwnObservations() {
         limit.told(new LimitNews.Named(1, now));
         assertEquals(Optional.empty(), limit.word(now));
         name(2, now);
@@ -164,7 +164,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void shouldRefuseWhatIsNoLimit(double perSecond) {
+    void shouldRejectInvalidLimit(double perSecond) {
         assertThrows(IllegalArgumentException.class, () -> name(perSecond, now));
     }
 }
--- a/src/test/java/org/micabarrow/limits/EntryRankTest.java
+++ b/src/test/java/org/micabarrow/limits/EntryRankTest.java
@@ -23,7 +23,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 13, 60})
-    void shouldGiveEachEntryRankOfItsOwn(int count) {
+    void shouldAssignDistinctRanks(int count) {
         Map<String, EntryRank> ranks = EntryRank.ranks(names(count), "agent");
         Set<Integer> places = ranks.values().stream().map(EntryRank::rank).collect(Collectors.toSet());
         assertEquals(IntStream.range(0, count).boxed().collect(Collectors.toSet()), places);
@@ -32,7 +32,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {5, 13, 60})
-    void shouldMoveOthersByOnePlaceAtMostWhenEntryComes(int count) {
+    void shouldMoveOthersByAtMostOneRankWhenEntryIsAdded(int count) {
         Map<String, EntryRank> before = EntryRank.ranks(names(count), "agent");
         Set<String> more = new HashSet<>(names(count));
         more.add("newcomer");
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void shouldRefuseRankThatThereIsNot() {
+    void shouldRejectRankOutOfRange() {
         for (int rank : List.of(-1, 5, Integer.MAX_VALUE)) {
             assertThrows(IllegalArgumentException.class, () -> new EntryRank(rank, 5));
         }
--- a/src/test/java/org/micabarrow/limits/KnownEntriesTest.java
+++ b/src/test/java/org/micabarrow/limits/KnownEntriesTest.java
@@ -9,18 +9,18 @@
     private final KnownEntries entries = new KnownEntries();
 
     @Test
-    void shouldAssumeManyWhenNobodyTold() {
+    void shouldAssumeDefaultWhenNothingWasReported() {
         assertEquals(KnownEntries.ASSUMED, entries.count());
     }
 
     @Test
-    void shouldGoByWhatWasToldFirst() {
+    void shouldUseFirstReport() {
         entries.told(5, 0);
         assertEquals(5, entries.count());
     }
 
     @Test
-    void shouldNotCountAgentThatHearsOfFewer() {
+    void shouldIgnoreLowerReportOfOneAgent() {
         entries.told(13, 1_000);
         entries.told(2, 1_100);
         entries.told(13, 3_000);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void shouldFollowWhenAllTellOfFewer() {
+    void shouldAdaptWhenAllReportsAreLower() {
         entries.told(13, 1_000);
         for (long now = 1_100; now < 5_000; now += 150) {
             entries.told(12, now);
--- a/src/test/java/org/micabarrow/limits/LimitRelayTest.java
+++ b/src/test/java/org/micabarrow/limits/LimitRelayTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void shouldPassOnWhatWasHeardLast() {
+    void shouldPassOnNewestObservation() {
         relay.told(named(1, 50), NOW);
         relay.told(named(2, 100), NOW);
         assertEquals(Optional.of(named(1, 80)), relay.word(NOW + 30));
@@ -29,17 +29,17 @@
     }
 
     @Test
-    void shouldPassNothingOnWhenNothingWasHeardForLong() {
+    void shouldPassNothingOnWhenObservationHasExpired() {
         assertEquals(Optional.empty(), relay.word(NOW));
         relay.told(named(1, 0), NOW);
         assertEquals(Optional.empty(), relay.word(NOW + EndpointLimit.COUNTED_MILLIS + 1));
     }
 
     @Test
-    void shouldTakeReportsThatNameNoLimitForAnEndOnlyWhenOneDidBefore() {
+    void shouldTreatReportWithoutLimitAsLiftedOnlyWhenPreviousReportHadOne() {
         relay.told(named(1, 0), NOW);
         relay.reported(OptionalDouble.empty(), NOW + 100);
-        assertTrue(relay.word(NOW + 100).orElseThrow().perSecond().isPresent(), "reports need not name limits");
+        assertTrue(relay.word(NOW + 100).orElseThrow().perSecond().isPresent(), "reports need not state limits");
         relay.reported(OptionalDouble.of(2), NOW + 200);
         assertEquals(OptionalDouble.of(2), relay.word(NOW + 200).orElseThrow().perSecond());
         relay.reported(OptionalDouble.empty(), NOW + 300);
@@ -47,11 +47,11 @@
     }
 
     @Test
-    void shouldTellWhichEndpointWasHeard() {
+    void shouldIdentifyEndpointOfObservation() {
         relay.told(named(1, 0), NOW);
         assertTrue(relay.word(NOW).orElseThrow().isOf("a"));
-        assertFalse(relay.word(NOW).orElseThrow().isOf("b"), "another one at the same address");
+        assertFalse(relay.word(NOW).orElseThrow().isOf("b"), "another endpoint at the same address");
         relay.reported(OptionalDouble.of(2), NOW + 1);
-        assertTrue(relay.word(NOW + 1).orElseThrow().isOf("b"), "the agent reports of whichever is beside it");
+        assertTrue(relay.word(NOW + 1).orElseThrow().isOf("b"), "a report concerns whichever endpoint is beside the agent");
     }
 }
--- a/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
@@ -12,7 +12,6 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests are sent. */
 class EndpointChoiceTest {
 
     private static final ModelService MODEL = new ModelService("m", 4, 20, 10, 0, 5, 16, 64, 32_768);
@@ -48,7 +47,7 @@
     }
 
     @Test
-    void shouldPassOverEndpointsThatCannotServe() {
+    void shouldSkipEndpointsThatCannotServe() {
         EndpointEntry leaving = endpoint("a", "h1", true, 1, 16);
         EndpointEntry empty = endpoint("b", "h1", false, 0, 16);
         EndpointEntry partial = endpoint("c", "h1", false, 1, 3);
@@ -57,7 +56,7 @@
     }
 
     @Test
-    void shouldDemandNewestVersionOnceOlderOnesMayNotAnswer() {
+    void shouldRequireNewestVersionWhenOlderOnesMayNotAnswer() {
         EndpointEntry old = endpoint("a", "h1", false, 1, 16);
         EndpointEntry renewed = endpoint("b", "h2", false, 2, 16);
         assertEquals("b", chosen(choice.choose(List.of(old, renewed), wanted(2, Set.of()), NOW)));
@@ -73,13 +72,13 @@
     }
 
     @Test
-    void shouldSayFullWhenObjectiveCannotBeMet() {
+    void shouldReturnFullWhenObjectiveCannotBeMet() {
         choice.load("a").began(8_000);
         assertInstanceOf(Choice.Full.class, choose(endpoint("a")));
     }
 
     @Test
-    void shouldCountWhatOtherEntriesHaveThere() {
+    void shouldCountRequestsOfOtherEntries() {
         choice.load("a").told(new LoadReport(4, 0, false, 1), 10, NOW);
         assertInstanceOf(Choice.Full.class, choose(endpoint("a")));
         choice.load("b").told(new LoadReport(1, 9_000, false, 1), 10, NOW);
@@ -87,34 +86,34 @@
     }
 
     @Test
-    void shouldNotChooseEndpointThatTakesUpWeights() {
+    void shouldNotSelectEndpointThatIsLoadingWeights() {
         choice.load("a").told(new LoadReport(0, 0, true, 1), 10, NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
     }
 
     @Test
-    void shouldPassOverEndpointWhoseAgentFellSilent() {
+    void shouldSkipEndpointWhoseAgentIsUnresponsive() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("b").told(new LoadReport(2, 0, false, 1), 10, NOW - 100);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
     }
 
     @Test
-    void shouldUseSilentEndpointWhenAllAreSilent() {
+    void shouldUseUnresponsiveEndpointWhenAllAreUnresponsive() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 5_000);
         assertEquals("a", chosen(choose(endpoint("a"))));
     }
 
     @Test
-    void shouldPassOverEndpointBehindSlowLink() {
+    void shouldSkipEndpointBehindSlowLink() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 2_200, NOW);
         choice.load("b").told(new LoadReport(2, 0, false, 1), 100, NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no other can serve");
+        assertEquals("a", chosen(choose(endpoint("a"))), "no other endpoint can serve");
     }
 
     @Test
-    void shouldSendNothingThroughSlowLinkWhenNewerVersionIsNamed() {
+    void shouldSendNothingThroughSlowLinkWhenNewerVersionIsAnnounced() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 2_200, NOW);
         Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
@@ -123,34 +122,34 @@
     }
 
     @Test
-    void shouldSendNothingThroughLinkThatWasSlowLatelyWhenNewerVersionIsNamed() {
+    void shouldSendNothingThroughRecentlySlowLinkWhenNewerVersionIsAnnounced() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 900, NOW - 500);
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), newer, NOW));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
+        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is announced");
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW + 5_000);
         assertInstanceOf(Choice.Send.class, choice.choose(List.of(endpoint("a")), newer, NOW + 5_000));
     }
 
     @Test
-    void shouldSendNothingWhileAgentIsSilentWhenNewerVersionIsNamed() {
+    void shouldSendNothingToUnresponsiveAgentsEndpointWhenNewerVersionIsAnnounced() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("a").heard(NOW - 50);
         Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
+        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is announced");
     }
 
     @Test
-    void shouldNotUseSilentEndpointWhileOthersAreHeard() {
+    void shouldNotUseUnresponsiveEndpointWhenOthersRespond() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
-        assertInstanceOf(Choice.None.class, choose(endpoint("a"), endpoint("b")), "b takes up weights, a stands still");
+        assertInstanceOf(Choice.None.class, choose(endpoint("a"), endpoint("b")), "b is loading weights, a is unresponsive");
     }
 
     @Test
-    void shouldUseEndpointThatAnswersWhileItsAgentIsGone() {
+    void shouldUseEndpointThatAnswersWhenItsAgentIsUnresponsive() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("a").heard(NOW - 50);
         choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
@@ -158,21 +157,21 @@
     }
 
     @Test
-    void shouldLeaveOutEndpointAfterItBroke() {
+    void shouldEjectEndpointWhenItsConnectionFailed() {
         choice.load("a").failures().broke(NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
         choice.load("b").failures().broke(NOW);
-        assertInstanceOf(Choice.Send.class, choose(endpoint("a"), endpoint("b")), "all are out, so one must do");
+        assertInstanceOf(Choice.Send.class, choose(endpoint("a"), endpoint("b")), "all are ejected, so an ejected one is used");
     }
 
     @Test
-    void shouldLeaveOutEndpointWhoseAddressIsAnothers() {
+    void shouldEjectEndpointWhenAnotherOneHasItsAddress() {
         choice.load("a").failures().misdirected(NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b", "h2", false, 1, 16))));
     }
 
     @Test
-    void shouldTakeEndpointBackWhenItsExclusionEnds() {
+    void shouldUseEndpointAgainWhenItsEjectionEnds() {
         choice.load("a").failures().broke(NOW - 1_001);
         choice.load("b").began(1_000);
         assertEquals("a", chosen(choose(endpoint("a"), endpoint("b"))));
@@ -184,19 +183,19 @@
     }
 
     @Test
-    void shouldAskAgentFirstOnlyWhenItsEndpointHoldsOlderVersionThanWasNamed() {
+    void shouldQueryAgentFirstOnlyWhenItsEndpointHoldsOlderVersionThanAnnounced() {
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         EndpointEntry old = endpoint("a", "h1", false, 1, 16);
-        assertFalse(choice.mustAsk(old, newer), "no agent was ever heard beside it");
+        assertFalse(choice.mustAsk(old, newer), "it has no agent");
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         assertTrue(choice.mustAsk(old, newer));
-        assertFalse(choice.mustAsk(old, wanted(0, Set.of())), "nothing newer was named");
+        assertFalse(choice.mustAsk(old, wanted(0, Set.of())), "no newer version is announced");
         choice.load("a").told(new LoadReport(0, 0, false, 2), 10, NOW);
-        assertFalse(choice.mustAsk(old, newer), "it has changed versions since its entry was written");
+        assertFalse(choice.mustAsk(old, newer), "it has loaded the newer version since its registration was written");
     }
 
     @Test
-    void shouldSendNothingWhereAgentLeftQuestionUnansweredWhenNewerVersionIsNamed() {
+    void shouldSendNothingAfterUnansweredQueryWhenNewerVersionIsAnnounced() {
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         EndpointEntry old = endpoint("a", "h1", false, 1, 16);
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
@@ -207,10 +206,10 @@
         assertTrue(choice.able(old, newer, NOW));
     }
 
-    // -- endpoints that start again under their id
+    // -- endpoints that restart under the same id
 
     @Test
-    void shouldNotBelieveThatEndpointHoldsWhatItsFormerStartHeld() {
+    void shouldNotCarryOverVersionWhenEndpointRestarts() {
         choice.load(started(5_000, 1).start()).told(new LoadReport(0, 0, false, 3), 10, NOW);
         choice.load(started(5_000, 1).start()).answeredBy(3);
         assertInstanceOf(Choice.None.class, choose(started(9_000, 0)));
@@ -219,7 +218,7 @@
     }
 
     @Test
-    void shouldCountNoRequestsOfFormerStartAtNewOne() {
+    void shouldNotCarryOverRequestsWhenEndpointRestarts() {
         EndpointLoad former = choice.load(started(5_000, 1).start());
         former.began(8_000);
         assertEquals("a", chosen(choose(started(9_000, 1))));
@@ -231,24 +230,24 @@
     }
 
     @Test
-    void shouldNotHoldFailuresOfFormerStartAgainstNewOne() {
+    void shouldNotCarryOverFailuresWhenEndpointRestarts() {
         choice.load(started(5_000, 1).start()).failures().broke(NOW);
         choice.load("b").began(1_000);
         assertEquals("a", chosen(choose(started(9_000, 1), endpoint("b"))));
     }
 
     @Test
-    void shouldSendNothingToStartThatIsOverByItsAgent() {
+    void shouldSendNothingWhenAgentReportedAnotherStart() {
         EndpointLoad load = choice.load(started(5_000, 1).start());
         load.told(new LoadReport(0, 0, false, 1), 10, NOW);
         load.toldOfAnotherStart();
         assertInstanceOf(Choice.None.class, choose(started(5_000, 1)));
         load.told(new LoadReport(0, 0, false, 1), 10, NOW);
-        assertEquals("a", chosen(choose(started(5_000, 1))), "the agent was behind the entry for a moment");
+        assertEquals("a", chosen(choose(started(5_000, 1))), "the agent has caught up with the registration");
     }
 
     @Test
-    void shouldForgetFormerStartOnceNothingWaitsThere() {
+    void shouldForgetPreviousStartWhenNothingIsInFlightThere() {
         EndpointStart former = started(5_000, 1).start();
         choice.load(former).began(10);
         choice.keepOnly(List.of(started(9_000, 1)));
--- a/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
@@ -10,20 +10,20 @@
 import org.micabarrow.limits.EndpointLimit;
 import org.micabarrow.limits.KnownEntries;
 
-/** What is known of an endpoint whose agent has told nothing, or told late. */
+/** Covers endpoints whose agents have not reported, or replied late. */
 class EndpointLoadTest {
 
     private final EndpointLoad load = new EndpointLoad(new EndpointLimit("a", new KnownEntries(), new Random(1)));
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 999, 1_000, 100_000})
-    void shouldNotCallLinkSlowLatelyWhenAgentHasToldNothing(long nowMillis) {
+    void shouldNotReportLinkRecentlySlowWhenAgentHasNotReported(long nowMillis) {
         assertFalse(load.delayedLately(nowMillis), "a steady clock may begin near 0");
         assertFalse(load.toldLately(nowMillis));
     }
 
     @Test
-    void shouldCallLinkSlowLatelyForAWhileAfterLateAnswer() {
+    void shouldReportLinkRecentlySlowForAWhileAfterLateReply() {
         load.told(new LoadReport(0, 0, false, 1), 401, 10);
         assertTrue(load.delayedLately(3_010));
         assertFalse(load.delayedLately(3_011));
--- a/src/test/java/org/micabarrow/routing/EndpointStartTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointStartTest.java
@@ -13,20 +13,20 @@
     private static final EndpointStart STARTED = new EndpointStart("a", OptionalLong.of(1_764_718_674_123L));
 
     @Test
-    void shouldNameStartByShortToken() {
+    void shouldIdentifyStartByShortToken() {
         assertEquals(OptionalInt.of(674_123), EndpointStart.token(STARTED.startedMillis()));
         assertEquals(OptionalInt.empty(), EndpointStart.token(OptionalLong.empty()));
     }
 
     @Test
-    void shouldTellStartsApartByTheirTokens() {
+    void shouldDistinguishStartsByTheirTokens() {
         assertTrue(STARTED.mayBe(OptionalInt.of(674_123)));
         assertFalse(STARTED.mayBe(OptionalInt.of(674_124)));
     }
 
     @Test
-    void shouldTakeEndpointThatDoesNotTellItsStartForOne() {
-        assertTrue(STARTED.mayBe(OptionalInt.empty()), "its report does not tell it");
-        assertTrue(EndpointStart.untold("a").mayBe(OptionalInt.of(5)), "its entry does not tell it");
+    void shouldMatchAnyTokenWhenStartTimeIsUnknown() {
+        assertTrue(STARTED.mayBe(OptionalInt.empty()), "the report does not identify the start");
+        assertTrue(EndpointStart.untold("a").mayBe(OptionalInt.of(5)), "the registration does not state the start time");
     }
 }
--- a/src/test/java/org/micabarrow/routing/RestsTest.java
+++ b/src/test/java/org/micabarrow/routing/RestsTest.java
@@ -11,14 +11,14 @@
     private final Rest rest = new Rest();
 
     @Test
-    void shouldAllowAnyNumberWhenNeverAsked() {
+    void shouldAllowAnyNumberWhenNoBackoffWasRequested() {
         assertTrue(rest.allows(1_000_000, 0));
         assertFalse(rest.lasts(0));
         assertEquals(0, rest.leftMillis(0));
     }
 
     @Test
-    void shouldAllowNothingUntilRestIsOver() {
+    void shouldAllowNothingUntilBackoffEnds() {
         rest.asked(3_000, 100);
         assertFalse(rest.allows(0, 3_099));
         assertEquals(1, rest.leftMillis(3_099));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void shouldKeepLongerRestWhenShorterOneIsAskedFor() {
+    void shouldKeepLongerBackoffWhenShorterOneIsRequested() {
         rest.asked(3_000, 0);
         rest.asked(500, 1_000);
         assertTrue(rest.lasts(2_999));
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void shouldAllowTwiceAsManyWithEachAnswerWhenRestIsOver() {
+    void shouldDoubleLimitWithEachAnswerWhenBackoffHasEnded() {
         rest.asked(3_000, 0);
         rest.answered(1_000);
-        assertFalse(rest.allows(1, 3_000), "an answer to what was sent before counts for nothing");
+        assertFalse(rest.allows(1, 3_000), "an answer during the backoff does not raise the limit");
         for (int most = 1; most <= 32; most *= 2) {
             assertTrue(rest.allows(most - 1, 3_000));
             assertFalse(rest.allows(most, 3_000));
