--- a/src/main/java/org/micabarrow/admission/Admission.java
+++ b/src/main/java/org/micabarrow/admission/Admission.java
@@ -16,9 +16,9 @@
 
     /**
      * The fraction of its remaining time after which a refused client is told to retry. A request is refused when its
-     * answer can no longer be in time, so an earlier retry gains nothing. A later one leaves more time for the cause to
-     * pass: an endpoint that restarts, or a weight version that is being loaded, needs a second or two. Clients respect
-     * up to a third.
+     * response can no longer be in time, so an earlier retry gains nothing. A later one leaves more time for the cause
+     * to pass: an endpoint that restarts, or a weight version that is being loaded, needs a second or two. Clients
+     * respect up to a third.
      */
     private static final double COME_BACK_PART = 0.3;
 
--- a/src/main/java/org/micabarrow/admission/TakenRoom.java
+++ b/src/main/java/org/micabarrow/admission/TakenRoom.java
@@ -4,9 +4,9 @@
 import org.micabarrow.routing.EndpointLoad;
 
 /**
- * The slot that one attempt of a request occupies at its endpoint. The prompt stops counting as pending when the answer
- * begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the wait
- * queue. Not thread-safe: confined to one thread.
+ * The slot that one attempt of a request occupies at its endpoint. The prompt stops counting as pending when the
+ * response begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the
+ * wait queue. Not thread-safe: confined to one thread.
  */
 public final class TakenRoom {
 
--- a/src/main/java/org/micabarrow/attempts/AttemptEnd.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptEnd.java
@@ -1,6 +1,6 @@
 package org.micabarrow.attempts;
 
-/** How an attempt ended that gave no answer to pass on. */
+/** How an attempt ended that gave no response to pass on. */
 public enum AttemptEnd {
     /** No byte was sent, or the endpoint stated that it did not run the request. */
     NOT_RUN,
@@ -11,7 +11,7 @@
     MISDIRECTED,
     /** The request was sent, and it is unknown whether it ran. */
     UNKNOWN,
-    /** The endpoint ran the request and answered with an error of its own. */
+    /** The endpoint ran the request and responded with an error of its own. */
     FAILED;
 
     /**
--- a/src/main/java/org/micabarrow/attempts/AttemptPolicy.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptPolicy.java
@@ -8,13 +8,13 @@
 public final class AttemptPolicy {
 
     /**
-     * The time that an endpoint has for each part of an answer, in objectives. After one objective the answer is late
-     * wherever it comes from, and a busy endpoint may still be about to send it.
+     * The time that an endpoint has for each part of a response, in objectives. After one objective the response is
+     * late wherever it comes from, and a busy endpoint may still be about to send it.
      */
     private static final int OVERDUE_OBJECTIVES = 2;
 
     /**
-     * The shortest remaining time in which another endpoint could still answer, in milliseconds: a round trip to
+     * The shortest remaining time in which another endpoint could still respond, in milliseconds: a round trip to
      * another region and a short piece of work.
      */
     public static final long LEAST_MILLIS_LEFT = 50;
@@ -31,11 +31,11 @@
     public record Progress(int sendings, boolean mayHaveRun, long millisLeft) {}
 
     /**
-     * Returns whether the next part of an answer is so late that another endpoint may be used, although nothing else
+     * Returns whether the next part of a response is so late that another endpoint may be used, although nothing else
      * indicates that the present one has lost the request.
      *
      * @param route the request's route
-     * @param waitedMillis the time since the request or the last part of its answer was sent, in milliseconds
+     * @param waitedMillis the time since the request or the last part of its response was sent, in milliseconds
      * @return false for requests that may run only once
      */
     public static boolean overdue(Route route, long awaitedMillis) {
--- a/src/main/java/org/micabarrow/attempts/ClientRequest.java
+++ b/src/main/java/org/micabarrow/attempts/ClientRequest.java
@@ -15,7 +15,7 @@
  * @param headers the headers to pass on
  * @param body the body
  * @param route the route that it matches
- * @param service the service that is to answer
+ * @param service the service that is to respond
  * @param organisation the owner of the client's key; empty on open routes
  * @param priority its priority, 0 is the most urgent
  * @param deadlineMillis the time at which the client stops waiting, on the process's monotonic clock
--- a/src/main/java/org/micabarrow/attempts/RequestTimes.java
+++ b/src/main/java/org/micabarrow/attempts/RequestTimes.java
@@ -8,7 +8,7 @@
  * @param arrivedMillis the time of its arrival
  * @param deadlineMillis the time at which its client stops waiting
  * @param timeoutMillis the longest time for which its route holds it
- * @param objectiveMillis the time after its client's first attempt within which its answer should begin
+ * @param objectiveMillis the time after its client's first attempt within which its response should begin
  * @param sinceFirstAttemptMillis the time between its client's first attempt and its arrival
  */
 public record RequestTimes(
@@ -62,12 +62,12 @@
     }
 
     /**
-     * Returns the remainder of the objective since the client's first attempt. Once an answer has begun, the full
+     * Returns the remainder of the objective since the client's first attempt. Once a response has begun, the full
      * objective applies to the rest of it.
      *
      * @param nowMillis the time on the monotonic clock
-     * @param answerBegun whether the client has received part of an answer
-     * @return milliseconds from now; 0 or less once an answer can no longer be in time
+     * @param responseBegun whether the client has received part of a response
+     * @return milliseconds from now; 0 or less once a response can no longer be in time
      */
     public long toObjectiveMillis(long nowMillis, boolean answerBegun) {
         return answerBegun ? objectiveMillis : objectiveMillis - sinceFirstTryMillis - takenMillis(nowMillis);
--- a/src/main/java/org/micabarrow/attempts/Sendings.java
+++ b/src/main/java/org/micabarrow/attempts/Sendings.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Records an attempt that ended without an answer.
+     * Records an attempt that ended without a response.
      *
      * @param outcome how it ended
      */
--- a/src/main/java/org/micabarrow/crashes/CrashBook.java
+++ b/src/main/java/org/micabarrow/crashes/CrashBook.java
@@ -15,7 +15,7 @@
 
 /**
  * The endpoint crashes that a process knows of, and the poison requests inferred from them. A request that was answered
- * is cleared of all crashes known by then, since a poison request never gets an answer. Thread-safe.
+ * is cleared of all crashes known by then, since a poison request never gets a response. Thread-safe.
  */
 public final class CrashBook {
 
@@ -31,7 +31,7 @@
     /** The crashes in the order in which they became known. */
     private final Map<String, Known> crashes = new LinkedHashMap<>();
 
-    /** For each request, the crashes at which no part of its answer had arrived. */
+    /** For each request, the crashes at which no part of its response had arrived. */
     private final Map<RequestDigest, Set<String>> unbegun = new HashMap<>();
 
     /** For each request, all crashes at which it was in flight. */
@@ -101,12 +101,12 @@
     }
 
     /**
-     * Clears a request that an endpoint answered of the crashes known by now. Part of an answer clears it only of
+     * Clears a request that an endpoint answered of the crashes known by now. Part of a response clears it only of
      * crashes at which no part had arrived.
      *
      * @param request the request
-     * @param whole whether the answer is complete
-     * @return the number of crashes at which it had been without any part of an answer
+     * @param whole whether the response is complete
+     * @return the number of crashes at which it had been without any part of a response
      */
     public synchronized int cleared(RequestDigest request, boolean whole) {
         Objects.requireNonNull(request, "request is null");
@@ -197,7 +197,7 @@
     }
 
     /**
-     * Determines the crashes that count against each request. If part of the answer had arrived, the endpoint had
+     * Determines the crashes that count against each request. If part of the response had arrived, the endpoint had
      * survived the start of the request; such crashes count only against requests with fewer than three others.
      */
     private Culprits.Evidence evidence() {
--- a/src/main/java/org/micabarrow/crashes/CrashNews.java
+++ b/src/main/java/org/micabarrow/crashes/CrashNews.java
@@ -21,7 +21,7 @@
      * A suspected request did not crash the endpoint that ran it.
      *
      * @param request the request
-     * @param whole whether its answer arrived completely; if not, only part of it did
+     * @param whole whether its response arrived completely; if not, only part of it did
      */
     record Cleared(RequestDigest request, boolean whole) implements CrashNews {
 
--- a/src/main/java/org/micabarrow/crashes/Culprits.java
+++ b/src/main/java/org/micabarrow/crashes/Culprits.java
@@ -27,7 +27,7 @@
     private static final int MANY_CRASHES = 4;
 
     /**
-     * Number of crashes that suffices on its own, for a request without any part of an answer since the first of them.
+     * Number of crashes that suffices on its own, for a request without any part of a response since the first of them.
      */
     private static final int MOST_CRASHES = 5;
 
@@ -57,7 +57,7 @@
      * The known crashes.
      *
      * @param crashes the crashes in which each request was involved
-     * @param partlyAnswered the requests of whose answers a part has arrived since the first of these crashes
+     * @param partlyAnswered the requests of whose responses a part has arrived since the first of these crashes
      * @param times the time of each crash in milliseconds
      */
     record Evidence(Map<RequestDigest, Set<String>> crashes, Set<RequestDigest> begun, Map<String, Long> times) {}
--- a/src/main/java/org/micabarrow/crashes/EndpointCrash.java
+++ b/src/main/java/org/micabarrow/crashes/EndpointCrash.java
@@ -8,8 +8,8 @@
  * The unplanned end of one start of an endpoint, with requests that were in flight there.
  *
  * @param endpoint identifies the start of the endpoint
- * @param unanswered the requests of whose answers nothing had arrived
- * @param partlyAnswered the requests of whose answers a part had arrived: the endpoint had survived their start
+ * @param unanswered the requests of whose responses nothing had arrived
+ * @param partlyAnswered the requests of whose responses a part had arrived: the endpoint had survived their start
  */
 public record EndpointCrash(String endpoint, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
 
@@ -24,8 +24,8 @@
      * Creates the crash of one start of an endpoint.
      *
      * @param start the start
-     * @param unanswered the requests in flight of whose answers nothing had arrived
-     * @param partlyAnswered those of whose answers a part had arrived
+     * @param unanswered the requests in flight of whose responses nothing had arrived
+     * @param partlyAnswered those of whose responses a part had arrived
      * @return the crash
      */
     public static EndpointCrash of(EndpointStart start, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
--- a/src/main/java/org/micabarrow/limits/EndpointLimit.java
+++ b/src/main/java/org/micabarrow/limits/EndpointLimit.java
@@ -52,7 +52,7 @@
     // -- observations
 
     /**
-     * Records an answer of the endpoint.
+     * Records a response of the endpoint.
      *
      * @param perSecond the limit that it states, in requests per second; empty if it states none
      * @param sentMillis the time at which the request was sent, on the monotonic clock
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Ignores the answer to a request that was sent before the limit was stated: it may have been under way since then.
+     * Ignores the response to a request that was sent before the limit was stated: it may have been under way since
+     * then.
      */
     private boolean notNamed(long sentMillis, long nowMillis) {
         return limit().filter(named -> named.atMillis() <= sentMillis).isPresent()
--- a/src/main/java/org/micabarrow/limits/LimitRelay.java
+++ b/src/main/java/org/micabarrow/limits/LimitRelay.java
@@ -31,7 +31,7 @@
 
     /**
      * Records a report of the endpoint. A report without a limit is significant only if the previous one stated a
-     * limit, since endpoints may state it in answers to requests alone.
+     * limit, since endpoints may state it in responses to requests alone.
      *
      * @param perSecond the limit that the report states, empty if none
      * @param nowMillis the time on the monotonic clock
--- a/src/main/java/org/micabarrow/limits/LimitWord.java
+++ b/src/main/java/org/micabarrow/limits/LimitWord.java
@@ -64,7 +64,7 @@
     /**
      * Converts the update to an observation by the clock of the recipient. The update was under way for up to a whole
      * round trip. Where that leaves the order of two observations open, a lifted limit counts as the later one: a limit
-     * that still applies is stated by the next answer, while an entry that sends nothing would otherwise never learn
+     * that still applies is stated by the next response, while an entry that sends nothing would otherwise never learn
      * that the limit was lifted.
      *
      * @param queriedMillis the time at which the query was sent to which this is the reply, on the monotonic clock
--- a/src/main/java/org/micabarrow/routing/EndpointChoice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointChoice.java
@@ -100,7 +100,7 @@
     // -- draining
 
     /**
-     * Records that an endpoint stated in an answer that it is draining.
+     * Records that an endpoint stated in a response that it is draining.
      *
      * @param start the endpoint's start
      * @return false if this was recorded before
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Returns whether an endpoint accepts no new requests, according to its registration, its answers or its agent.
+     * Returns whether an endpoint accepts no new requests, according to its registration, its responses or its agent.
      *
      * @param endpoint the endpoint
      * @return true if any of them says so
@@ -289,7 +289,7 @@
      * @param endpoint the endpoint
      * @param request the request to send
      * @param nowMillis the time on the monotonic clock
-     * @return false if it is draining, was tried, or does not hold a version that may answer
+     * @return false if it is draining, was tried, or does not hold a version that may respond
      */
     public boolean able(EndpointEntry endpoint, Wanted wanted, long nowMillis) {
         return able(known(endpoint), wanted, nowMillis);
@@ -304,7 +304,7 @@
         }
         long held = one.version(wanted.model().get());
         EndpointLoad load = one.load();
-        // Requests delayed by a slow link may arrive when the older version may no longer answer.
+        // Requests delayed by a slow link may arrive when the older version may no longer respond.
         boolean linkInDoubt = load.unanswered()
                 || load.delayedLately(nowMillis)
                 || load.agentSilent(patienceMillis(one.endpoint()), nowMillis);
--- a/src/main/java/org/micabarrow/routing/EndpointLoad.java
+++ b/src/main/java/org/micabarrow/routing/EndpointLoad.java
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Records that the answer to a request has begun, or that the request ended before that.
+     * Records that the response to a request has begun, or that the request ended before that.
      *
      * @param promptTokens the tokens of its prompt
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Returns the prompt tokens of this entry's requests whose answers have not begun.
+     * Returns the prompt tokens of this entry's requests whose responses have not begun.
      *
      * @return the number of tokens
      */
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Returns the prompt tokens of all requests whose answers have not begun, as far as known.
+     * Returns the prompt tokens of all requests whose responses have not begun, as far as known.
      *
      * @param nowMillis the time on the monotonic clock
      * @return the number of tokens
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Records that data of an answer arrived from the endpoint.
+     * Records that data of a response arrived from the endpoint.
      *
      * @param nowMillis the time on the monotonic clock
      */
@@ -224,9 +224,9 @@
     }
 
     /**
-     * Records the weight version that an answer came from.
+     * Records the weight version that a response came from.
      *
-     * @param answeredVersion the version
+     * @param responseVersion the version
      */
     public void answeredBy(long answered) {
         version = Math.max(version, answered);
--- a/src/main/java/org/micabarrow/routing/EndpointRoom.java
+++ b/src/main/java/org/micabarrow/routing/EndpointRoom.java
@@ -11,7 +11,7 @@
 
     /**
      * Fraction of an endpoint's slots that is reserved for requests which can still meet their objective. At full load
-     * late answers, which are worth a quarter, would otherwise take slots from answers that are still in time.
+     * late responses, which are worth a quarter, would otherwise take slots from responses that are still in time.
      */
     private static final double SLOTS_KEPT_FROM_LATE = 0.25;
 
@@ -46,7 +46,7 @@
                 .orElse(0L);
     }
 
-    /** Returns whether an answer cannot meet its objective at any endpoint. */
+    /** Returns whether a response cannot meet its objective at any endpoint. */
     private static boolean tooLate(Wanted wanted) {
         return wanted.late() || spareMillis(wanted) <= 0;
     }
@@ -80,9 +80,9 @@
     }
 
     /**
-     * Predicts the time until the first event of a request's answer, in milliseconds, corrected by the recent delays of
-     * first events at the endpoint. Used to compare endpoints, not to decide about capacity: when links are saturated
-     * all endpoints are slow, and a request that waits for a fast one is certainly late.
+     * Predicts the time until the first event of a request's response, in milliseconds, corrected by the recent delays
+     * of first events at the endpoint. Used to compare endpoints, not to decide about capacity: when links are
+     * saturated all endpoints are slow, and a request that waits for a fast one is certainly late.
      */
     static double predictedMillis(Wanted wanted, EndpointEntry endpoint, EndpointLoad load, long nowMillis) {
         if (wanted.model().isEmpty()) {
--- a/src/main/java/org/micabarrow/routing/Failures.java
+++ b/src/main/java/org/micabarrow/routing/Failures.java
@@ -15,7 +15,7 @@
     /** Longest ejection, in milliseconds: a recovered endpoint gets traffic again within this time. */
     private static final long LONGEST_EXCLUSION_MILLIS = 8_000;
 
-    /** Weight of the newest answer in the smoothed failure ratio. */
+    /** Weight of the newest response in the smoothed failure ratio. */
     private static final double FAILURE_SMOOTHING = 0.15;
 
     /** Failure ratio above which an endpoint is ejected: well above the error ratio of healthy services. */
@@ -25,14 +25,14 @@
     private double share;
     private long excludedUntilMillis = Long.MIN_VALUE;
 
-    /** Records an answer that may be passed on. */
+    /** Records a response that may be passed on. */
     public void succeeded() {
         inARow = 0;
         share *= 1 - FAILURE_SMOOTHING;
     }
 
     /**
-     * Records a connection that failed or broke, or an answer that does not belong to the request.
+     * Records a connection that failed or broke, or a response that does not belong to the request.
      *
      * @param nowMillis the time on the monotonic clock
      */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Records an answer with an error of the endpoint itself.
+     * Records a response with an error of the endpoint itself.
      *
      * @param nowMillis the time on the monotonic clock
      */
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Records that another endpoint answered at the address, or that the endpoint holds another weight version than
+     * Records that another endpoint responded at the address, or that the endpoint holds another weight version than
      * requested: its registration is out of date.
      *
      * @param nowMillis the time on the monotonic clock
--- a/src/main/java/org/micabarrow/routing/FirstEventDelay.java
+++ b/src/main/java/org/micabarrow/routing/FirstEventDelay.java
@@ -1,14 +1,14 @@
 package org.micabarrow.routing;
 
 /**
- * Measures how much longer the first events of an endpoint's answers take than predicted. The prediction is based on
+ * Measures how much longer the first events of an endpoint's responses take than predicted. The prediction is based on
  * the service's model profile, so without this correction a temporarily slow endpoint would get requests like any other
  * until its slots are occupied. Covers engines that are slow for a while and large prompts that wait for each other.
  * Not thread-safe: confined to one thread.
  */
 public final class FirstEventDelay {
 
-    /** Weight of the newest answer. */
+    /** Weight of the newest response. */
     private static final double NEWEST_WEIGHT = 0.3;
 
     /**
@@ -18,8 +18,8 @@
     private static final double MEMORY_MILLIS = 2_000;
 
     /**
-     * Upper bound of the factor's logarithm, so that a single answer does not exclude an endpoint for longer than it is
-     * remembered.
+     * Upper bound of the factor's logarithm, so that a single response does not exclude an endpoint for longer than it
+     * is remembered.
      */
     private static final double MOST_LOG = 2;
 
@@ -30,7 +30,7 @@
     public FirstEventDelay() {}
 
     /**
-     * Records the first event of an answer.
+     * Records the first event of a response.
      *
      * @param predictedMillis the predicted time from the attempt to the first event, this correction included
      * @param tookMillis the actual time
--- a/src/main/java/org/micabarrow/routing/KnownEndpoint.java
+++ b/src/main/java/org/micabarrow/routing/KnownEndpoint.java
@@ -16,7 +16,7 @@
 
     /**
      * Returns the weight version of a model that the endpoint holds, from its registration or from later reports and
-     * answers; 0 if none.
+     * responses; 0 if none.
      */
     long version(ModelService model) {
         long entered =
--- a/src/main/java/org/micabarrow/routing/LeavingStarts.java
+++ b/src/main/java/org/micabarrow/routing/LeavingStarts.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The starts of endpoints that stated in an answer that they are draining. A registration does not revoke that, even if
- * it is read later, since it may have been written before. The statement applies to that start only, not to other
+ * The starts of endpoints that stated in a response that they are draining. A registration does not revoke that, even
+ * if it is read later, since it may have been written before. The statement applies to that start only, not to other
  * starts at the same address. Not thread-safe: confined to one thread.
  */
 final class LeavingStarts {
--- a/src/main/java/org/micabarrow/routing/LinkDelay.java
+++ b/src/main/java/org/micabarrow/routing/LinkDelay.java
@@ -4,7 +4,7 @@
 final class LinkDelay {
 
     /**
-     * Round-trip time above which a link is slow, in milliseconds: about one objective, so that no answer could be in
+     * Round-trip time above which a link is slow, in milliseconds: about one objective, so that no response could be in
      * time. Links that carry weights take up to a fifth of a second.
      */
     private static final long SLOW_MILLIS = 400;
--- a/src/main/java/org/micabarrow/routing/RequestKind.java
+++ b/src/main/java/org/micabarrow/routing/RequestKind.java
@@ -1,6 +1,6 @@
 package org.micabarrow.routing;
 
-/** How often the requests of a route may run, and whether their answers are streams. */
+/** How often the requests of a route may run, and whether their responses are streams. */
 public enum RequestKind {
     /** May run any number of times. */
     IDEMPOTENT,
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Returns whether the answer is a stream of events.
+     * Returns whether the response is a stream of events.
      *
      * @return true for streams
      */
--- a/src/main/java/org/micabarrow/routing/Rest.java
+++ b/src/main/java/org/micabarrow/routing/Rest.java
@@ -2,8 +2,8 @@
 
 /**
  * The backoff that an endpoint has asked this process for, and the ramp-up after it. The ramp-up starts with one
- * request in flight and doubles the limit with each answer; without it all waiting requests would reach the endpoint at
- * once. Not thread-safe: confined to one thread.
+ * request in flight and doubles the limit with each response; without it all waiting requests would reach the endpoint
+ * at once. Not thread-safe: confined to one thread.
  */
 public final class Rest {
 
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Records that the endpoint answered a request.
+     * Records that the endpoint responded to a request.
      *
      * @param nowMillis the time on the monotonic clock
      */
--- a/src/main/java/org/micabarrow/routing/Route.java
+++ b/src/main/java/org/micabarrow/routing/Route.java
@@ -12,7 +12,7 @@
  * @param weightedServices the services among which requests are divided
  * @param kind what may be repeated
  * @param timeoutMillis the longest time for which a request may be held
- * @param objectiveMillis the time within which an answer has its full value
+ * @param objectiveMillis the time within which a response has its full value
  * @param priority its priority, 0 is the most urgent
  * @param maxAttempts the maximum number of endpoints to which one request may be sent
  * @param open whether requests need no key
--- a/src/main/java/org/micabarrow/routing/Wanted.java
+++ b/src/main/java/org/micabarrow/routing/Wanted.java
@@ -7,11 +7,11 @@
  * The properties of a request on which the selection of its endpoint depends.
  *
  * @param promptTokens the tokens of its prompt, 0 for plain services
- * @param objectiveMillis the time within which its answer should begin
+ * @param objectiveMillis the time within which its response should begin
  * @param millisToObjective the remainder of that time since its client's first attempt; 0 or less if it has passed
  * @param remainingMillis how long its client will still wait, in milliseconds
  * @param model the profile of the service's model, empty for plain services
- * @param minVersion the lowest weight version that may answer; 0 for any
+ * @param minVersion the lowest weight version that may respond; 0 for any
  * @param newestVersion the newest announced weight version; 0 if there is none
  * @param triedEndpoints the ids of the endpoints to which it was already sent, including those that have restarted
  *     since
--- a/src/test/java/org/micabarrow/admission/AdmissionTest.java
+++ b/src/test/java/org/micabarrow/admission/AdmissionTest.java
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void shouldWaitAsLongAsAnswerCanBeInTimeWhenNoSlotIsFree() {
+    void shouldWaitAsLongAsResponseCanBeInTimeWhenNoSlotIsFree() {
         requestsThere(4, 0);
         assertEquals(new Decision.Wait(SPARE, 1), decide(OBJECTIVE));
         assertEquals(new Decision.Wait(1, 1), decide(OBJECTIVE - SPARE + 1));
     }
 
     @Test
-    void shouldRefuseImmediatelyWhenAnswerCanNoLongerBeInTime() {
+    void shouldRefuseImmediatelyWhenResponseCanNoLongerBeInTime() {
         requestsThere(4, 0);
         assertEquals(new Decision.Full(1), decide(OBJECTIVE - SPARE));
         assertEquals(new Decision.Full(1), decide(-1_000));
--- a/src/test/java/org/micabarrow/crashes/CrashBookTest.java
+++ b/src/test/java/org/micabarrow/crashes/CrashBookTest.java
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void shouldClearOnlyUnansweredCrashesWhenPartOfAnswerArrived() {
+    void shouldClearOnlyUnansweredCrashesWhenPartOfResponseArrived() {
         crash("e1", 0, HARMFUL);
         crash("e2", 5_000, HARMFUL);
         assertEquals(2, book.cleared(HARMFUL, false));
--- a/src/test/java/org/micabarrow/crashes/CulpritsTest.java
+++ b/src/test/java/org/micabarrow/crashes/CulpritsTest.java
@@ -26,7 +26,7 @@
 
     /**
      * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters stand for requests
-     * whose answers had begun.
+     * whose responses had begun.
      */
     private static Culprits.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
@@ -56,8 +56,8 @@
         "another suspect in the first three crashes,     0:ax 9:ax 18:ax 27:a 36:a,           a",
         "two poison requests in turn,                    0:a 9:b 18:a 27:b 36:a 45:b,         ab",
         "a crash that a poison request explains,         0:a 9:a 18:a 27:ab 36:b 45:b,        a",
-        "answers had begun at three,                     0:A 9:A 18:A,                        ''",
-        "answers had begun at four,                      0:A 9:A 18:A 27:A,                   a",
+        "responses had begun at three,                   0:A 9:A 18:A,                        ''",
+        "responses had begun at four,                    0:A 9:A 18:A 27:A,                   a",
         "many other endpoints crash in the same second,  0:a 0:b 0:c 0:d 0:e 0:f 0:g 0:a 0:a, ''"
     })
     void shouldDetectPoisonRequests(String what, String crashes, String culprits) {
--- a/src/test/java/org/micabarrow/limits/EndpointLimitTest.java
+++ b/src/test/java/org/micabarrow/limits/EndpointLimitTest.java
@@ -130,14 +130,14 @@
     // -- observations
 
     @Test
-    void shouldLiftLimitWhenAnswerStatesNone() {
+    void shouldLiftLimitWhenResponseStatesNone() {
         name(1, now);
         assertTrue(answerWithout(now, now + 100));
         assertEquals(Optional.empty(), limit.limit());
     }
 
     @Test
-    void shouldKeepLimitWhenAnswerBelongsToEarlierRequest() {
+    void shouldKeepLimitWhenResponseBelongsToEarlierRequest() {
         name(1, now);
         assertFalse(answerWithout(now - 1, now + 100));
         assertTrue(limit.limit().isPresent());
--- a/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void shouldRequireNewestVersionWhenOlderOnesMayNotAnswer() {
+    void shouldRequireNewestVersionWhenOlderOnesMayNotRespond() {
         EndpointEntry old = endpoint("a", "h1", false, 1, 16);
         EndpointEntry renewed = endpoint("b", "h2", false, 2, 16);
         assertEquals("b", chosen(choice.choose(List.of(old, renewed), wanted(2, Set.of()), NOW)));
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void shouldUseEndpointThatAnswersWhenItsAgentIsUnresponsive() {
+    void shouldUseEndpointThatRespondsWhenItsAgentIsUnresponsive() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("a").heard(NOW - 50);
         choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
@@ -201,7 +201,7 @@
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         choice.load("a").notAnswered();
         assertFalse(choice.able(old, newer, NOW));
-        assertTrue(choice.able(old, wanted(0, Set.of()), NOW), "any version may answer");
+        assertTrue(choice.able(old, wanted(0, Set.of()), NOW), "any version may respond");
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         assertTrue(choice.able(old, newer, NOW));
     }
--- a/src/test/java/org/micabarrow/routing/RestsTest.java
+++ b/src/test/java/org/micabarrow/routing/RestsTest.java
@@ -35,10 +35,10 @@
     }
 
     @Test
-    void shouldDoubleLimitWithEachAnswerWhenBackoffHasEnded() {
+    void shouldDoubleLimitWithEachResponseWhenBackoffHasEnded() {
         rest.asked(3_000, 0);
         rest.answered(1_000);
-        assertFalse(rest.allows(1, 3_000), "an answer during the backoff does not raise the limit");
+        assertFalse(rest.allows(1, 3_000), "a response during the backoff does not raise the limit");
         for (int most = 1; most <= 32; most *= 2) {
             assertTrue(rest.allows(most - 1, 3_000));
             assertFalse(rest.allows(most, 3_000));
