--- a/src/main/java/org/micabarrow/limits/LimitNews.java
+++ b/src/main/java/org/micabarrow/limits/LimitNews.java
@@ -49,7 +49,8 @@
      */
     static void requireLimit(double perSecond) {
         if (!Double.isFinite(perSecond) || perSecond < 0) {
-            throw new IllegalArgumentException("rate limit of " + perSecond + " requests per second is negative or not finite");
+            throw new IllegalArgumentException(
+                    "rate limit of " + perSecond + " requests per second is negative or not finite");
         }
     }
 }
--- a/src/main/java/org/micabarrow/routing/EndpointChoice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointChoice.java
@@ -93,8 +93,8 @@
     public void keepOnly(Collection<EndpointEntry> present) {
         Set<EndpointStart> starts = present.stream().map(EndpointEntry::start).collect(Collectors.toSet());
         loads.entrySet()
-                .removeIf(
-                        entry -> !starts.contains(entry.getKey()) && entry.getValue().idle());
+                .removeIf(entry ->
+                        !starts.contains(entry.getKey()) && entry.getValue().idle());
     }
 
     // -- draining
--- a/src/test/java/org/micabarrow/admission/PlaceSharesTest.java
+++ b/src/test/java/org/micabarrow/admission/PlaceSharesTest.java
@@ -58,7 +58,8 @@
 
     /** A single free slot is allotted to one entry at a time, not to all of them at once. */
     @Property(tries = 200, seed = "7")
-    void shouldNotAllotOneSlotToAllWhenManyEntriesQuery(@ForAll @IntRange(min = 2, max = 20) int entries, @ForAll long seed) {
+    void shouldNotAllotOneSlotToAllWhenManyEntriesQuery(
+            @ForAll @IntRange(min = 2, max = 20) int entries, @ForAll long seed) {
         PlaceShares shares = seeded(seed);
         int all = 0;
         int rounds = 40;
--- a/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
@@ -27,7 +27,8 @@
         "IDEMPOTENT,       true,  2, 1000, false",
         "IDEMPOTENT,       false, 1, 10,   false"
     })
-    void shouldDecideByKindAndRemainingTime(RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
+    void shouldDecideByKindAndRemainingTime(
+            RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(sendings, mayHaveRun, left);
         assertEquals(again, AttemptPolicy.again(route(kind, 2), progress, () -> true));
     }
--- a/src/test/java/org/micabarrow/attempts/SendingsTest.java
+++ b/src/test/java/org/micabarrow/attempts/SendingsTest.java
@@ -59,7 +59,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"-, true", "query, true", "query query, false", "query query A, true", "query A query, true", "A query query, false"})
+    @CsvSource({
+        "-, true",
+        "query, true",
+        "query query, false",
+        "query query A, true",
+        "query A query, true",
+        "A query query, false"
+    })
     void shouldAllowTwoAgentQueriesBeforeOneAttempt(String events, boolean mayAsk) {
         play(events);
         assertEquals(mayAsk, sendings.ask());
--- a/src/test/java/org/micabarrow/limits/LimitRelayTest.java
+++ b/src/test/java/org/micabarrow/limits/LimitRelayTest.java
@@ -52,6 +52,8 @@
         assertTrue(relay.word(NOW).orElseThrow().isOf("a"));
         assertFalse(relay.word(NOW).orElseThrow().isOf("b"), "another endpoint at the same address");
         relay.reported(OptionalDouble.of(2), NOW + 1);
-        assertTrue(relay.word(NOW + 1).orElseThrow().isOf("b"), "a report concerns whichever endpoint is beside the agent");
+        assertTrue(
+                relay.word(NOW + 1).orElseThrow().isOf("b"),
+                "a report concerns whichever endpoint is beside the agent");
     }
 }
--- a/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
@@ -145,7 +145,8 @@
     void shouldNotUseUnresponsiveEndpointWhenOthersRespond() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
-        assertInstanceOf(Choice.None.class, choose(endpoint("a"), endpoint("b")), "b is loading weights, a is unresponsive");
+        assertInstanceOf(
+                Choice.None.class, choose(endpoint("a"), endpoint("b")), "b is loading weights, a is unresponsive");
     }
 
     @Test
@@ -161,7 +162,8 @@
         choice.load("a").failures().broke(NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
         choice.load("b").failures().broke(NOW);
-        assertInstanceOf(Choice.Send.class, choose(endpoint("a"), endpoint("b")), "all are ejected, so an ejected one is used");
+        assertInstanceOf(
+                Choice.Send.class, choose(endpoint("a"), endpoint("b")), "all are ejected, so an ejected one is used");
     }
 
     @Test
--- a/src/test/java/org/micabarrow/routing/EndpointStartTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointStartTest.java
@@ -27,6 +27,7 @@
     @Test
     void shouldMatchAnyTokenWhenStartTimeIsUnknown() {
         assertTrue(STARTED.mayBe(OptionalInt.empty()), "the report does not identify the start");
-        assertTrue(EndpointStart.untold("a").mayBe(OptionalInt.of(5)), "the registration does not state the start time");
+        assertTrue(
+                EndpointStart.untold("a").mayBe(OptionalInt.of(5)), "the registration does not state the start time");
     }
 }
