--- a/src/test/java/org/micabarrow/weights/ChunkSetTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSetTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.micabarrow.state.Digest;
 
-/** Which chunks an agent gives to those that ask it for any of some. */
+/** Which chunk an agent serves when another requests any one of several. */
 class ChunkSetTest {
 
     private static final int CHUNKS = 64;
@@ -21,7 +21,7 @@
         return new byte[] {(byte) index};
     }
 
-    private static ChunkSet whole() {
+    private static ChunkSet completeSet() {
         List<String> digests = IntStream.range(0, CHUNKS)
                 .mapToObj(index -> Digest.of(chunk(index)))
                 .toList();
@@ -30,37 +30,37 @@
         return set;
     }
 
-    private static BitSet upTo(int end) {
+    private static BitSet range(int end) {
         BitSet wanted = new BitSet();
         wanted.set(0, end);
         return wanted;
     }
 
     @Test
-    void shouldNotGiveTheSameChunkAsAllOthersWhenOneAsksManyAgents() {
-        Set<Integer> given = new HashSet<>();
+    void shouldServeDifferentChunksWhenManyAgentsGetSameRequest() {
+        Set<Integer> served = new HashSet<>();
         for (int agent = 0; agent < AGENTS; agent++) {
-            given.add(whole().give(upTo(CHUNKS)).orElseThrow());
+            served.add(completeSet().pickLeastServed(range(CHUNKS)).orElseThrow());
         }
-        assertTrue(given.size() > AGENTS / 4, "chunks " + given);
+        assertTrue(served.size() > AGENTS / 4, "chunks " + served);
     }
 
     @Test
-    void shouldGiveEachChunkOnceBeforeItGivesOneTwice() {
-        ChunkSet set = whole();
-        Set<Integer> given = new HashSet<>();
+    void shouldServeEachChunkOnceBeforeServingOneTwice() {
+        ChunkSet set = completeSet();
+        Set<Integer> served = new HashSet<>();
         for (int i = 0; i < CHUNKS; i++) {
-            given.add(set.give(upTo(CHUNKS)).orElseThrow());
+            served.add(set.pickLeastServed(range(CHUNKS)).orElseThrow());
         }
-        assertEquals(CHUNKS, given.size());
+        assertEquals(CHUNKS, served.size());
     }
 
     @Test
-    void shouldGiveNothingButWhatIsWanted() {
-        ChunkSet set = whole();
+    void shouldServeOnlyWantedChunks() {
+        ChunkSet set = completeSet();
         for (int i = 0; i < CHUNKS; i++) {
-            assertTrue(set.give(upTo(3)).orElseThrow() < 3);
+            assertTrue(set.pickLeastServed(range(3)).orElseThrow() < 3);
         }
-        assertTrue(set.give(new BitSet()).isEmpty());
+        assertTrue(set.pickLeastServed(new BitSet()).isEmpty());
     }
 }
