--- a/src/main/java/org/micabarrow/admission/Admission.java
+++ b/src/main/java/org/micabarrow/admission/AdmissionControl.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.RoutingRequest;
 
 /**
  * Decides whether a request is sent now, waits for a free slot while it can still meet its objective, or is refused.
  * Not thread-safe: confined to one thread.
  */
-public final class Admission {
+public final class AdmissionControl {
 
     /**
      * The fraction of its remaining time after which a refused client is told to retry. A request is refused when its
@@ -20,17 +20,17 @@
      * to pass: an endpoint that restarts, or a weight version that is being loaded, needs a second or two. Clients
      * respect up to a third.
      */
-    private static final double COME_BACK_PART = 0.3;
+    private static final double RETRY_AFTER_FRACTION = 0.3;
 
-    private final EndpointChoice choice;
+    private final EndpointSelector selector;
 
     /**
      * Creates the admission control of an entry.
      *
      * @param selector selects endpoints and knows their load
      */
-    public Admission(EndpointChoice choice) {
-        this.choice = Objects.requireNonNull(choice, "choice is null");
+    public AdmissionControl(EndpointSelector selector) {
+        this.selector = Objects.requireNonNull(selector, "selector is null");
     }
 
     /** What happens to a request. */
@@ -41,7 +41,7 @@
          *
          * @param selection the selected endpoint
          */
-        record Send(Choice.Send chosen) implements Decision {}
+        record Send(EndpointSelection.Selected selection) implements Decision {}
 
         /**
          * The request waits for a free slot.
@@ -64,7 +64,7 @@
          * @param endpoints the number of eligible endpoints
          * @param millis the time until the first backoff ends, in milliseconds
          */
-        record Resting(int endpoints, long millis) implements Decision {}
+        record BackingOff(int endpoints, long millis) implements Decision {}
 
         /**
          * The request is refused, because this entry has used up its quota share at all eligible endpoints.
@@ -73,7 +73,7 @@
          * @param millis the time until one of them may be sent another request, in milliseconds; empty if their rate
          *     limits are left entirely to other entries
          */
-        record Limited(int endpoints, OptionalLong millis) implements Decision {}
+        record RateLimited(int endpoints, OptionalLong millis) implements Decision {}
 
         /** The request is refused, because no endpoint can serve it. */
         record Unable() implements Decision {}
@@ -84,7 +84,7 @@
          * @param crashes the number of crashes attributed to it
          * @param forMillis how long it is refused, in milliseconds
          */
-        record Culprit(int crashes, long forMillis) implements Decision {}
+        record PoisonRequest(int crashes, long forMillis) implements Decision {}
     }
 
     /**
@@ -95,19 +95,23 @@
      * @param nowMillis the time on the monotonic clock
      * @return the decision
      */
-    public Decision decide(List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
-        return switch (choice.choose(endpoints, wanted, nowMillis)) {
-            case Choice.Send chosen -> new Decision.Send(chosen);
-            case Choice.None ignored -> new Decision.Unable();
-            case Choice.Full(int full) -> withoutRoom(full, wanted);
-            case Choice.Limited(int limited, OptionalLong millis) -> new Decision.Limited(limited, millis);
-            case Choice.Resting(int resting, long millis) -> whileAllRest(resting, millis, wanted);
+    public Decision decide(List<EndpointRegistration> endpoints, RoutingRequest request, long nowMillis) {
+        return switch (selector.select(endpoints, request, nowMillis)) {
+            case EndpointSelection.Selected selected -> new Decision.Send(selected);
+            case EndpointSelection.NoneEligible ignored -> new Decision.Unable();
+            case EndpointSelection.Full(int full) -> withoutFreeSlot(full, request);
+            case EndpointSelection.RateLimited(int limited, OptionalLong millis) ->
+                new Decision.RateLimited(limited, millis);
+            case EndpointSelection.BackingOff(int inBackoff, long millis) ->
+                whileAllBackOff(inBackoff, millis, request);
         };
     }
 
-    private Decision whileAllRest(int resting, long millis, Wanted wanted) {
-        long spare = choice.spareMillis(wanted);
-        return spare > millis ? new Decision.Wait(spare, resting) : new Decision.Resting(resting, millis);
+    private Decision whileAllBackOff(int inBackoff, long millis, RoutingRequest request) {
+        long maxWaitMillis = selector.maxSlotWaitMillis(request);
+        return maxWaitMillis > millis
+                ? new Decision.Wait(maxWaitMillis, inBackoff)
+                : new Decision.BackingOff(inBackoff, millis);
     }
 
     /**
@@ -117,9 +121,9 @@
      * @param request the request to send
      * @return a wait, or a refusal if the request can no longer meet its objective
      */
-    public Decision withoutRoom(int full, Wanted wanted) {
-        long spare = choice.spareMillis(wanted);
-        return spare > 0 ? new Decision.Wait(spare, full) : new Decision.Full(full);
+    public Decision withoutFreeSlot(int full, RoutingRequest request) {
+        long maxWaitMillis = selector.maxSlotWaitMillis(request);
+        return maxWaitMillis > 0 ? new Decision.Wait(maxWaitMillis, full) : new Decision.Full(full);
     }
 
     /**
@@ -128,7 +132,7 @@
      * @param remainingMillis how long the client will still wait, in milliseconds
      * @return milliseconds from now, at least 1
      */
-    public static long comeBackMillis(long millisLeft) {
-        return Math.max(1, Math.round(millisLeft * COME_BACK_PART));
+    public static long retryAfterMillis(long remainingMillis) {
+        return Math.max(1, Math.round(remainingMillis * RETRY_AFTER_FRACTION));
     }
 }
--- a/src/main/java/org/micabarrow/admission/FirstTries.java
+++ b/src/main/java/org/micabarrow/admission/FirstAttemptEstimator.java
@@ -12,41 +12,41 @@
  * client is told to wait, and only while the retry of a client refused here may still arrive. Not thread-safe: confined
  * to one thread.
  */
-public final class FirstTries {
+public final class FirstAttemptEstimator {
 
     /** Number of a route's recent requests that are kept as samples. */
-    private static final int REMEMBERED = 64;
+    private static final int SAMPLE_COUNT = 64;
 
     /**
      * The quantile of the sampled times that is taken as the time of a first attempt. Up to this fraction of the
      * requests may be retries, and up to the rest may claim longer times than others, without first attempts being
      * misjudged.
      */
-    private static final double SHORTER_PART = 0.75;
+    private static final double FIRST_ATTEMPT_QUANTILE = 0.75;
 
     /** Time that a retrying client may need for its new connection, in milliseconds. */
     private static final long CONNECT_MILLIS = 1_000;
 
-    private final Map<String, Recent> routes = new HashMap<>();
+    private final Map<String, RouteSamples> samplesByRoute = new HashMap<>();
 
     /** The times that a route's clients stated recently, and the time until which retries are expected. */
-    private static final class Recent {
+    private static final class RouteSamples {
 
         /** Ring buffer of the last times stated. */
-        private final long[] millis = new long[REMEMBERED];
+        private final long[] samples = new long[SAMPLE_COUNT];
 
         private long count;
-        private long returnsUntilMillis = Long.MIN_VALUE;
+        private long retriesUntilMillis = Long.MIN_VALUE;
 
-        private void add(long given) {
-            millis[(int) (count % REMEMBERED)] = given;
+        private void add(long statedMillis) {
+            samples[(int) (count % SAMPLE_COUNT)] = statedMillis;
             count++;
         }
 
-        private long usual() {
-            long[] sorted = Arrays.copyOf(millis, (int) Math.min(count, REMEMBERED));
+        private long usualMillis() {
+            long[] sorted = Arrays.copyOf(samples, (int) Math.min(count, SAMPLE_COUNT));
             Arrays.sort(sorted);
-            return sorted[(int) (SHORTER_PART * (sorted.length - 1))];
+            return sorted[(int) (FIRST_ATTEMPT_QUANTILE * (sorted.length - 1))];
         }
     }
 
@@ -58,10 +58,10 @@
      * @param retryAfterMillis the delay that it was told, in milliseconds from now
      * @param nowMillis the time on the monotonic clock
      */
-    public void refused(Route route, long comeBackMillis, long nowMillis) {
-        Recent recent = recent(route.name());
-        long awaitedMillis = Math.min(comeBackMillis, route.timeoutMillis()) + CONNECT_MILLIS;
-        recent.returnsUntilMillis = Math.max(recent.returnsUntilMillis, nowMillis + awaitedMillis);
+    public void refused(Route route, long retryAfterMillis, long nowMillis) {
+        RouteSamples samples = samplesOf(route.name());
+        long expectedMillis = Math.min(retryAfterMillis, route.timeoutMillis()) + CONNECT_MILLIS;
+        samples.retriesUntilMillis = Math.max(samples.retriesUntilMillis, nowMillis + expectedMillis);
     }
 
     /**
@@ -72,18 +72,18 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds since the first attempt; 0 for a first attempt
      */
-    public long millisSince(String route, long millisGiven, long nowMillis) {
-        Recent recent = recent(route);
-        recent.add(millisGiven);
-        if (nowMillis > recent.returnsUntilMillis) {
+    public long millisSinceFirstAttempt(String route, long statedMillis, long nowMillis) {
+        RouteSamples samples = samplesOf(route);
+        samples.add(statedMillis);
+        if (nowMillis > samples.retriesUntilMillis) {
             return 0;
         }
-        long usual = recent.usual();
-        long lacking = usual - millisGiven;
-        return lacking >= Admission.comeBackMillis(usual) / 2 ? lacking : 0;
+        long usualMillis = samples.usualMillis();
+        long missingMillis = usualMillis - statedMillis;
+        return missingMillis >= AdmissionControl.retryAfterMillis(usualMillis) / 2 ? missingMillis : 0;
     }
 
-    private Recent recent(String route) {
-        return routes.computeIfAbsent(route, name -> new Recent());
+    private RouteSamples samplesOf(String route) {
+        return samplesByRoute.computeIfAbsent(route, name -> new RouteSamples());
     }
 }
--- a/src/main/java/org/micabarrow/admission/TakenRoom.java
+++ b/src/main/java/org/micabarrow/admission/OccupiedSlot.java
@@ -8,11 +8,11 @@
  * response begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the
  * wait queue. Not thread-safe: confined to one thread.
  */
-public final class TakenRoom {
+public final class OccupiedSlot {
 
     private final EndpointLoad load;
     private final int promptTokens;
-    private final Runnable roomMayBe;
+    private final Runnable onCapacityFreed;
     private boolean promptRead;
 
     /**
@@ -22,11 +22,11 @@
      * @param promptTokens the tokens of the request's prompt
      * @param onCapacityFreed run whenever capacity has been freed
      */
-    public TakenRoom(EndpointLoad load, int promptTokens, Runnable roomMayBe) {
+    public OccupiedSlot(EndpointLoad load, int promptTokens, Runnable onCapacityFreed) {
         this.load = Objects.requireNonNull(load, "load is null");
         this.promptTokens = promptTokens;
-        this.roomMayBe = Objects.requireNonNull(roomMayBe, "roomMayBe is null");
-        load.began(promptTokens);
+        this.onCapacityFreed = Objects.requireNonNull(onCapacityFreed, "onCapacityFreed is null");
+        load.requestSent(promptTokens);
     }
 
     /** Records that the endpoint has processed the prompt. Idempotent. */
@@ -34,7 +34,7 @@
         if (!promptRead) {
             promptRead = true;
             load.promptRead(promptTokens);
-            roomMayBe.run();
+            onCapacityFreed.run();
         }
     }
 
@@ -43,14 +43,14 @@
      *
      * @return true once its prompt is processed or the slot is released
      */
-    public boolean begun() {
+    public boolean started() {
         return promptRead;
     }
 
     /** Releases the slot at the end of the attempt. Must be called once. */
-    public void free() {
+    public void release() {
         promptRead();
-        load.ended();
-        roomMayBe.run();
+        load.requestEnded();
+        onCapacityFreed.run();
     }
 }
--- a/src/main/java/org/micabarrow/admission/PlaceShares.java
+++ b/src/main/java/org/micabarrow/admission/SlotAllotment.java
@@ -11,25 +11,25 @@
  * entries would be sent for one slot, and all but one would wait inside the endpoint. Not thread-safe: confined to one
  * thread.
  */
-public final class PlaceShares {
+public final class SlotAllotment {
 
     /**
      * Time after its last query for which an entry is counted, in milliseconds: somewhat more than the longest interval
      * between queries.
      */
-    private static final long COUNTED_MILLIS = 1_000;
+    private static final long QUERY_EXPIRY_MILLIS = 1_000;
 
     /** Weight of an entry that refused nothing: it may get a burst before its next query. */
-    private static final int LEAST_WEIGHT = 1;
+    private static final int MIN_WEIGHT = 1;
 
     /**
      * The largest fraction of an endpoint's slots that is allotted at once. An endpoint that accepts requests again
      * after loading a version is empty, and the prompts of sixteen requests that arrive together delay each other. A
      * smaller fraction leaves slots unused.
      */
-    private static final double DEALT_AT_ONCE = 0.375;
+    private static final double MAX_ALLOTTED_FRACTION = 0.375;
 
-    private final Map<String, Asker> askers = new HashMap<>();
+    private final Map<String, QueryingEntry> queryingEntries = new HashMap<>();
     private final RandomGenerator random;
 
     /**
@@ -39,14 +39,14 @@
      * @param carry the fraction of a slot that it has not been given yet
      * @param queriedAtMillis the time of its last query
      */
-    private record Asker(int weight, double owed, long atMillis) {}
+    private record QueryingEntry(int weight, double carry, long queriedAtMillis) {}
 
     /**
      * Creates an allotment without entries.
      *
      * @param random staggers the allotment of single slots among entries
      */
-    public PlaceShares(RandomGenerator random) {
+    public SlotAllotment(RandomGenerator random) {
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
@@ -57,9 +57,9 @@
      * @param requests the number of requests at the endpoint, its queue included
      * @return the free slots, limited to the number that may be allotted at once
      */
-    public static int dealable(int slots, int requests) {
-        int atOnce = (int) Math.ceil(slots * DEALT_AT_ONCE);
-        return Math.clamp((long) slots - requests, 0, atOnce);
+    public static int allottable(int slots, int requests) {
+        int maxAllotted = (int) Math.ceil(slots * MAX_ALLOTTED_FRACTION);
+        return Math.clamp((long) slots - requests, 0, maxAllotted);
     }
 
     /**
@@ -72,18 +72,18 @@
      * @param nowMillis the time on the monotonic clock
      * @return the number of slots that it may use until its next query
      */
-    public int deal(String entry, int unmet, int free, long nowMillis) {
-        askers.values().removeIf(one -> nowMillis - one.atMillis() > COUNTED_MILLIS);
-        int weight = unmet + LEAST_WEIGHT;
-        Asker asker = askers.remove(entry);
-        double before = asker == null ? random.nextDouble() : asker.owed();
-        long all = weight;
-        for (Asker other : askers.values()) {
-            all += other.weight();
+    public int allot(String entry, int unmet, int freeSlots, long nowMillis) {
+        queryingEntries.values().removeIf(other -> nowMillis - other.queriedAtMillis() > QUERY_EXPIRY_MILLIS);
+        int weight = unmet + MIN_WEIGHT;
+        QueryingEntry known = queryingEntries.remove(entry);
+        double carried = known == null ? random.nextDouble() : known.carry();
+        long totalWeight = weight;
+        for (QueryingEntry other : queryingEntries.values()) {
+            totalWeight += other.weight();
         }
-        double owed = before + (double) Math.max(0, free) * weight / all;
-        int places = (int) owed;
-        askers.put(entry, new Asker(weight, owed - places, nowMillis));
-        return places;
+        double due = carried + (double) Math.max(0, freeSlots) * weight / totalWeight;
+        int slots = (int) due;
+        queryingEntries.put(entry, new QueryingEntry(weight, due - slots, nowMillis));
+        return slots;
     }
 }
--- a/src/main/java/org/micabarrow/admission/RoomWait.java
+++ b/src/main/java/org/micabarrow/admission/SlotWait.java
@@ -2,23 +2,23 @@
 
 import java.util.Objects;
 import java.util.Optional;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
+import org.micabarrow.admission.WaitQueue.Waiter;
 
 /**
  * The wait of a request for a free slot. It ends when a later decision sends or refuses the request, when its time
  * expires, or when the request ends for another reason. Not thread-safe: confined to one thread.
  */
-public final class RoomWait implements Waiter {
+public final class SlotWait implements Waiter {
 
-    private final Line line;
+    private final Queue queue;
     private final Request request;
-    private Optional<Place> place = Optional.empty();
-    private String why = "";
+    private Optional<QueuedRequest> queued = Optional.empty();
+    private String attemptReason = "";
 
     /** The queue in which the request waits. */
-    public interface Line {
+    public interface Queue {
 
         /**
          * Adds the request to the queue.
@@ -28,14 +28,14 @@
          * @param waiter notified when there may be a free slot
          * @return the queued request
          */
-        Place join(int rank, long latestStartMillis, Waiter waiter);
+        QueuedRequest enqueue(int priority, long latestStartMillis, Waiter waiter);
 
         /**
          * Removes the request from the queue.
          *
          * @param queued the queued request
          */
-        void leave(Place place);
+        void remove(QueuedRequest queued);
     }
 
     /** The request that waits. */
@@ -54,10 +54,10 @@
          * @param decision the decision
          * @param reason the reason for sending the request, as given when the wait began
          */
-        void decided(Decision decision, String why);
+        void decided(Decision decision, String reason);
 
         /** Called when the wait ends because the request can no longer meet its objective. */
-        void outOfTime();
+        void expired();
     }
 
     /**
@@ -66,8 +66,8 @@
      * @param queue the queue to wait in
      * @param request the request that waits
      */
-    public RoomWait(Line line, Request request) {
-        this.line = Objects.requireNonNull(line, "line is null");
+    public SlotWait(Queue queue, Request request) {
+        this.queue = Objects.requireNonNull(queue, "queue is null");
         this.request = Objects.requireNonNull(request, "request is null");
     }
 
@@ -78,9 +78,9 @@
      * @param latestStartMillis the last time at which sending it could still meet its objective
      * @param reason the reason for sending it
      */
-    public void begin(int rank, long latestStartMillis, String reason) {
-        why = reason;
-        place = Optional.of(line.join(rank, latestStartMillis, this));
+    public void begin(int priority, long latestStartMillis, String reason) {
+        attemptReason = reason;
+        queued = Optional.of(queue.enqueue(priority, latestStartMillis, this));
     }
 
     /**
@@ -88,8 +88,8 @@
      *
      * @return true from the beginning of a wait to its end
      */
-    public boolean waits() {
-        return place.isPresent();
+    public boolean isWaiting() {
+        return queued.isPresent();
     }
 
     @Override
@@ -98,20 +98,20 @@
         if (decision instanceof Decision.Wait) {
             return false;
         }
-        place = Optional.empty();
-        request.decided(decision, why);
+        queued = Optional.empty();
+        request.decided(decision, attemptReason);
         return true;
     }
 
     @Override
-    public void tooLate() {
-        place = Optional.empty();
-        request.outOfTime();
+    public void expired() {
+        queued = Optional.empty();
+        request.expired();
     }
 
     /** Ends the wait, if there is one, because the request has ended. */
     public void end() {
-        place.ifPresent(line::leave);
-        place = Optional.empty();
+        queued.ifPresent(queue::remove);
+        queued = Optional.empty();
     }
 }
--- a/src/main/java/org/micabarrow/admission/WaitingLine.java
+++ b/src/main/java/org/micabarrow/admission/WaitQueue.java
@@ -10,21 +10,21 @@
  * many times a second, so at full load a short wait saves a request from being refused, while a request that can no
  * longer be in time leaves at once instead of taking the slot of one that can. Not thread-safe: confined to one thread.
  */
-public final class WaitingLine {
+public final class WaitQueue {
 
     /**
      * Number of requests that may fail to start in one pass, before the rest are left for the next pass. Usually all of
      * them lack the same thing, but a short prompt may find capacity where a long one does not.
      */
-    private static final int TRIED_IN_VAIN = 4;
+    private static final int MAX_FAILED_STARTS = 4;
 
     /** Ordered by priority, then by the time until which the request can be started. */
-    private final TreeSet<Place> places = new TreeSet<>(Comparator.comparingInt(Place::rank)
-            .thenComparingLong(Place::latestStartMillis)
-            .thenComparingLong(Place::sequence));
+    private final TreeSet<QueuedRequest> queue = new TreeSet<>(Comparator.comparingInt(QueuedRequest::priority)
+            .thenComparingLong(QueuedRequest::latestStartMillis)
+            .thenComparingLong(QueuedRequest::sequence));
 
     private long sequence;
-    private boolean serving;
+    private boolean dispatching;
 
     /** A request that waits. */
     public interface Waiter {
@@ -37,7 +37,7 @@
         boolean tryStart();
 
         /** Called after the request was removed from the queue because it can no longer meet its objective. */
-        void tooLate();
+        void expired();
     }
 
     /**
@@ -48,7 +48,7 @@
      * @param sequence preserves the order of arrival among equals
      * @param waiter the request
      */
-    public record Place(int rank, long latestStartMillis, long sequence, Waiter waiter) {}
+    public record QueuedRequest(int priority, long latestStartMillis, long sequence, Waiter waiter) {}
 
     /**
      * Adds a request.
@@ -58,10 +58,11 @@
      * @param waiter the request
      * @return the queued request, by which it can be removed
      */
-    public Place join(int rank, long latestStartMillis, Waiter waiter) {
-        Place place = new Place(rank, latestStartMillis, sequence++, Objects.requireNonNull(waiter, "waiter is null"));
-        places.add(place);
-        return place;
+    public QueuedRequest enqueue(int priority, long latestStartMillis, Waiter waiter) {
+        QueuedRequest queued = new QueuedRequest(
+                priority, latestStartMillis, sequence++, Objects.requireNonNull(waiter, "waiter is null"));
+        queue.add(queued);
+        return queued;
     }
 
     /**
@@ -69,8 +70,8 @@
      *
      * @param queued the queued request
      */
-    public void leave(Place place) {
-        places.remove(place);
+    public void remove(QueuedRequest queued) {
+        queue.remove(queued);
     }
 
     /**
@@ -79,38 +80,38 @@
      * @return the size of the queue
      */
     public int size() {
-        return places.size();
+        return queue.size();
     }
 
     /**
      * Starts the requests that find capacity, in order. Called when a slot may have become free; a reentrant call does
      * nothing.
      */
-    public void serve() {
-        if (serving || places.isEmpty()) {
+    public void dispatch() {
+        if (dispatching || queue.isEmpty()) {
             return;
         }
-        serving = true;
+        dispatching = true;
         try {
-            serveInOrder();
+            dispatchInOrder();
         } finally {
-            serving = false;
+            dispatching = false;
         }
     }
 
-    private void serveInOrder() {
-        int inVain = 0;
-        for (Place place : List.copyOf(places)) {
-            if (inVain == TRIED_IN_VAIN) {
+    private void dispatchInOrder() {
+        int failedStarts = 0;
+        for (QueuedRequest queued : List.copyOf(queue)) {
+            if (failedStarts == MAX_FAILED_STARTS) {
                 return;
             }
-            if (!places.contains(place)) {
+            if (!queue.contains(queued)) {
                 continue;
             }
-            if (place.waiter().tryStart()) {
-                places.remove(place);
+            if (queued.waiter().tryStart()) {
+                queue.remove(queued);
             } else {
-                inVain++;
+                failedStarts++;
             }
         }
     }
@@ -121,12 +122,12 @@
      * @param nowMillis the time on the monotonic clock
      */
     public void expire(long nowMillis) {
-        List<Place> over = places.stream()
-                .filter(place -> place.latestStartMillis() < nowMillis)
+        List<QueuedRequest> expired = queue.stream()
+                .filter(queued -> queued.latestStartMillis() < nowMillis)
                 .toList();
-        over.forEach(place -> {
-            if (places.remove(place)) {
-                place.waiter().tooLate();
+        expired.forEach(queued -> {
+            if (queue.remove(queued)) {
+                queued.waiter().expired();
             }
         });
     }
--- a/src/main/java/org/micabarrow/attempts/Sendings.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptHistory.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /** The attempts of one request so far. Not thread-safe: confined to one thread. */
-public final class Sendings {
+public final class AttemptHistory {
 
     /** Maximum number of agent queries before one attempt: each may take a fraction of the objective. */
-    private static final int MOST_QUESTIONS = 2;
+    private static final int MAX_AGENT_QUERIES = 2;
 
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedEndpoints = new HashSet<>();
     private int count;
-    private int asked;
-    private boolean cameLate;
+    private int agentQueries;
+    private boolean connectedLate;
     private boolean mayHaveRun;
 
     /**
@@ -23,8 +23,8 @@
      *
      * @return an unmodifiable view
      */
-    public Set<String> tried() {
-        return Collections.unmodifiableSet(tried);
+    public Set<String> triedEndpoints() {
+        return Collections.unmodifiableSet(triedEndpoints);
     }
 
     /**
@@ -50,8 +50,8 @@
      *
      * @return true from the first such connection on
      */
-    public boolean cameLate() {
-        return cameLate;
+    public boolean connectedLate() {
+        return connectedLate;
     }
 
     // -- events
@@ -61,11 +61,11 @@
      *
      * @return false if the maximum number of queries since the last attempt has been reached
      */
-    public boolean ask() {
-        if (asked == MOST_QUESTIONS) {
+    public boolean countAgentQuery() {
+        if (agentQueries == MAX_AGENT_QUERIES) {
             return false;
         }
-        asked++;
+        agentQueries++;
         return true;
     }
 
@@ -75,13 +75,13 @@
      * @param endpoint the endpoint's id
      */
     public void sent(String endpoint) {
-        asked = 0;
-        tried.add(Objects.requireNonNull(endpoint, "endpoint is null"));
+        agentQueries = 0;
+        triedEndpoints.add(Objects.requireNonNull(endpoint, "endpoint is null"));
         count++;
     }
 
     /** Records that no byte of the last attempt was sent, so that it does not count. */
-    public void withheld() {
+    public void notSent() {
         count--;
     }
 
@@ -90,9 +90,9 @@
      *
      * @param endpoint the endpoint's id
      */
-    public void cameLateAt(String endpoint) {
-        cameLate = true;
-        tried.remove(endpoint);
+    public void connectionLate(String endpoint) {
+        connectedLate = true;
+        triedEndpoints.remove(endpoint);
     }
 
     /**
@@ -100,8 +100,8 @@
      *
      * @param outcome how it ended
      */
-    public void ended(AttemptEnd end) {
-        mayHaveRun |= !end.surelyNotRun();
+    public void ended(AttemptOutcome outcome) {
+        mayHaveRun |= !outcome.certainlyNotRun();
     }
 
     // -- progress
@@ -112,8 +112,8 @@
      * @param remainingMillis the remaining time in milliseconds
      * @return the state so far
      */
-    public AttemptPolicy.Progress progress(long millisLeft) {
-        return new AttemptPolicy.Progress(count, mayHaveRun, millisLeft);
+    public AttemptPolicy.Progress progress(long remainingMillis) {
+        return new AttemptPolicy.Progress(count, mayHaveRun, remainingMillis);
     }
 
     /**
@@ -122,7 +122,7 @@
      * @param remainingMillis the remaining time in milliseconds
      * @return the assumed state
      */
-    public AttemptPolicy.Progress progressIfRun(long millisLeft) {
-        return new AttemptPolicy.Progress(count, true, millisLeft);
+    public AttemptPolicy.Progress progressIfRun(long remainingMillis) {
+        return new AttemptPolicy.Progress(count, true, remainingMillis);
     }
 }
--- a/src/main/java/org/micabarrow/attempts/AttemptEnd.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package org.micabarrow.attempts;
 
 /** How an attempt ended that gave no response to pass on. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
     /** No byte was sent, or the endpoint stated that it did not run the request. */
     NOT_RUN,
     /**
@@ -19,7 +19,7 @@
      *
      * @return true if it may be sent again, whatever its kind
      */
-    public boolean surelyNotRun() {
+    public boolean certainlyNotRun() {
         return this == NOT_RUN || this == MISDIRECTED;
     }
 }
--- a/src/main/java/org/micabarrow/attempts/AttemptPolicy.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptPolicy.java
@@ -17,7 +17,7 @@
      * The shortest remaining time in which another endpoint could still respond, in milliseconds: a round trip to
      * another region and a short piece of work.
      */
-    public static final long LEAST_MILLIS_LEFT = 50;
+    public static final long MIN_REMAINING_MILLIS = 50;
 
     private AttemptPolicy() {}
 
@@ -28,7 +28,7 @@
      * @param mayHaveRun whether one of the endpoints may have run it
      * @param remainingMillis the remaining time in milliseconds
      */
-    public record Progress(int sendings, boolean mayHaveRun, long millisLeft) {}
+    public record Progress(int attempts, boolean mayHaveRun, long remainingMillis) {}
 
     /**
      * Returns whether the next part of a response is so late that another endpoint may be used, although nothing else
@@ -38,8 +38,8 @@
      * @param waitedMillis the time since the request or the last part of its response was sent, in milliseconds
      * @return false for requests that may run only once
      */
-    public static boolean overdue(Route route, long awaitedMillis) {
-        return route.kind().repeatable() && awaitedMillis > OVERDUE_OBJECTIVES * route.objectiveMillis();
+    public static boolean overdue(Route route, long waitedMillis) {
+        return route.kind().repeatable() && waitedMillis > OVERDUE_OBJECTIVES * route.objectiveMillis();
     }
 
     /**
@@ -50,12 +50,12 @@
      * @param budget takes one repetition out of the process's budget, if there is one left
      * @return true if the request is to be sent again
      */
-    public static boolean again(Route route, Progress progress, BooleanSupplier budget) {
+    public static boolean allowsAnotherAttempt(Route route, Progress progress, BooleanSupplier budget) {
         RequestKind kind = route.kind();
         if (progress.mayHaveRun() && !kind.repeatable()) {
             return false;
         }
-        if (progress.sendings() >= route.maxAttempts() || progress.millisLeft() < LEAST_MILLIS_LEFT) {
+        if (progress.attempts() >= route.maxAttempts() || progress.remainingMillis() < MIN_REMAINING_MILLIS) {
             return false;
         }
         return budget.getAsBoolean();
--- a/src/main/java/org/micabarrow/attempts/EventSplitter.java
+++ b/src/main/java/org/micabarrow/attempts/EventSplitter.java
@@ -10,9 +10,9 @@
  */
 public final class EventSplitter {
 
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private Optional<String> lastId = Optional.empty();
 
     /**
@@ -21,37 +21,37 @@
      * @param data the bytes
      * @return the events that are now complete, possibly none
      */
-    public byte[] whole(byte[] data) {
-        rest.writeBytes(data);
-        byte[] all = rest.toByteArray();
-        int end = endOfLastEvent(all);
+    public byte[] append(byte[] data) {
+        pending.writeBytes(data);
+        byte[] buffered = pending.toByteArray();
+        int end = endOfLastEvent(buffered);
         if (end == 0) {
             return new byte[0];
         }
-        rest.reset();
-        rest.write(all, end, all.length - end);
+        pending.reset();
+        pending.write(buffered, end, buffered.length - end);
         byte[] events = new byte[end];
-        System.arraycopy(all, 0, events, 0, end);
-        noteIds(events);
+        System.arraycopy(buffered, 0, events, 0, end);
+        recordIds(events);
         return events;
     }
 
-    private static int endOfLastEvent(byte[] all) {
-        for (int i = all.length - 1; i > 0; i--) {
-            if (all[i] != '\n') {
+    private static int endOfLastEvent(byte[] buffered) {
+        for (int i = buffered.length - 1; i > 0; i--) {
+            if (buffered[i] != '\n') {
                 continue;
             }
-            if (all[i - 1] == '\n' || (i > 1 && all[i - 1] == '\r' && all[i - 2] == '\n')) {
+            if (buffered[i - 1] == '\n' || (i > 1 && buffered[i - 1] == '\r' && buffered[i - 2] == '\n')) {
                 return i + 1;
             }
         }
         return 0;
     }
 
-    private void noteIds(byte[] events) {
+    private void recordIds(byte[] events) {
         for (String line : new String(events, StandardCharsets.UTF_8).split("\r?\n")) {
-            if (line.startsWith(ID)) {
-                lastId = Optional.of(line.substring(ID.length()).trim());
+            if (line.startsWith(ID_FIELD)) {
+                lastId = Optional.of(line.substring(ID_FIELD.length()).trim());
             }
         }
     }
@@ -62,12 +62,12 @@
      * @return the bytes, possibly none
      */
     public byte[] remainder() {
-        return rest.toByteArray();
+        return pending.toByteArray();
     }
 
     /** Discards the bytes of an event that will not be completed because its connection broke. */
-    public void dropRemainder() {
-        rest.reset();
+    public void discardRemainder() {
+        pending.reset();
     }
 
     /**
--- a/src/main/java/org/micabarrow/attempts/RequestTimes.java
+++ b/src/main/java/org/micabarrow/attempts/RequestTimes.java
@@ -12,7 +12,11 @@
  * @param sinceFirstAttemptMillis the time between its client's first attempt and its arrival
  */
 public record RequestTimes(
-        long beganMillis, long deadlineMillis, long timeoutMillis, long objectiveMillis, long sinceFirstTryMillis) {
+        long arrivedMillis,
+        long deadlineMillis,
+        long timeoutMillis,
+        long objectiveMillis,
+        long sinceFirstAttemptMillis) {
 
     /**
      * Returns the times of a request that arrives now.
@@ -22,14 +26,14 @@
      * @param sinceFirstAttemptMillis the time since its client's first attempt
      * @return its times
      */
-    public static RequestTimes of(ClientRequest request, long nowMillis, long sinceFirstTryMillis) {
+    public static RequestTimes of(ClientRequest request, long nowMillis, long sinceFirstAttemptMillis) {
         Objects.requireNonNull(request, "request is null");
         return new RequestTimes(
                 nowMillis,
                 request.deadlineMillis(),
                 request.route().timeoutMillis(),
                 request.route().objectiveMillis(),
-                sinceFirstTryMillis);
+                sinceFirstAttemptMillis);
     }
 
     /**
@@ -37,8 +41,8 @@
      *
      * @return milliseconds from its arrival, at least 1
      */
-    public long heldMillis() {
-        return Math.max(1, leftMillis(beganMillis));
+    public long maxHoldMillis() {
+        return Math.max(1, remainingMillis(arrivedMillis));
     }
 
     /**
@@ -47,8 +51,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds since its arrival
      */
-    public long takenMillis(long nowMillis) {
-        return nowMillis - beganMillis;
+    public long elapsedMillis(long nowMillis) {
+        return nowMillis - arrivedMillis;
     }
 
     /**
@@ -57,8 +61,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds from now; 0 or less once that time has passed
      */
-    public long leftMillis(long nowMillis) {
-        return Math.min(deadlineMillis - nowMillis, beganMillis + timeoutMillis - nowMillis);
+    public long remainingMillis(long nowMillis) {
+        return Math.min(deadlineMillis - nowMillis, arrivedMillis + timeoutMillis - nowMillis);
     }
 
     /**
@@ -69,7 +73,7 @@
      * @param responseBegun whether the client has received part of a response
      * @return milliseconds from now; 0 or less once a response can no longer be in time
      */
-    public long toObjectiveMillis(long nowMillis, boolean answerBegun) {
-        return answerBegun ? objectiveMillis : objectiveMillis - sinceFirstTryMillis - takenMillis(nowMillis);
+    public long untilObjectiveMillis(long nowMillis, boolean responseBegun) {
+        return responseBegun ? objectiveMillis : objectiveMillis - sinceFirstAttemptMillis - elapsedMillis(nowMillis);
     }
 }
--- a/src/main/java/org/micabarrow/bench/DigestBench.java
+++ b/src/main/java/org/micabarrow/bench/DigestBench.java
@@ -90,7 +90,7 @@
                 "route",
                 "h.example",
                 "/stream/",
-                List.of(new Route.Share("models", 1)),
+                List.of(new Route.WeightedService("models", 1)),
                 RequestKind.STREAM,
                 6_000,
                 500,
--- a/src/main/java/org/micabarrow/crashes/EndpointCrash.java
+++ b/src/main/java/org/micabarrow/crashes/EndpointCrash.java
@@ -11,13 +11,13 @@
  * @param unanswered the requests of whose responses nothing had arrived
  * @param partlyAnswered the requests of whose responses a part had arrived: the endpoint had survived their start
  */
-public record EndpointCrash(String endpoint, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
+public record EndpointCrash(String endpoint, Set<RequestDigest> unanswered, Set<RequestDigest> partlyAnswered) {
 
     /** Copies the requests. */
     public EndpointCrash {
         Objects.requireNonNull(endpoint, "endpoint is null");
-        aboard = Set.copyOf(aboard);
-        begun = Set.copyOf(begun);
+        unanswered = Set.copyOf(unanswered);
+        partlyAnswered = Set.copyOf(partlyAnswered);
     }
 
     /**
@@ -28,10 +28,11 @@
      * @param partlyAnswered those of whose responses a part had arrived
      * @return the crash
      */
-    public static EndpointCrash of(EndpointStart start, Set<RequestDigest> aboard, Set<RequestDigest> begun) {
+    public static EndpointCrash of(
+            EndpointStart start, Set<RequestDigest> unanswered, Set<RequestDigest> partlyAnswered) {
         Objects.requireNonNull(start, "start is null");
-        String began =
+        String startSuffix =
                 start.startedMillis().isPresent() ? "@" + start.startedMillis().getAsLong() : "";
-        return new EndpointCrash(start.id() + began, aboard, begun);
+        return new EndpointCrash(start.id() + startSuffix, unanswered, partlyAnswered);
     }
 }
--- a/src/main/java/org/micabarrow/crashes/LazyDigest.java
+++ b/src/main/java/org/micabarrow/crashes/LazyDigest.java
@@ -19,7 +19,7 @@
      * @return its digest
      */
     public static LazyDigest of(ClientRequest request) {
-        return new Unknown(Objects.requireNonNull(request, "request is null"));
+        return new Deferred(Objects.requireNonNull(request, "request is null"));
     }
 
     /**
@@ -29,7 +29,7 @@
      * @return the wrapped digest
      */
     public static LazyDigest of(RequestDigest digest) {
-        return new Known(Objects.requireNonNull(digest, "digest is null"));
+        return new Computed(Objects.requireNonNull(digest, "digest is null"));
     }
 
     /**
@@ -46,11 +46,11 @@
      */
     public abstract RequestDigest get();
 
-    private static final class Known extends LazyDigest {
+    private static final class Computed extends LazyDigest {
 
         private final RequestDigest digest;
 
-        private Known(RequestDigest digest) {
+        private Computed(RequestDigest digest) {
             this.digest = digest;
         }
 
@@ -65,13 +65,13 @@
         }
     }
 
-    private static final class Unknown extends LazyDigest {
+    private static final class Deferred extends LazyDigest {
 
         private final ClientRequest request;
         private Optional<Integer> quick = Optional.empty();
-        private Optional<RequestDigest> whole = Optional.empty();
+        private Optional<RequestDigest> full = Optional.empty();
 
-        private Unknown(ClientRequest request) {
+        private Deferred(ClientRequest request) {
             this.request = request;
         }
 
@@ -85,10 +85,10 @@
 
         @Override
         public RequestDigest get() {
-            if (whole.isEmpty()) {
-                whole = Optional.of(RequestDigest.of(request));
+            if (full.isEmpty()) {
+                full = Optional.of(RequestDigest.of(request));
             }
-            return whole.get();
+            return full.get();
         }
     }
 }
--- a/src/main/java/org/micabarrow/crashes/Culprits.java
+++ b/src/main/java/org/micabarrow/crashes/PoisonRequestDetector.java
@@ -15,42 +15,42 @@
  * considered poison until one of them was involved in crashes without the other. The more endpoints crash at the same
  * time, the more crashes are required.
  */
-final class Culprits {
+final class PoisonRequestDetector {
 
     /** Minimum number of crashes in which a poison request was involved. */
-    static final int LEAST_CRASHES = 3;
+    static final int MIN_CRASHES = 3;
 
     /** Minimum number of these crashes without any other request that was involved in several crashes. */
-    private static final int LEAST_ALONE = 2;
+    private static final int MIN_SOLE_CRASHES = 2;
 
     /** Number of crashes from which a single one without another suspect suffices. */
-    private static final int MANY_CRASHES = 4;
+    private static final int MIN_CRASHES_WITH_ONE_SOLE = 4;
 
     /**
      * Number of crashes that suffices on its own, for a request without any part of a response since the first of them.
      */
-    private static final int MOST_CRASHES = 5;
+    private static final int MIN_CRASHES_WITHOUT_SOLE = 5;
 
     /**
      * Time before a crash within which other crashes count as simultaneous, in milliseconds: roughly the duration of a
      * request.
      */
-    private static final long SAME_TIME_MILLIS = 1_000;
+    private static final long SIMULTANEOUS_MILLIS = 1_000;
 
     /** Highest accepted probability that a harmless request was involved in as many crashes by chance. */
-    private static final double MOST_CHANCE = 0.01;
+    private static final double MAX_CHANCE = 0.01;
 
     private final Map<String, Long> times;
-    private final int endpoints;
-    private final Map<RequestDigest, Set<String>> open;
-    private final Set<RequestDigest> begun;
+    private final int endpointCount;
+    private final Map<RequestDigest, Set<String>> unexplained;
+    private final Set<RequestDigest> partlyAnswered;
     private final Set<String> explained = new HashSet<>();
 
-    private Culprits(Evidence evidence, int endpoints, Map<RequestDigest, Set<String>> open) {
+    private PoisonRequestDetector(Evidence evidence, int endpointCount, Map<RequestDigest, Set<String>> unexplained) {
         this.times = evidence.times();
-        this.begun = evidence.begun();
-        this.endpoints = Math.max(1, endpoints);
-        this.open = open;
+        this.partlyAnswered = evidence.partlyAnswered();
+        this.endpointCount = Math.max(1, endpointCount);
+        this.unexplained = unexplained;
     }
 
     /**
@@ -60,7 +60,8 @@
      * @param partlyAnswered the requests of whose responses a part has arrived since the first of these crashes
      * @param times the time of each crash in milliseconds
      */
-    record Evidence(Map<RequestDigest, Set<String>> crashes, Set<RequestDigest> begun, Map<String, Long> times) {}
+    record Evidence(
+            Map<RequestDigest, Set<String>> crashes, Set<RequestDigest> partlyAnswered, Map<String, Long> times) {}
 
     /**
      * Detects poison requests. The result does not depend on the order in which the crashes became known.
@@ -69,62 +70,67 @@
      * @param endpointCount the number of endpoints
      * @return the poison requests, and the crashes that each of them explains
      */
-    static Map<RequestDigest, Set<String>> of(Evidence evidence, int endpoints) {
+    static Map<RequestDigest, Set<String>> detect(Evidence evidence, int endpointCount) {
         Map<RequestDigest, Set<String>> repeated = new HashMap<>();
         evidence.crashes().forEach((request, at) -> {
             if (at.size() > 1) {
                 repeated.put(request, new HashSet<>(at));
             }
         });
-        return new Culprits(evidence, endpoints, repeated).find();
+        return new PoisonRequestDetector(evidence, endpointCount, repeated).detectAll();
     }
 
-    private Map<RequestDigest, Set<String>> find() {
+    private Map<RequestDigest, Set<String>> detectAll() {
         Map<RequestDigest, Set<String>> found = new LinkedHashMap<>();
-        for (Optional<Suspect> next = mostSuspect(); next.isPresent(); next = mostSuspect()) {
-            Suspect culprit = next.get();
-            Set<String> itsOwn = open.remove(culprit.request());
-            found.put(culprit.request(), itsOwn);
-            explained.addAll(itsOwn);
-            open.values().forEach(crashes -> crashes.removeAll(itsOwn));
-            open.values().removeIf(crashes -> crashes.size() < 2);
+        for (Optional<Suspect> next = strongestSuspect(); next.isPresent(); next = strongestSuspect()) {
+            Suspect poisonRequest = next.get();
+            Set<String> ownCrashes = unexplained.remove(poisonRequest.request());
+            found.put(poisonRequest.request(), ownCrashes);
+            explained.addAll(ownCrashes);
+            unexplained.values().forEach(crashes -> crashes.removeAll(ownCrashes));
+            unexplained.values().removeIf(crashes -> crashes.size() < 2);
         }
         return found;
     }
 
     /** A request that was involved in several unexplained crashes. */
-    private record Suspect(RequestDigest request, int crashes, int alone, double chance, boolean begun) {
+    private record Suspect(RequestDigest request, int crashes, int soleCrashes, double chance, boolean partlyAnswered) {
 
         /** Whether the request is unlikely to have been involved by chance or only because of another suspect. */
-        private boolean standsOut() {
-            return alone >= LEAST_ALONE && chance <= MOST_CHANCE;
+        private boolean conclusive() {
+            return soleCrashes >= MIN_SOLE_CRASHES && chance <= MAX_CHANCE;
         }
 
-        private boolean guilty() {
-            if (begun) {
-                return standsOut() && crashes > LEAST_CRASHES;
+        private boolean isPoison() {
+            if (partlyAnswered) {
+                return conclusive() && crashes > MIN_CRASHES;
             }
-            return standsOut() || crashes >= MANY_CRASHES && alone > 0 || crashes >= MOST_CRASHES;
+            return conclusive()
+                    || crashes >= MIN_CRASHES_WITH_ONE_SOLE && soleCrashes > 0
+                    || crashes >= MIN_CRASHES_WITHOUT_SOLE;
         }
     }
 
-    private Optional<Suspect> mostSuspect() {
-        Map<String, Integer> there = new HashMap<>();
-        open.values().forEach(crashes -> crashes.forEach(crash -> there.merge(crash, 1, Integer::sum)));
-        return open.entrySet().stream()
-                .filter(one -> one.getValue().size() >= LEAST_CRASHES)
-                .map(one -> suspect(one.getKey(), one.getValue(), there))
-                .filter(Suspect::guilty)
-                .max(Comparator.comparing(Suspect::standsOut)
+    private Optional<Suspect> strongestSuspect() {
+        Map<String, Integer> requestsPerCrash = new HashMap<>();
+        unexplained
+                .values()
+                .forEach(crashes -> crashes.forEach(crash -> requestsPerCrash.merge(crash, 1, Integer::sum)));
+        return unexplained.entrySet().stream()
+                .filter(candidate -> candidate.getValue().size() >= MIN_CRASHES)
+                .map(candidate -> suspect(candidate.getKey(), candidate.getValue(), requestsPerCrash))
+                .filter(Suspect::isPoison)
+                .max(Comparator.comparing(Suspect::conclusive)
                         .thenComparingInt(Suspect::crashes)
-                        .thenComparingInt(Suspect::alone)
+                        .thenComparingInt(Suspect::soleCrashes)
                         .thenComparing(suspect -> suspect.request().hex()));
     }
 
-    private Suspect suspect(RequestDigest request, Set<String> crashes, Map<String, Integer> there) {
-        int alone =
-                (int) crashes.stream().filter(crash -> there.get(crash) == 1).count();
-        return new Suspect(request, crashes.size(), alone, chance(crashes), begun.contains(request));
+    private Suspect suspect(RequestDigest request, Set<String> crashes, Map<String, Integer> requestsPerCrash) {
+        int soleCrashes = (int) crashes.stream()
+                .filter(crash -> requestsPerCrash.get(crash) == 1)
+                .count();
+        return new Suspect(request, crashes.size(), soleCrashes, chance(crashes), partlyAnswered.contains(request));
     }
 
     /**
@@ -133,18 +139,18 @@
      * that their fraction of all endpoints gives.
      */
     private double chance(Set<String> crashes) {
-        double others = crashes.stream()
-                .mapToLong(crash -> othersAtTheSameTime(crash, crashes))
+        double averageOthers = crashes.stream()
+                .mapToLong(crash -> simultaneousCrashes(crash, crashes))
                 .average()
                 .orElse(0);
-        return Math.pow(Math.min(1, others / endpoints), crashes.size() - 1.0);
+        return Math.pow(Math.min(1, averageOthers / endpointCount), crashes.size() - 1.0);
     }
 
-    private long othersAtTheSameTime(String crash, Set<String> itsOwn) {
+    private long simultaneousCrashes(String crash, Set<String> ownCrashes) {
         long at = times.get(crash);
         return times.entrySet().stream()
-                .filter(other -> !itsOwn.contains(other.getKey()) && !explained.contains(other.getKey()))
-                .filter(other -> other.getValue() <= at && other.getValue() > at - SAME_TIME_MILLIS)
+                .filter(other -> !ownCrashes.contains(other.getKey()) && !explained.contains(other.getKey()))
+                .filter(other -> other.getValue() <= at && other.getValue() > at - SIMULTANEOUS_MILLIS)
                 .count();
     }
 }
--- a/src/main/java/org/micabarrow/crashes/PortProbe.java
+++ b/src/main/java/org/micabarrow/crashes/PortProbe.java
@@ -1,7 +1,7 @@
 package org.micabarrow.crashes;
 
 import java.util.function.Consumer;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /** Checks whether an endpoint's process still exists after a connection to it broke. */
 @FunctionalInterface
@@ -14,5 +14,5 @@
      * @param callback called once, on the traffic thread, with whether the instance refused the connection because no
      *     process listens on the port; false if the instance did not respond, which proves nothing
      */
-    void ask(EndpointEntry endpoint, Consumer<Boolean> then);
+    void probe(EndpointRegistration endpoint, Consumer<Boolean> callback);
 }
--- a/src/main/java/org/micabarrow/crashes/RequestDigest.java
+++ b/src/main/java/org/micabarrow/crashes/RequestDigest.java
@@ -20,12 +20,12 @@
     private static final int QUICK_LENGTH = 8;
 
     /** Number of bytes kept of the full digest: enough that no two requests are expected to share them. */
-    private static final int KEPT_BYTES = 12;
+    private static final int FULL_BYTES = 12;
 
     /** Two digits per byte. */
-    private static final int HEX_LENGTH = QUICK_LENGTH + 2 * KEPT_BYTES;
+    private static final int HEX_LENGTH = QUICK_LENGTH + 2 * FULL_BYTES;
 
-    private static final byte BETWEEN_PARTS = 0;
+    private static final byte SEPARATOR = 0;
 
     /** Checks the length and the digits. */
     public RequestDigest {
@@ -53,7 +53,7 @@
         add(digest, request.organisation().orElse(""));
         digest.update(request.body());
         String quick = HexFormat.of().toHexDigits(quickOf(request));
-        return new RequestDigest(quick + HexFormat.of().formatHex(digest.digest(), 0, KEPT_BYTES));
+        return new RequestDigest(quick + HexFormat.of().formatHex(digest.digest(), 0, FULL_BYTES));
     }
 
     /**
@@ -65,10 +65,10 @@
      */
     public static int quickOf(ClientRequest request) {
         Objects.requireNonNull(request, "request is null");
-        CRC32C sum = new CRC32C();
-        sum.update(request.target().getBytes(StandardCharsets.UTF_8));
-        sum.update(request.body());
-        return (int) sum.getValue();
+        CRC32C checksum = new CRC32C();
+        checksum.update(request.target().getBytes(StandardCharsets.UTF_8));
+        checksum.update(request.body());
+        return (int) checksum.getValue();
     }
 
     /**
@@ -86,7 +86,7 @@
      */
     private static void add(MessageDigest digest, String part) {
         digest.update(part.getBytes(StandardCharsets.UTF_8));
-        digest.update(BETWEEN_PARTS);
+        digest.update(SEPARATOR);
     }
 
     @Override
--- a/src/main/java/org/micabarrow/crashes/SuspectPlacement.java
+++ b/src/main/java/org/micabarrow/crashes/SuspectIsolation.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.state.Digest;
 
@@ -17,15 +17,15 @@
  * in more crashes is sent only to such endpoints, one attempt at a time, and all processes try endpoints for it in the
  * same order. Not thread-safe: confined to one thread.
  */
-public final class SuspectPlacement {
+public final class SuspectIsolation {
 
     /** Number of crashes from which a request is sent only to endpoints without other suspects. */
-    private static final int ALONE_FROM = 2;
+    private static final int MIN_ISOLATED_CRASHES = 2;
 
-    private final Map<EndpointStart, Map<RequestDigest, Integer>> there = new HashMap<>();
+    private final Map<EndpointStart, Map<RequestDigest, Integer>> inFlight = new HashMap<>();
 
     /** Creates an isolation without suspects. */
-    public SuspectPlacement() {}
+    public SuspectIsolation() {}
 
     // -- requests in flight
 
@@ -35,8 +35,8 @@
      * @param endpoint the endpoint's start
      * @param request the request
      */
-    public void began(EndpointStart endpoint, RequestDigest request) {
-        there.computeIfAbsent(endpoint, key -> new HashMap<>()).merge(request, 1, Integer::sum);
+    public void started(EndpointStart endpoint, RequestDigest request) {
+        inFlight.computeIfAbsent(endpoint, key -> new HashMap<>()).merge(request, 1, Integer::sum);
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param request the request
      */
     public void ended(EndpointStart endpoint, RequestDigest request) {
-        there.computeIfPresent(endpoint, (same, requests) -> {
+        inFlight.computeIfPresent(endpoint, (same, requests) -> {
             requests.computeIfPresent(request, (key, count) -> count == 1 ? null : count - 1);
             return requests.isEmpty() ? null : requests;
         });
@@ -60,8 +60,8 @@
      * @param suspected its level of suspicion
      * @return true if it was involved in more than one crash
      */
-    public static boolean apart(Standing.Suspected suspected) {
-        return suspected.crashes() >= ALONE_FROM;
+    public static boolean mustIsolate(SuspicionLevel.Suspected suspected) {
+        return suspected.crashes() >= MIN_ISOLATED_CRASHES;
     }
 
     /**
@@ -73,26 +73,27 @@
      * @param suspected its level of suspicion
      * @return some of the endpoints
      */
-    public List<EndpointEntry> free(
-            List<EndpointEntry> endpoints, RequestDigest request, Standing.Suspected suspected) {
+    public List<EndpointRegistration> withoutOtherSuspects(
+            List<EndpointRegistration> endpoints, RequestDigest request, SuspicionLevel.Suspected suspected) {
         Objects.requireNonNull(request, "request is null");
-        if (apart(suspected) && runs(request)) {
+        if (mustIsolate(suspected) && isInFlight(request)) {
             return List.of();
         }
-        List<EndpointEntry> free = endpoints.stream()
-                .filter(endpoint -> !there.containsKey(endpoint.start())
-                        || there.get(endpoint.start()).keySet().equals(Set.of(request)))
+        List<EndpointRegistration> available = endpoints.stream()
+                .filter(endpoint -> !inFlight.containsKey(endpoint.start())
+                        || inFlight.get(endpoint.start()).keySet().equals(Set.of(request)))
                 .toList();
-        return apart(suspected) ? inCommonOrder(free, request) : free;
+        return mustIsolate(suspected) ? inStableOrder(available, request) : available;
     }
 
-    private boolean runs(RequestDigest request) {
-        return there.values().stream().anyMatch(requests -> requests.containsKey(request));
+    private boolean isInFlight(RequestDigest request) {
+        return inFlight.values().stream().anyMatch(requests -> requests.containsKey(request));
     }
 
     /** Returns an order that depends only on the request and the endpoints, and differs from request to request. */
-    private static List<EndpointEntry> inCommonOrder(List<EndpointEntry> endpoints, RequestDigest request) {
-        Map<EndpointEntry, Long> ranks = new HashMap<>();
+    private static List<EndpointRegistration> inStableOrder(
+            List<EndpointRegistration> endpoints, RequestDigest request) {
+        Map<EndpointRegistration, Long> ranks = new HashMap<>();
         endpoints.forEach(endpoint -> ranks.put(endpoint, Digest.rank(request.hex(), endpoint.id())));
         return endpoints.stream().sorted(Comparator.comparing(ranks::get)).toList();
     }
--- a/src/main/java/org/micabarrow/crashes/Standing.java
+++ b/src/main/java/org/micabarrow/crashes/SuspicionLevel.java
@@ -1,17 +1,17 @@
 package org.micabarrow.crashes;
 
 /** How strongly a request is suspected of causing the endpoint crashes in which it was involved. */
-public sealed interface Standing {
+public sealed interface SuspicionLevel {
 
     /** The request was involved in no crash, or has been answered since. */
-    record Unsuspected() implements Standing {}
+    record Unsuspected() implements SuspicionLevel {}
 
     /**
      * The request was involved in crashes and may have caused them.
      *
      * @param crashes the number of crashes
      */
-    record Suspected(int crashes) implements Standing {}
+    record Suspected(int crashes) implements SuspicionLevel {}
 
     /**
      * The request is considered a poison request.
@@ -19,5 +19,5 @@
      * @param crashes the number of crashes attributed to it
      * @param forMillis how long it is refused from now on, in milliseconds
      */
-    record Refused(int crashes, long forMillis) implements Standing {}
+    record Refused(int crashes, long forMillis) implements SuspicionLevel {}
 }
--- a/src/main/java/org/micabarrow/limits/EndpointLimit.java
+++ b/src/main/java/org/micabarrow/limits/EndpointRateLimit.java
@@ -13,7 +13,7 @@
  * request. Requests are spaced by a whole period each, so no burst credit accumulates while none arrive or the process
  * is paused. Not thread-safe: confined to one thread.
  */
-public final class EndpointLimit {
+public final class EndpointRateLimit {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
@@ -22,19 +22,19 @@
      * again for that long is also no longer left to the entries with a share of it, since this entry may have missed
      * that it was lifted.
      */
-    static final long COUNTED_MILLIS = 30_000;
+    static final long EXPIRY_MILLIS = 30_000;
 
     private final String endpoint;
-    private final KnownEntries entries;
+    private final EntryCount entryCount;
     private final RandomGenerator random;
-    private Optional<LimitNews> heard = Optional.empty();
-    private Optional<LimitNews> newest = Optional.empty();
+    private Optional<RateLimitObservation> ownObservation = Optional.empty();
+    private Optional<RateLimitObservation> latest = Optional.empty();
     private Optional<EntryRank> rank = Optional.empty();
 
     /** Empty while this entry has no share of the limit. */
-    private Optional<LimitShare> share = Optional.empty();
+    private Optional<QuotaShare> share = Optional.empty();
 
-    private long sinceMillis;
+    private long periodStartMillis;
 
     /**
      * Creates the state of an endpoint without a rate limit.
@@ -43,9 +43,9 @@
      * @param entryCount the number of entries
      * @param random spreads the first requests of entries that do not know their ranks
      */
-    public EndpointLimit(String endpoint, KnownEntries entries, RandomGenerator random) {
+    public EndpointRateLimit(String endpoint, EntryCount entryCount, RandomGenerator random) {
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
-        this.entries = Objects.requireNonNull(entries, "entries is null");
+        this.entryCount = Objects.requireNonNull(entryCount, "entryCount is null");
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
@@ -59,24 +59,24 @@
      * @param nowMillis the time on the monotonic clock
      * @return whether the limit changed
      */
-    public boolean answered(OptionalDouble perSecond, long sentMillis, long nowMillis) {
+    public boolean responseReceived(OptionalDouble perSecond, long sentMillis, long nowMillis) {
         return perSecond.isPresent()
-                ? hear(new LimitNews.Named(perSecond.getAsDouble(), nowMillis))
-                : notNamed(sentMillis, nowMillis);
+                ? observe(new RateLimitObservation.Stated(perSecond.getAsDouble(), nowMillis))
+                : limitAbsent(sentMillis, nowMillis);
     }
 
     /**
      * Ignores the response to a request that was sent before the limit was stated: it may have been under way since
      * then.
      */
-    private boolean notNamed(long sentMillis, long nowMillis) {
-        return limit().filter(named -> named.atMillis() <= sentMillis).isPresent()
-                && hear(new LimitNews.Ended(nowMillis));
+    private boolean limitAbsent(long sentMillis, long nowMillis) {
+        return current().filter(stated -> stated.atMillis() <= sentMillis).isPresent()
+                && observe(new RateLimitObservation.Lifted(nowMillis));
     }
 
-    private boolean hear(LimitNews news) {
-        heard = Optional.of(news);
-        return take(news);
+    private boolean observe(RateLimitObservation observation) {
+        ownObservation = Optional.of(observation);
+        return apply(observation);
     }
 
     /**
@@ -85,17 +85,17 @@
      * @param observation the observation, by this process's monotonic clock
      * @return whether the limit changed
      */
-    public boolean told(LimitNews news) {
-        return newest.filter(known -> !news.after(known)).isEmpty() && take(news);
+    public boolean updated(RateLimitObservation observation) {
+        return latest.filter(known -> !observation.isNewerThan(known)).isEmpty() && apply(observation);
     }
 
-    private boolean take(LimitNews news) {
-        Optional<Double> before = limit().map(LimitNews.Named::perSecond);
-        newest = Optional.of(news);
-        if (limit().isEmpty()) {
+    private boolean apply(RateLimitObservation observation) {
+        Optional<Double> before = current().map(RateLimitObservation.Stated::perSecond);
+        latest = Optional.of(observation);
+        if (current().isEmpty()) {
             share = Optional.empty();
         }
-        return !before.equals(limit().map(LimitNews.Named::perSecond));
+        return !before.equals(current().map(RateLimitObservation.Stated::perSecond));
     }
 
     /**
@@ -103,8 +103,8 @@
      *
      * @param newRank the rank
      */
-    public void ranked(EntryRank told) {
-        rank = Optional.of(Objects.requireNonNull(told, "told is null"));
+    public void rankReported(EntryRank newRank) {
+        rank = Optional.of(Objects.requireNonNull(newRank, "newRank is null"));
     }
 
     /**
@@ -113,9 +113,10 @@
      * @param nowMillis the time on the monotonic clock
      * @return the update; empty if there is no observation or it has expired
      */
-    public Optional<LimitWord> word(long nowMillis) {
-        return heard.filter(news -> nowMillis - news.atMillis() <= COUNTED_MILLIS)
-                .map(news -> LimitWord.of(LimitWord.token(endpoint), news, nowMillis));
+    public Optional<RateLimitUpdate> ownUpdate(long nowMillis) {
+        return ownObservation
+                .filter(observation -> nowMillis - observation.atMillis() <= EXPIRY_MILLIS)
+                .map(observation -> RateLimitUpdate.of(RateLimitUpdate.token(endpoint), observation, nowMillis));
     }
 
     /**
@@ -123,8 +124,9 @@
      *
      * @return the limit and the time at which it was stated; empty if the endpoint states none
      */
-    public Optional<LimitNews.Named> limit() {
-        return newest.filter(LimitNews.Named.class::isInstance).map(LimitNews.Named.class::cast);
+    public Optional<RateLimitObservation.Stated> current() {
+        return latest.filter(RateLimitObservation.Stated.class::isInstance)
+                .map(RateLimitObservation.Stated.class::cast);
     }
 
     /**
@@ -136,10 +138,10 @@
         LOG.info(
                 "event=endpoint_limit endpoint={} perSecond={} from={} rank={} entries={}",
                 endpoint,
-                limit().map(named -> String.valueOf(named.perSecond())).orElse("none"),
+                current().map(stated -> String.valueOf(stated.perSecond())).orElse("none"),
                 from,
                 rank.map(one -> one.rank() + "/" + one.entries()).orElse("-"),
-                entries.count());
+                entryCount.count());
     }
 
     // -- sending
@@ -151,12 +153,12 @@
      * @param nowMillis the time on the monotonic clock
      * @return true also if there is no limit
      */
-    public boolean allows(boolean agentTells, long nowMillis) {
-        if (newest.isEmpty()) {
+    public boolean allows(boolean ranksAvailable, long nowMillis) {
+        if (latest.isEmpty()) {
             return true;
         }
-        OptionalLong left = untilNextMillis(agentTells, nowMillis);
-        return left.isPresent() && left.getAsLong() == 0;
+        OptionalLong waitMillis = untilNextRequestMillis(ranksAvailable, nowMillis);
+        return waitMillis.isPresent() && waitMillis.getAsLong() == 0;
     }
 
     /**
@@ -166,14 +168,14 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds, not below 0; empty if the limit is left to other entries
      */
-    public OptionalLong untilNextMillis(boolean agentTells, long nowMillis) {
-        if (limit().isEmpty()) {
+    public OptionalLong untilNextRequestMillis(boolean ranksAvailable, long nowMillis) {
+        if (current().isEmpty()) {
             return OptionalLong.of(0);
         }
-        LimitNews.Named named = limit().get();
-        takePart(named, agentTells, nowMillis);
+        RateLimitObservation.Stated stated = current().get();
+        updateShare(stated, ranksAvailable, nowMillis);
         return share.isPresent()
-                ? OptionalLong.of(Math.max(0, sinceMillis + periodMillis(share.get(), named) - nowMillis))
+                ? OptionalLong.of(Math.max(0, periodStartMillis + periodMillis(share.get(), stated) - nowMillis))
                 : OptionalLong.empty();
     }
 
@@ -183,34 +185,34 @@
      * @param nowMillis the time on the monotonic clock
      */
     public void sent(long nowMillis) {
-        sinceMillis = nowMillis;
+        periodStartMillis = nowMillis;
     }
 
     /**
      * Updates the quota share. When an entry gets a share of this kind for the first time, its first period is offset
      * from those of other entries.
      */
-    private void takePart(LimitNews.Named named, boolean agentTells, long nowMillis) {
-        LimitShare present = share(named, agentTells, nowMillis);
-        if (present.periodMillis(named.perSecond()).isEmpty()) {
+    private void updateShare(RateLimitObservation.Stated stated, boolean ranksAvailable, long nowMillis) {
+        QuotaShare newShare = computeShare(stated, ranksAvailable, nowMillis);
+        if (newShare.periodMillis(stated.perSecond()).isEmpty()) {
             share = Optional.empty();
             return;
         }
-        if (share.filter(before -> before.getClass() == present.getClass()).isEmpty()) {
-            long first = present.firstAfterMillis(named.perSecond(), random.nextDouble());
-            sinceMillis = nowMillis + first - periodMillis(present, named);
+        if (share.filter(before -> before.getClass() == newShare.getClass()).isEmpty()) {
+            long firstDelayMillis = newShare.firstDelayMillis(stated.perSecond(), random.nextDouble());
+            periodStartMillis = nowMillis + firstDelayMillis - periodMillis(newShare, stated);
         }
-        share = Optional.of(present);
+        share = Optional.of(newShare);
     }
 
-    private LimitShare share(LimitNews.Named named, boolean agentTells, long nowMillis) {
-        boolean lately = nowMillis - named.atMillis() <= COUNTED_MILLIS;
-        return agentTells && lately && rank.isPresent()
-                ? new LimitShare.Ranked(rank.get())
-                : new LimitShare.Unranked(entries.count());
+    private QuotaShare computeShare(RateLimitObservation.Stated stated, boolean ranksAvailable, long nowMillis) {
+        boolean recent = nowMillis - stated.atMillis() <= EXPIRY_MILLIS;
+        return ranksAvailable && recent && rank.isPresent()
+                ? new QuotaShare.Ranked(rank.get())
+                : new QuotaShare.Unranked(entryCount.count());
     }
 
-    private static long periodMillis(LimitShare share, LimitNews.Named named) {
-        return share.periodMillis(named.perSecond()).orElseThrow();
+    private static long periodMillis(QuotaShare share, RateLimitObservation.Stated stated) {
+        return share.periodMillis(stated.perSecond()).orElseThrow();
     }
 }
--- a/src/main/java/org/micabarrow/limits/EntryRank.java
+++ b/src/main/java/org/micabarrow/limits/EntryRank.java
@@ -34,10 +34,10 @@
      */
     public static Map<String, EntryRank> ranks(Collection<String> entries, String agent) {
         Objects.requireNonNull(agent, "agent is null");
-        Map<String, Long> numbers = new HashMap<>();
-        entries.forEach(entry -> numbers.put(entry, Digest.rank(entry, agent)));
-        List<String> inOrder = numbers.keySet().stream()
-                .sorted(Comparator.comparing(numbers::get))
+        Map<String, Long> hashes = new HashMap<>();
+        entries.forEach(entry -> hashes.put(entry, Digest.rank(entry, agent)));
+        List<String> inOrder = hashes.keySet().stream()
+                .sorted(Comparator.comparing(hashes::get))
                 .toList();
         Map<String, EntryRank> ranks = new HashMap<>();
         inOrder.forEach(entry -> ranks.put(entry, new EntryRank(ranks.size(), inOrder.size())));
--- a/src/main/java/org/micabarrow/limits/LimitNews.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitObservation.java
@@ -1,7 +1,7 @@
 package org.micabarrow.limits;
 
 /** What an endpoint stated about its rate limit, and when. */
-public sealed interface LimitNews {
+public sealed interface RateLimitObservation {
 
     /**
      * Returns the time at which the statement was received.
@@ -16,11 +16,11 @@
      * @param perSecond the requests per second that it accepts from all entries together, not below 0
      * @param atMillis the time at which the statement was received, on the monotonic clock
      */
-    record Named(double perSecond, long atMillis) implements LimitNews {
+    record Stated(double perSecond, long atMillis) implements RateLimitObservation {
 
         /** Checks that the limit is valid. */
-        public Named {
-            requireLimit(perSecond);
+        public Stated {
+            requireValidLimit(perSecond);
         }
     }
 
@@ -29,7 +29,7 @@
      *
      * @param atMillis the time at which that was received, on the monotonic clock
      */
-    record Ended(long atMillis) implements LimitNews {}
+    record Lifted(long atMillis) implements RateLimitObservation {}
 
     /**
      * Returns whether this observation is newer than another.
@@ -37,7 +37,7 @@
      * @param other the other observation
      * @return true if it was received later
      */
-    default boolean after(LimitNews other) {
+    default boolean isNewerThan(RateLimitObservation other) {
         return atMillis() > other.atMillis();
     }
 
@@ -47,7 +47,7 @@
      * @param perSecond the requests per second
      * @throws IllegalArgumentException if it is negative, infinite or not a number
      */
-    static void requireLimit(double perSecond) {
+    static void requireValidLimit(double perSecond) {
         if (!Double.isFinite(perSecond) || perSecond < 0) {
             throw new IllegalArgumentException(
                     "rate limit of " + perSecond + " requests per second is negative or not finite");
--- a/src/main/java/org/micabarrow/limits/LimitWord.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitUpdate.java
@@ -10,17 +10,17 @@
  * @param perSecond the limit in requests per second; empty if the endpoint no longer states one
  * @param ageMillis the time since the endpoint stated it, in milliseconds
  */
-public record LimitWord(int endpoint, OptionalDouble perSecond, int millisAgo) {
+public record RateLimitUpdate(int endpointToken, OptionalDouble perSecond, int ageMillis) {
 
     /** Stands for the endpoint beside an agent, whose reports do not identify it. */
-    public static final int BESIDE = 0;
+    public static final int LOCAL_ENDPOINT = 0;
 
     /** Checks that the age and the limit are valid. */
-    public LimitWord {
-        if (millisAgo < 0) {
-            throw new IllegalArgumentException("age must not be negative: " + millisAgo + " ms");
+    public RateLimitUpdate {
+        if (ageMillis < 0) {
+            throw new IllegalArgumentException("age must not be negative: " + ageMillis + " ms");
         }
-        perSecond.ifPresent(LimitNews::requireLimit);
+        perSecond.ifPresent(RateLimitObservation::requireValidLimit);
     }
 
     /**
@@ -42,12 +42,13 @@
      * @param nowMillis the time on the monotonic clock
      * @return the update
      */
-    public static LimitWord of(int endpoint, LimitNews news, long nowMillis) {
-        int millisAgo = (int) Math.clamp(nowMillis - news.atMillis(), 0, Integer.MAX_VALUE);
-        return switch (news) {
-            case LimitNews.Named(double perSecond, long ignored) ->
-                new LimitWord(endpoint, OptionalDouble.of(perSecond), millisAgo);
-            case LimitNews.Ended ignored -> new LimitWord(endpoint, OptionalDouble.empty(), millisAgo);
+    public static RateLimitUpdate of(int endpoint, RateLimitObservation observation, long nowMillis) {
+        int ageMillis = (int) Math.clamp(nowMillis - observation.atMillis(), 0, Integer.MAX_VALUE);
+        return switch (observation) {
+            case RateLimitObservation.Stated(double perSecond, long ignored) ->
+                new RateLimitUpdate(endpoint, OptionalDouble.of(perSecond), ageMillis);
+            case RateLimitObservation.Lifted ignored ->
+                new RateLimitUpdate(endpoint, OptionalDouble.empty(), ageMillis);
         };
     }
 
@@ -57,8 +58,8 @@
      * @param id the id of the endpoint beside the agent that sent the update
      * @return true also if the agent did not identify it
      */
-    public boolean isOf(String id) {
-        return endpoint == BESIDE || endpoint == token(id);
+    public boolean concerns(String id) {
+        return endpointToken == LOCAL_ENDPOINT || endpointToken == token(id);
     }
 
     /**
@@ -71,9 +72,9 @@
      * @param nowMillis the time on the monotonic clock
      * @return the observation
      */
-    public LimitNews news(long askedMillis, long nowMillis) {
+    public RateLimitObservation toObservation(long queriedMillis, long nowMillis) {
         return perSecond.isPresent()
-                ? new LimitNews.Named(perSecond.getAsDouble(), askedMillis - millisAgo)
-                : new LimitNews.Ended(nowMillis - millisAgo);
+                ? new RateLimitObservation.Stated(perSecond.getAsDouble(), queriedMillis - ageMillis)
+                : new RateLimitObservation.Lifted(nowMillis - ageMillis);
     }
 }
--- a/src/main/java/org/micabarrow/platform/RequestHeaders.java
+++ b/src/main/java/org/micabarrow/platform/RequestHeaders.java
@@ -79,7 +79,7 @@
         }
         Optional<KeyOwner> owner =
                 Optional.ofNullable(headers.getFirst(WireNames.KEY)).flatMap(manifest::owner);
-        if (manifest.keysNeeded() && !route.get().open() && owner.isEmpty()) {
+        if (manifest.keysRequired() && !route.get().open() && owner.isEmpty()) {
             return new Reading.Refused(UNAUTHORISED, "no organisation holds this key");
         }
         if (headers.getFirst(WireNames.ATTEMPT) == null) {
@@ -105,7 +105,7 @@
                 passedOn(headers),
                 body,
                 route,
-                route.service(random.nextDouble()),
+                route.selectService(random.nextDouble()),
                 owner.map(KeyOwner::organisation),
                 owner.flatMap(KeyOwner::priority).orElse(route.priority()),
                 nowMillis + deadline(headers, route),
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.stream.Stream;
-import org.micabarrow.admission.PlaceShares;
+import org.micabarrow.admission.SlotAllotment;
 import org.micabarrow.clock.SteadyClock;
 import org.micabarrow.platform.EndpointCalls;
 import org.micabarrow.platform.OriginCalls;
 import org.micabarrow.process.HostedNode.Paces;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.steps.Steps;
@@ -166,7 +166,7 @@
                     .ifPresent(report -> loadServer.ifPresent(
                             server -> server.limits().reported(report.rateLimit(), HostedNode.steadyMillis())));
             Optional<Serving> now =
-                    told().map(told -> new Serving(told.loading(), told.leaving(), told.version(), told.start()));
+                    told().map(told -> new Serving(told.loading(), told.draining(), told.version(), told.start()));
             if (!now.equals(toldLast)) {
                 toldLast = now;
                 tellEntries();
@@ -224,8 +224,8 @@
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
     private int freePlaces(ModelEndpoint.Report report) {
         return modelService()
-                .map(service -> PlaceShares.dealable(service.slots(), report.running() + report.queued()))
-                .orElse(LoadReport.ANY_PLACES);
+                .map(service -> SlotAllotment.allottable(service.slots(), report.running() + report.queued()))
+                .orElse(LoadReport.UNLIMITED_SLOTS);
     }
 
     private boolean serves() {
@@ -240,18 +240,18 @@
         return node.views().view();
     }
 
-    private Optional<ModelService> modelService() {
+    private Optional<ModelProfile> modelService() {
         return view().manifest()
                 .flatMap(manifest -> manifest.service(settings.service().orElse("")))
                 .flatMap(RouteManifest.Service::model);
     }
 
     private Optional<String> model() {
-        return modelService().map(ModelService::model);
+        return modelService().map(ModelProfile::model);
     }
 
     private int layers() {
-        return modelService().map(ModelService::layers).orElse(0);
+        return modelService().map(ModelProfile::layers).orElse(0);
     }
 
     /** The agents beside all endpoints of this agent's service; they listen at the same port on every instance. */
--- a/src/main/java/org/micabarrow/routing/Rest.java
+++ b/src/main/java/org/micabarrow/routing/Backoff.java
@@ -5,16 +5,16 @@
  * request in flight and doubles the limit with each response; without it all waiting requests would reach the endpoint
  * at once. Not thread-safe: confined to one thread.
  */
-public final class Rest {
+public final class Backoff {
 
     /** Number of requests in flight at which the ramp-up is complete. */
-    private static final int AS_BEFORE = 32;
+    private static final int RAMP_UP_END = 32;
 
     /** Stands for an unlimited number of requests. */
-    private static final int ANY = 0;
+    private static final int UNLIMITED = 0;
 
     private long untilMillis = Long.MIN_VALUE;
-    private int most = ANY;
+    private int maxInFlight = UNLIMITED;
 
     /**
      * Records that the endpoint asked for a backoff.
@@ -22,9 +22,9 @@
      * @param millis its duration in milliseconds; ignored if the active backoff lasts longer
      * @param nowMillis the time on the monotonic clock
      */
-    public void asked(long millis, long nowMillis) {
+    public void requested(long millis, long nowMillis) {
         untilMillis = Math.max(untilMillis, nowMillis + millis);
-        most = 1;
+        maxInFlight = 1;
     }
 
     /**
@@ -33,7 +33,7 @@
      * @param nowMillis the time on the monotonic clock
      * @return true until the backoff ends
      */
-    public boolean lasts(long nowMillis) {
+    public boolean active(long nowMillis) {
         return nowMillis < untilMillis;
     }
 
@@ -43,8 +43,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds; 0 if it has ended
      */
-    public long leftMillis(long nowMillis) {
-        return lasts(nowMillis) ? untilMillis - nowMillis : 0;
+    public long remainingMillis(long nowMillis) {
+        return active(nowMillis) ? untilMillis - nowMillis : 0;
     }
 
     /**
@@ -55,7 +55,7 @@
      * @return false during the backoff, and after it while the ramp-up limit is reached
      */
     public boolean allows(int requests, long nowMillis) {
-        return !lasts(nowMillis) && (most == ANY || requests < most);
+        return !active(nowMillis) && (maxInFlight == UNLIMITED || requests < maxInFlight);
     }
 
     /**
@@ -63,9 +63,9 @@
      *
      * @param nowMillis the time on the monotonic clock
      */
-    public void answered(long nowMillis) {
-        if (most != ANY && !lasts(nowMillis)) {
-            most = most >= AS_BEFORE ? ANY : 2 * most;
+    public void responded(long nowMillis) {
+        if (maxInFlight != UNLIMITED && !active(nowMillis)) {
+            maxInFlight = maxInFlight >= RAMP_UP_END ? UNLIMITED : 2 * maxInFlight;
         }
     }
 }
--- a/src/main/java/org/micabarrow/routing/KnownEndpoint.java
+++ b/src/main/java/org/micabarrow/routing/EndpointCandidate.java
@@ -12,68 +12,68 @@
  * @param endpoint the endpoint
  * @param load its known load
  */
-record KnownEndpoint(EndpointEntry endpoint, EndpointLoad load) {
+record EndpointCandidate(EndpointRegistration endpoint, EndpointLoad load) {
 
     /**
      * Returns the weight version of a model that the endpoint holds, from its registration or from later reports and
      * responses; 0 if none.
      */
-    long version(ModelService model) {
-        long entered =
+    long version(ModelProfile model) {
+        long registered =
                 endpoint.layers() < model.layers() ? 0 : endpoint.models().getOrDefault(model.model(), 0L);
-        return Math.max(entered, load.version());
+        return Math.max(registered, load.version());
     }
 
     /** Returns whether the endpoint has asked this process for a backoff that is still active. */
-    boolean rests(long nowMillis) {
-        return load.rest().lasts(nowMillis);
+    boolean inBackoff(long nowMillis) {
+        return load.backoff().active(nowMillis);
     }
 
     /** Returns whether this process's quota share of the endpoint's rate limit allows a request now. */
-    boolean withinLimit(long nowMillis) {
-        return load.limitAllows(nowMillis);
+    boolean withinRateLimit(long nowMillis) {
+        return load.rateLimitAllows(nowMillis);
     }
 
     /**
      * Returns the shortest time until the rate limit of a candidate allows a request; empty if all limits are left to
      * other entries.
      */
-    static OptionalLong firstWithinLimitMillis(List<KnownEndpoint> some, long nowMillis) {
-        return some.stream()
-                .map(one -> one.load().untilLimitAllowsMillis(nowMillis))
+    static OptionalLong untilRateLimitAllowsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        return candidates.stream()
+                .map(candidate -> candidate.load().untilRateLimitAllowsMillis(nowMillis))
                 .filter(OptionalLong::isPresent)
                 .mapToLong(OptionalLong::getAsLong)
                 .min();
     }
 
     /** Returns whether the endpoint is neither ejected nor behind a slow link. */
-    boolean well(long nowMillis) {
-        return !load.failures().excluded(nowMillis) && !load.delayed(nowMillis);
+    boolean healthy(long nowMillis) {
+        return !load.failures().ejected(nowMillis) && !load.linkSlow(nowMillis);
     }
 
     /** Returns the candidates that match a condition. */
-    static List<KnownEndpoint> keep(List<KnownEndpoint> some, Predicate<KnownEndpoint> condition) {
-        List<KnownEndpoint> kept = new ArrayList<>(some.size());
-        for (KnownEndpoint one : some) {
-            if (condition.test(one)) {
-                kept.add(one);
+    static List<EndpointCandidate> filter(List<EndpointCandidate> candidates, Predicate<EndpointCandidate> condition) {
+        List<EndpointCandidate> matching = new ArrayList<>(candidates.size());
+        for (EndpointCandidate candidate : candidates) {
+            if (condition.test(candidate)) {
+                matching.add(candidate);
             }
         }
-        return kept;
+        return matching;
     }
 
     /**
      * Returns the time until the first candidate ends its backoff; empty if a candidate is not in backoff or there are
      * none.
      */
-    static OptionalLong allRestMillis(List<KnownEndpoint> some, long nowMillis) {
-        long least = Long.MAX_VALUE;
-        for (KnownEndpoint one : some) {
-            if (!one.rests(nowMillis)) {
+    static OptionalLong untilBackoffEndsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        long shortestMillis = Long.MAX_VALUE;
+        for (EndpointCandidate candidate : candidates) {
+            if (!candidate.inBackoff(nowMillis)) {
                 return OptionalLong.empty();
             }
-            least = Math.min(least, one.load().rest().leftMillis(nowMillis));
+            shortestMillis = Math.min(shortestMillis, candidate.load().backoff().remainingMillis(nowMillis));
         }
-        return some.isEmpty() ? OptionalLong.empty() : OptionalLong.of(least);
+        return candidates.isEmpty() ? OptionalLong.empty() : OptionalLong.of(shortestMillis);
     }
 }
--- /dev/null
+++ b/src/main/java/org/micabarrow/routing/EndpointCapacity.java
@@ -0,0 +1,118 @@
+package org.micabarrow.routing;
+
+/**
+ * Decides whether an endpoint has capacity for a request: a model endpoint has, while the first event is predicted
+ * within the objective and a slot is free.
+ */
+final class EndpointCapacity {
+
+    /** Fraction of the objective that is reserved for errors of the prediction. */
+    private static final double OBJECTIVE_RESERVE_FRACTION = 0.2;
+
+    /**
+     * Fraction of an endpoint's slots that is reserved for requests which can still meet their objective. At full load
+     * late responses, which are worth a quarter, would otherwise take slots from responses that are still in time.
+     */
+    private static final double SLOT_RESERVE_FRACTION = 0.25;
+
+    /**
+     * Fraction of the objective for which a late request may wait behind others. The processing of its own prompt may
+     * take longer.
+     */
+    private static final double LATE_WAIT_FRACTION = 0.5;
+
+    /** Number of requests that a plain endpoint may hold per slot, its queue included, before requests are refused. */
+    private static final double PLAIN_REQUESTS_PER_SLOT = 2;
+
+    /** Predicted delay per slot's worth of requests in the queue of a full plain endpoint, in milliseconds. */
+    private static final double PLAIN_MILLIS_PER_ROUND = 80;
+
+    /** Number of requests that a model endpoint may hold per slot. */
+    private static final double MODEL_REQUESTS_PER_SLOT = 1;
+
+    private EndpointCapacity() {}
+
+    /**
+     * Returns how long a request may wait for a free slot and still meet its objective, assuming that it then gets an
+     * idle endpoint.
+     *
+     * @param request the request to send
+     * @return milliseconds; 0 or less if it must not wait, as for plain services, whose requests are short
+     */
+    static long maxSlotWaitMillis(RoutingRequest request) {
+        return request.model()
+                .map(model -> idleMillis(model, request.promptTokens()))
+                .map(idleMillis -> Math.round(firstEventLimitMillis(request) - idleMillis))
+                .orElse(0L);
+    }
+
+    /** Returns whether a response cannot meet its objective at any endpoint. */
+    private static boolean cannotBeInTime(RoutingRequest request) {
+        return request.objectivePassed() || maxSlotWaitMillis(request) <= 0;
+    }
+
+    /** Returns the time within which the first event must be predicted, in milliseconds. */
+    private static double firstEventLimitMillis(RoutingRequest request) {
+        return request.millisToObjective() - request.objectiveMillis() * OBJECTIVE_RESERVE_FRACTION;
+    }
+
+    /** Returns whether an eligible endpoint has capacity for a request. */
+    static boolean hasCapacity(
+            RoutingRequest request, EndpointRegistration endpoint, EndpointLoad load, long nowMillis) {
+        if (!load.backoffAllows(nowMillis)) {
+            return false;
+        }
+        int requests = load.requests(nowMillis);
+        if (request.model().isEmpty()) {
+            return requests < endpoint.slots() * PLAIN_REQUESTS_PER_SLOT;
+        }
+        if (!load.hasAllottedSlot(nowMillis)) {
+            return false;
+        }
+        double maxRequests = endpoint.slots() * MODEL_REQUESTS_PER_SLOT;
+        double predictedMillis = modelledMillis(request, load, nowMillis);
+        if (cannotBeInTime(request)) {
+            double queueMillis = predictedMillis - idleMillis(request.model().get(), request.promptTokens());
+            return requests < maxRequests * (1 - SLOT_RESERVE_FRACTION)
+                    && queueMillis < request.objectiveMillis() * LATE_WAIT_FRACTION
+                    && predictedMillis < request.remainingMillis();
+        }
+        return requests < maxRequests && predictedMillis < firstEventLimitMillis(request);
+    }
+
+    /**
+     * Predicts the time until the first event of a request's response, in milliseconds, corrected by the recent delays
+     * of first events at the endpoint. Used to compare endpoints, not to decide about capacity: when links are
+     * saturated all endpoints are slow, and a request that waits for a fast one is certainly late.
+     */
+    static double predictedMillis(
+            RoutingRequest request, EndpointRegistration endpoint, EndpointLoad load, long nowMillis) {
+        if (request.model().isEmpty()) {
+            return load.requests(nowMillis) * PLAIN_MILLIS_PER_ROUND / endpoint.slots();
+        }
+        return modelledMillis(request, load, nowMillis) * load.firstEventDelay().factor(nowMillis);
+    }
+
+    /** Predicts the time until the first event from the service's model profile and the known load of the endpoint. */
+    private static double modelledMillis(RoutingRequest request, EndpointLoad load, long nowMillis) {
+        return firstEventMillis(
+                request.model().get(),
+                load.requests(nowMillis),
+                load.pendingPromptTokens(nowMillis) + request.promptTokens());
+    }
+
+    /** Predicts the time until the first event at an idle endpoint. */
+    private static double idleMillis(ModelProfile model, int promptTokens) {
+        return firstEventMillis(model, 0, promptTokens);
+    }
+
+    /**
+     * Predicts the time until the first event: the steps in progress, the prompts ahead and the request's own prompt,
+     * and its first steps.
+     */
+    private static double firstEventMillis(ModelProfile model, int requests, int promptTokens) {
+        double stepMillis = model.stepMillis() + model.stepMillisPerSequence() * requests;
+        double strideMillis = model.stride() * stepMillis;
+        return 2 * strideMillis + promptTokens / model.prefillTokensPerMilli();
+    }
+}
--- a/src/main/java/org/micabarrow/routing/EndpointLoad.java
+++ b/src/main/java/org/micabarrow/routing/EndpointLoad.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.micabarrow.limits.EndpointLimit;
+import org.micabarrow.limits.EndpointRateLimit;
 
 /**
  * What an entry knows about the load of one start of an endpoint: its own requests in flight there, the last report of
@@ -11,30 +11,30 @@
 public final class EndpointLoad {
 
     /** Time after which an agent's report is no longer used, in milliseconds. */
-    private static final long TOLD_MILLIS = 2_000;
-
-    private int requests;
-    private int waitingPromptTokens;
-    private LoadReport told = new LoadReport(0, 0, false, 0);
-    private int requestsWhenTold;
-    private long toldAtMillis = -TOLD_MILLIS - 1;
-    private long heardAtMillis;
-    private boolean unanswered;
-    private boolean startedAgain;
+    private static final long REPORT_EXPIRY_MILLIS = 2_000;
+
+    private int inFlight;
+    private int pendingPromptTokens;
+    private LoadReport report = new LoadReport(0, 0, false, 0);
+    private int inFlightWhenReported;
+    private long reportedAtMillis = -REPORT_EXPIRY_MILLIS - 1;
+    private long lastDataMillis;
+    private boolean queryUnanswered;
+    private boolean restarted;
     private long version;
-    private final LinkDelay link = new LinkDelay();
-    private final Failures failures = new Failures();
-    private final Rest rest = new Rest();
-    private final FirstEventDelay firstEvents = new FirstEventDelay();
-    private final EndpointLimit limit;
+    private final LinkLatency link = new LinkLatency();
+    private final FailureTracker failures = new FailureTracker();
+    private final Backoff backoff = new Backoff();
+    private final FirstEventDelay firstEventDelay = new FirstEventDelay();
+    private final EndpointRateLimit rateLimit;
 
     /**
      * Creates a load without requests and without a report.
      *
      * @param rateLimit the endpoint's rate limit, to be updated
      */
-    public EndpointLoad(EndpointLimit limit) {
-        this.limit = Objects.requireNonNull(limit, "limit is null");
+    public EndpointLoad(EndpointRateLimit rateLimit) {
+        this.rateLimit = Objects.requireNonNull(rateLimit, "rateLimit is null");
     }
 
     // -- own requests
@@ -44,9 +44,9 @@
      *
      * @param promptTokens the tokens of its prompt
      */
-    public void began(int promptTokens) {
-        requests++;
-        waitingPromptTokens += promptTokens;
+    public void requestSent(int promptTokens) {
+        inFlight++;
+        pendingPromptTokens += promptTokens;
     }
 
     /**
@@ -55,12 +55,12 @@
      * @param promptTokens the tokens of its prompt
      */
     public void promptRead(int promptTokens) {
-        waitingPromptTokens -= promptTokens;
+        pendingPromptTokens -= promptTokens;
     }
 
     /** Records that a request ended. */
-    public void ended() {
-        requests--;
+    public void requestEnded() {
+        inFlight--;
     }
 
     /**
@@ -69,7 +69,7 @@
      * @return true if all have ended
      */
     public boolean idle() {
-        return requests == 0;
+        return inFlight == 0;
     }
 
     /**
@@ -77,8 +77,8 @@
      *
      * @return the number of tokens
      */
-    public int ownPromptTokens() {
-        return waitingPromptTokens;
+    public int ownPendingPromptTokens() {
+        return pendingPromptTokens;
     }
 
     /**
@@ -87,8 +87,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return the number of tokens
      */
-    public int waitingPromptTokens(long nowMillis) {
-        return waitingPromptTokens + (toldLately(nowMillis) ? told.othersPromptTokens() : 0);
+    public int pendingPromptTokens(long nowMillis) {
+        return pendingPromptTokens + (hasRecentReport(nowMillis) ? report.othersPromptTokens() : 0);
     }
 
     /**
@@ -99,8 +99,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true if the last contact is older
      */
-    public boolean silent(long patienceMillis, long nowMillis) {
-        return agentSilent(patienceMillis, nowMillis) && nowMillis - heardAtMillis > patienceMillis;
+    public boolean unresponsive(long timeoutMillis, long nowMillis) {
+        return agentUnresponsive(timeoutMillis, nowMillis) && nowMillis - lastDataMillis > timeoutMillis;
     }
 
     /**
@@ -108,8 +108,8 @@
      *
      * @param nowMillis the time on the monotonic clock
      */
-    public void heard(long nowMillis) {
-        heardAtMillis = nowMillis;
+    public void dataReceived(long nowMillis) {
+        lastDataMillis = nowMillis;
     }
 
     // -- reports of the agent
@@ -121,22 +121,22 @@
      * @param delayMillis the time since the query was sent, in milliseconds
      * @param nowMillis the time on the monotonic clock
      */
-    public void told(LoadReport news, long delay, long nowMillis) {
-        told = news;
-        link.measured(delay, nowMillis);
-        requestsWhenTold = requests;
-        toldAtMillis = nowMillis;
-        unanswered = false;
-        startedAgain = false;
-        version = Math.max(version, news.version());
+    public void reported(LoadReport newReport, long delayMillis, long nowMillis) {
+        report = newReport;
+        link.measured(delayMillis, nowMillis);
+        inFlightWhenReported = inFlight;
+        reportedAtMillis = nowMillis;
+        queryUnanswered = false;
+        restarted = false;
+        version = Math.max(version, newReport.version());
     }
 
     /**
      * Records that the agent reported another start of the endpoint. Nothing known about this start is used until the
      * agent reports this start again.
      */
-    public void toldOfAnotherStart() {
-        startedAgain = true;
+    public void otherStartReported() {
+        restarted = true;
     }
 
     /**
@@ -144,13 +144,13 @@
      *
      * @return true until it reports this start
      */
-    public boolean startedAgain() {
-        return startedAgain;
+    public boolean restarted() {
+        return restarted;
     }
 
     /** Records that the agent did not reply to a query in time. */
-    public void notAnswered() {
-        unanswered = true;
+    public void queryTimedOut() {
+        queryUnanswered = true;
     }
 
     /**
@@ -158,8 +158,8 @@
      *
      * @return true until its next report
      */
-    public boolean unanswered() {
-        return unanswered;
+    public boolean hasUnansweredQuery() {
+        return queryUnanswered;
     }
 
     /**
@@ -168,7 +168,7 @@
      * @return false for an endpoint without an agent
      */
     public boolean hasAgent() {
-        return toldAtMillis >= 0;
+        return reportedAtMillis >= 0;
     }
 
     /**
@@ -177,8 +177,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true until the report expires
      */
-    public boolean toldLately(long nowMillis) {
-        return nowMillis - toldAtMillis <= TOLD_MILLIS;
+    public boolean hasRecentReport(long nowMillis) {
+        return nowMillis - reportedAtMillis <= REPORT_EXPIRY_MILLIS;
     }
 
     /**
@@ -187,8 +187,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds
      */
-    public long millisSinceTold(long nowMillis) {
-        return nowMillis - toldAtMillis;
+    public long millisSinceReport(long nowMillis) {
+        return nowMillis - reportedAtMillis;
     }
 
     /**
@@ -199,8 +199,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true if the last report is older
      */
-    public boolean agentSilent(long patienceMillis, long nowMillis) {
-        return hasAgent() && nowMillis - toldAtMillis > patienceMillis;
+    public boolean agentUnresponsive(long timeoutMillis, long nowMillis) {
+        return hasAgent() && nowMillis - reportedAtMillis > timeoutMillis;
     }
 
     /**
@@ -209,8 +209,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true if the agent's last reply has not expired and was late
      */
-    public boolean delayed(long nowMillis) {
-        return toldLately(nowMillis) && link.slow();
+    public boolean linkSlow(long nowMillis) {
+        return hasRecentReport(nowMillis) && link.slow();
     }
 
     /**
@@ -219,8 +219,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true for a while after each late reply of its agent
      */
-    public boolean delayedLately(long nowMillis) {
-        return link.slowLately(nowMillis);
+    public boolean linkRecentlySlow(long nowMillis) {
+        return link.recentlySlow(nowMillis);
     }
 
     /**
@@ -228,8 +228,8 @@
      *
      * @param responseVersion the version
      */
-    public void answeredBy(long answered) {
-        version = Math.max(version, answered);
+    public void respondedWithVersion(long responseVersion) {
+        version = Math.max(version, responseVersion);
     }
 
     /**
@@ -248,7 +248,7 @@
      * @return true if its agent reported so recently
      */
     public boolean loading(long nowMillis) {
-        return told.loading() && toldLately(nowMillis);
+        return report.loading() && hasRecentReport(nowMillis);
     }
 
     /**
@@ -257,8 +257,8 @@
      *
      * @return true if its agent reported so
      */
-    public boolean toldThatItLeaves() {
-        return told.leaving() && !startedAgain;
+    public boolean reportedDraining() {
+        return report.draining() && !restarted;
     }
 
     /**
@@ -269,7 +269,9 @@
      * @return at least the number of this entry's own requests
      */
     public int requests(long nowMillis) {
-        return toldLately(nowMillis) ? Math.max(requests, told.requests() + requests - requestsWhenTold) : requests;
+        return hasRecentReport(nowMillis)
+                ? Math.max(inFlight, report.requests() + inFlight - inFlightWhenReported)
+                : inFlight;
     }
 
     /**
@@ -280,8 +282,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true also if the agent does not allot slots or has not reported recently
      */
-    public boolean ownsPlace(long nowMillis) {
-        return !toldLately(nowMillis) || requests - requestsWhenTold < told.places();
+    public boolean hasAllottedSlot(long nowMillis) {
+        return !hasRecentReport(nowMillis) || inFlight - inFlightWhenReported < report.allottedSlots();
     }
 
     // -- backoff
@@ -291,8 +293,8 @@
      *
      * @return the mutable backoff
      */
-    public Rest rest() {
-        return rest;
+    public Backoff backoff() {
+        return backoff;
     }
 
     /**
@@ -301,8 +303,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return false during the backoff, and after it while the ramp-up limit is reached
      */
-    public boolean restAllows(long nowMillis) {
-        return rest.allows(requests, nowMillis);
+    public boolean backoffAllows(long nowMillis) {
+        return backoff.allows(inFlight, nowMillis);
     }
 
     // -- rate limit
@@ -312,8 +314,8 @@
      *
      * @return the mutable rate limit
      */
-    public EndpointLimit limit() {
-        return limit;
+    public EndpointRateLimit rateLimit() {
+        return rateLimit;
     }
 
     /**
@@ -322,8 +324,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return true also if there is no rate limit
      */
-    public boolean limitAllows(long nowMillis) {
-        return limit.allows(toldLately(nowMillis), nowMillis);
+    public boolean rateLimitAllows(long nowMillis) {
+        return rateLimit.allows(hasRecentReport(nowMillis), nowMillis);
     }
 
     /**
@@ -332,8 +334,8 @@
      * @param nowMillis the time on the monotonic clock
      * @return milliseconds, 0 also if there is no rate limit; empty if the limit is left to other entries
      */
-    public OptionalLong untilLimitAllowsMillis(long nowMillis) {
-        return limit.untilNextMillis(toldLately(nowMillis), nowMillis);
+    public OptionalLong untilRateLimitAllowsMillis(long nowMillis) {
+        return rateLimit.untilNextRequestMillis(hasRecentReport(nowMillis), nowMillis);
     }
 
     // -- first events
@@ -343,8 +345,8 @@
      *
      * @return the mutable measurement
      */
-    public FirstEventDelay firstEvents() {
-        return firstEvents;
+    public FirstEventDelay firstEventDelay() {
+        return firstEventDelay;
     }
 
     // -- failures
@@ -354,7 +356,7 @@
      *
      * @return the mutable failures
      */
-    public Failures failures() {
+    public FailureTracker failures() {
         return failures;
     }
 }
--- a/src/main/java/org/micabarrow/routing/EndpointEntry.java
+++ b/src/main/java/org/micabarrow/routing/EndpointRegistration.java
@@ -19,25 +19,25 @@
  * @param writeCount a count that rises with each write of the registration since the start; empty if it does not report
  *     it
  */
-public record EndpointEntry(
+public record EndpointRegistration(
         String id,
         String service,
         String address,
         String dataHall,
         int slots,
-        boolean leaving,
+        boolean draining,
         Map<String, Long> models,
         int layers,
         OptionalLong startedMillis,
-        OptionalLong writes) {
+        OptionalLong writeCount) {
 
     /** Copies the models. */
-    public EndpointEntry {
+    public EndpointRegistration {
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(service, "service is null");
         Objects.requireNonNull(address, "address is null");
         Objects.requireNonNull(startedMillis, "startedMillis is null");
-        Objects.requireNonNull(writes, "writes is null");
+        Objects.requireNonNull(writeCount, "writeCount is null");
         models = Map.copyOf(models);
     }
 
@@ -54,17 +54,18 @@
      * @param layers the number of layers it held then; the greatest number if it does not report them
      * @return its registration
      */
-    public static EndpointEntry of(
+    public static EndpointRegistration of(
             String id,
             String service,
             String address,
             String dataHall,
             int slots,
-            boolean leaving,
+            boolean draining,
             Map<String, Long> models,
             int layers) {
-        OptionalLong untold = OptionalLong.empty();
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, untold, untold);
+        OptionalLong unknown = OptionalLong.empty();
+        return new EndpointRegistration(
+                id, service, address, dataHall, slots, draining, models, layers, unknown, unknown);
     }
 
     /**
@@ -73,12 +74,14 @@
      * @param millis the Unix time of the endpoint's start in milliseconds; empty if it does not report it
      * @return the copy
      */
-    public EndpointEntry withStart(OptionalLong millis) {
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, millis, writes);
+    public EndpointRegistration withStart(OptionalLong millis) {
+        return new EndpointRegistration(
+                id, service, address, dataHall, slots, draining, models, layers, millis, writeCount);
     }
 
-    private EndpointEntry withWrites(OptionalLong count) {
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, startedMillis, count);
+    private EndpointRegistration withWriteCount(OptionalLong count) {
+        return new EndpointRegistration(
+                id, service, address, dataHall, slots, draining, models, layers, startedMillis, count);
     }
 
     /**
@@ -87,8 +90,8 @@
      * @param other the other registration
      * @return true if they differ by their write counts at most
      */
-    public boolean saysTheSameAs(EndpointEntry other) {
-        return equals(other.withWrites(writes));
+    public boolean sameContentAs(EndpointRegistration other) {
+        return equals(other.withWriteCount(writeCount));
     }
 
     /**
--- a/src/main/java/org/micabarrow/routing/Choice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointSelection.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /** The result of selecting an endpoint for a request. */
-public sealed interface Choice {
+public sealed interface EndpointSelection {
 
     /**
      * An endpoint was selected.
@@ -11,14 +11,14 @@
      * @param endpoint the endpoint to send the request to
      * @param predictedMillis the predicted time until its first event, in milliseconds
      */
-    record Send(EndpointEntry endpoint, double predictedMillis) implements Choice {}
+    record Selected(EndpointRegistration endpoint, double predictedMillis) implements EndpointSelection {}
 
     /**
      * All eligible endpoints are full.
      *
      * @param endpoints the number of eligible endpoints
      */
-    record Full(int endpoints) implements Choice {}
+    record Full(int endpoints) implements EndpointSelection {}
 
     /**
      * All eligible endpoints are in backoff.
@@ -26,7 +26,7 @@
      * @param endpoints the number of eligible endpoints
      * @param millis the time until the first backoff ends, in milliseconds
      */
-    record Resting(int endpoints, long millis) implements Choice {}
+    record BackingOff(int endpoints, long millis) implements EndpointSelection {}
 
     /**
      * This entry has used up its quota share at all eligible endpoints.
@@ -35,8 +35,8 @@
      * @param millis the time until one of them may be sent another request, in milliseconds; empty if their rate limits
      *     are left entirely to other entries
      */
-    record Limited(int endpoints, OptionalLong millis) implements Choice {}
+    record RateLimited(int endpoints, OptionalLong millis) implements EndpointSelection {}
 
     /** No endpoint is eligible. */
-    record None() implements Choice {}
+    record NoneEligible() implements EndpointSelection {}
 }
--- /dev/null
+++ b/src/main/java/org/micabarrow/routing/EndpointSelector.java
@@ -0,0 +1,362 @@
+package org.micabarrow.routing;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.random.RandomGenerator;
+import java.util.stream.Collectors;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
+
+/**
+ * Selects the endpoint with the shortest predicted time to the first event, with a preference for the entry's own
+ * region. Selects none if the objective cannot be met. Not thread-safe: confined to one thread.
+ */
+public final class EndpointSelector {
+
+    /**
+     * Penalty for sending a request to another region, in milliseconds of delay. Traffic between regions is billed;
+     * relative to the value of a request its price corresponds to a few hundredths of the objective.
+     */
+    private static final double OTHER_REGION_PENALTY_MILLIS = 60;
+
+    /**
+     * Time without contact after which an endpoint of the entry's own region is passed over, in milliseconds: two lost
+     * queries.
+     */
+    private static final long OWN_REGION_CONTACT_TIMEOUT_MILLIS = 400;
+
+    /** As above for other regions, whose agents are queried less often. */
+    private static final long OTHER_REGION_CONTACT_TIMEOUT_MILLIS = 1_000;
+
+    private final Map<EndpointStart, EndpointLoad> loads = new HashMap<>();
+    private final DrainingEndpoints draining = new DrainingEndpoints();
+    private final UnmetDemand unmetDemand = new UnmetDemand();
+    private final EntryCount entryCount = new EntryCount();
+    private final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
+    private final Map<String, String> regions;
+    private final String region;
+
+    /**
+     * Creates a selector without any load information.
+     *
+     * @param region the entry's region
+     * @param regions the region of each data hall
+     */
+    public EndpointSelector(String region, Map<String, String> regions) {
+        this.region = Objects.requireNonNull(region, "region is null");
+        this.regions = Map.copyOf(regions);
+    }
+
+    /**
+     * Returns the load of one start of an endpoint. Load of earlier starts does not carry over.
+     *
+     * @param start the endpoint's start
+     * @return its mutable load
+     */
+    public EndpointLoad load(EndpointStart start) {
+        return loads.computeIfAbsent(
+                start, key -> new EndpointLoad(new EndpointRateLimit(key.id(), entryCount, random)));
+    }
+
+    /**
+     * Returns the load of an endpoint that does not report its start time.
+     *
+     * @param id the endpoint's id
+     * @return its mutable load
+     */
+    public EndpointLoad load(String id) {
+        return load(EndpointStart.ofUnknownTime(id));
+    }
+
+    /**
+     * Returns whether requests of this entry are in flight at an endpoint.
+     *
+     * @param start the endpoint's start
+     * @return false if there are none, or the endpoint is unknown
+     */
+    public boolean hasRequestsInFlight(EndpointStart start) {
+        EndpointLoad load = loads.get(start);
+        return load != null && !load.idle();
+    }
+
+    /**
+     * Forgets endpoints that are no longer listed or have restarted, once no request is in flight there. Endpoints with
+     * requests in flight are kept, so that their unresponsiveness can still be detected.
+     *
+     * @param present the listed endpoints
+     */
+    public void retainOnly(Collection<EndpointRegistration> present) {
+        Set<EndpointStart> starts =
+                present.stream().map(EndpointRegistration::start).collect(Collectors.toSet());
+        loads.entrySet()
+                .removeIf(entry ->
+                        !starts.contains(entry.getKey()) && entry.getValue().idle());
+    }
+
+    // -- draining
+
+    /**
+     * Records that an endpoint stated in a response that it is draining.
+     *
+     * @param start the endpoint's start
+     * @return false if this was recorded before
+     */
+    public boolean markDraining(EndpointStart start) {
+        return draining.add(start);
+    }
+
+    /**
+     * Returns whether an endpoint accepts no new requests, according to its registration, its responses or its agent.
+     *
+     * @param endpoint the endpoint
+     * @return true if any of them says so
+     */
+    public boolean isDraining(EndpointRegistration endpoint) {
+        return isDraining(withLoad(endpoint));
+    }
+
+    private boolean isDraining(EndpointCandidate candidate) {
+        return candidate.endpoint().draining()
+                || draining.contains(candidate.endpoint().start())
+                || candidate.load().reportedDraining();
+    }
+
+    /**
+     * Returns the recent demand that this entry could not serve for lack of capacity.
+     *
+     * @return the mutable count of refused model requests
+     */
+    public UnmetDemand unmetDemand() {
+        return unmetDemand;
+    }
+
+    /**
+     * Returns the number of entries among which rate limits are divided.
+     *
+     * @return the mutable count, as reported by agents
+     */
+    public EntryCount entryCount() {
+        return entryCount;
+    }
+
+    // -- selection
+
+    /**
+     * Returns whether an endpoint's rate limit allows this entry a request now.
+     *
+     * @param endpoint the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return true also if the endpoint has no rate limit
+     */
+    public boolean withinRateLimit(EndpointRegistration endpoint, long nowMillis) {
+        return withLoad(endpoint).withinRateLimit(nowMillis);
+    }
+
+    /**
+     * Selects an endpoint.
+     *
+     * @param candidates the service's endpoints
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return the selection
+     */
+    public EndpointSelection select(List<EndpointRegistration> candidates, RoutingRequest request, long nowMillis) {
+        List<EndpointCandidate> all = withLoad(candidates);
+        List<EndpointCandidate> eligible =
+                EndpointCandidate.filter(all, candidate -> eligible(candidate, request, nowMillis));
+        OptionalLong untilBackoffEnds = EndpointCandidate.untilBackoffEndsMillis(eligible, nowMillis);
+        if (untilBackoffEnds.isPresent()) {
+            return new EndpointSelection.BackingOff(eligible.size(), untilBackoffEnds.getAsLong());
+        }
+        List<EndpointCandidate> available =
+                EndpointCandidate.filter(eligible, candidate -> !candidate.inBackoff(nowMillis));
+        List<EndpointCandidate> withinLimit =
+                EndpointCandidate.filter(available, candidate -> candidate.withinRateLimit(nowMillis));
+        if (withinLimit.isEmpty() && !available.isEmpty()) {
+            return new EndpointSelection.RateLimited(
+                    available.size(), EndpointCandidate.untilRateLimitAllowsMillis(available, nowMillis));
+        }
+        List<EndpointCandidate> pool = pool(all, withinLimit, nowMillis);
+        return pool.isEmpty() ? new EndpointSelection.NoneEligible() : selectFastest(pool, request, nowMillis);
+    }
+
+    /** Selects the endpoint with the shortest predicted time to the first event among those with capacity. */
+    private EndpointSelection selectFastest(List<EndpointCandidate> pool, RoutingRequest request, long nowMillis) {
+        EndpointSelection best = new EndpointSelection.Full(pool.size());
+        double lowestCost = Double.POSITIVE_INFINITY;
+        for (EndpointCandidate candidate : pool) {
+            if (EndpointCapacity.hasCapacity(request, candidate.endpoint(), candidate.load(), nowMillis)) {
+                double predictedMillis =
+                        EndpointCapacity.predictedMillis(request, candidate.endpoint(), candidate.load(), nowMillis);
+                double cost = predictedMillis + regionPenaltyMillis(candidate.endpoint());
+                if (cost < lowestCost) {
+                    lowestCost = cost;
+                    best = new EndpointSelection.Selected(candidate.endpoint(), predictedMillis);
+                }
+            }
+        }
+        return best;
+    }
+
+    private EndpointCandidate withLoad(EndpointRegistration endpoint) {
+        return new EndpointCandidate(endpoint, load(endpoint.start()));
+    }
+
+    private List<EndpointCandidate> withLoad(List<EndpointRegistration> endpoints) {
+        List<EndpointCandidate> all = new ArrayList<>(endpoints.size());
+        endpoints.forEach(endpoint -> all.add(withLoad(endpoint)));
+        return all;
+    }
+
+    /**
+     * Returns whether an endpoint has asked this process for a backoff that is still active.
+     *
+     * @param endpoint the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the backoff ends
+     */
+    public boolean inBackoff(EndpointRegistration endpoint, long nowMillis) {
+        return withLoad(endpoint).inBackoff(nowMillis);
+    }
+
+    /**
+     * Returns the time until the first of the eligible endpoints ends its backoff.
+     *
+     * @param candidates a service's endpoints
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds; empty if an eligible endpoint is not in backoff, or none is eligible
+     */
+    public OptionalLong untilBackoffEndsMillis(
+            List<EndpointRegistration> candidates, RoutingRequest request, long nowMillis) {
+        return EndpointCandidate.untilBackoffEndsMillis(
+                EndpointCandidate.filter(withLoad(candidates), candidate -> eligible(candidate, request, nowMillis)),
+                nowMillis);
+    }
+
+    /**
+     * Returns the endpoints to select from. Endpoints with failures or a slow link are used only if there are no
+     * others. Unresponsive endpoints are used only if there is no recent contact with any endpoint of the service: then
+     * it is more likely that this entry itself is cut off.
+     */
+    private List<EndpointCandidate> pool(
+            List<EndpointCandidate> candidates, List<EndpointCandidate> eligible, long nowMillis) {
+        List<EndpointCandidate> responsive =
+                EndpointCandidate.filter(eligible, candidate -> !unresponsive(candidate, nowMillis));
+        List<EndpointCandidate> healthy =
+                EndpointCandidate.filter(responsive, candidate -> candidate.healthy(nowMillis));
+        if (!healthy.isEmpty()) {
+            return healthy;
+        }
+        boolean anyRecentReport =
+                candidates.stream().anyMatch(candidate -> candidate.load().hasRecentReport(nowMillis));
+        return anyRecentReport || !responsive.isEmpty() ? responsive : eligible;
+    }
+
+    /**
+     * Returns whether contact with an endpoint is lost.
+     *
+     * @param endpoint the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return true if its agent has reported before, and neither the endpoint nor its agent has been heard from within
+     *     the timeout
+     */
+    public boolean unresponsive(EndpointRegistration endpoint, long nowMillis) {
+        return unresponsive(withLoad(endpoint), nowMillis);
+    }
+
+    private boolean unresponsive(EndpointCandidate candidate, long nowMillis) {
+        return candidate.load().unresponsive(contactTimeoutMillis(candidate.endpoint()), nowMillis);
+    }
+
+    private long contactTimeoutMillis(EndpointRegistration endpoint) {
+        return inOwnRegion(endpoint) ? OWN_REGION_CONTACT_TIMEOUT_MILLIS : OTHER_REGION_CONTACT_TIMEOUT_MILLIS;
+    }
+
+    /**
+     * Returns whether an endpoint's agent must be queried before a request is sent there. An endpoint that still holds
+     * an older version than the newest announced one must not get requests that it could start after that version's
+     * deadline: while its instance is paused, requests queue up in front of it, and only resetting their connections
+     * withdraws them.
+     *
+     * @param endpoint the endpoint
+     * @param request the request to send
+     * @return whether the endpoint holds an older version and has an agent
+     */
+    public boolean mustQueryAgent(EndpointRegistration endpoint, RoutingRequest request) {
+        return load(endpoint.start()).hasAgent()
+                && request.model()
+                        .filter(model -> withLoad(endpoint).version(model) < request.newestVersion())
+                        .isPresent();
+    }
+
+    /**
+     * Returns whether an endpoint may get a request at all, regardless of its load.
+     *
+     * @param endpoint the endpoint
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return false if it is draining, was tried, or does not hold a version that may respond
+     */
+    public boolean eligible(EndpointRegistration endpoint, RoutingRequest request, long nowMillis) {
+        return eligible(withLoad(endpoint), request, nowMillis);
+    }
+
+    private boolean eligible(EndpointCandidate candidate, RoutingRequest request, long nowMillis) {
+        if (isDraining(candidate)
+                || request.triedEndpoints().contains(candidate.endpoint().id())) {
+            return false;
+        }
+        if (request.model().isEmpty()) {
+            return true;
+        }
+        long heldVersion = candidate.version(request.model().get());
+        EndpointLoad load = candidate.load();
+        // Requests delayed by a slow link may arrive when the older version may no longer respond.
+        boolean linkUncertain = load.hasUnansweredQuery()
+                || load.linkRecentlySlow(nowMillis)
+                || load.agentUnresponsive(contactTimeoutMillis(candidate.endpoint()), nowMillis);
+        boolean mayArriveTooLate = heldVersion < request.newestVersion() && linkUncertain;
+        return heldVersion > 0
+                && heldVersion >= request.minVersion()
+                && !mayArriveTooLate
+                && !load.restarted()
+                && !load.loading(nowMillis);
+    }
+
+    /**
+     * Returns whether an endpoint is ejected because of recent failures. Ejected endpoints are used only if there are
+     * no others.
+     *
+     * @param endpoint the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the ejection ends
+     */
+    public boolean ejected(EndpointRegistration endpoint, long nowMillis) {
+        return load(endpoint.start()).failures().ejected(nowMillis);
+    }
+
+    /**
+     * Returns how long a request may wait for a free slot and still meet its objective.
+     *
+     * @param request the request to send
+     * @return milliseconds; 0 or less if it must not wait
+     */
+    public long maxSlotWaitMillis(RoutingRequest request) {
+        return EndpointCapacity.maxSlotWaitMillis(request);
+    }
+
+    private double regionPenaltyMillis(EndpointRegistration endpoint) {
+        return inOwnRegion(endpoint) ? 0 : OTHER_REGION_PENALTY_MILLIS;
+    }
+
+    private boolean inOwnRegion(EndpointRegistration endpoint) {
+        return region.equals(regions.get(endpoint.dataHall()));
+    }
+}
--- a/src/main/java/org/micabarrow/routing/EndpointStart.java
+++ b/src/main/java/org/micabarrow/routing/EndpointStart.java
@@ -17,7 +17,7 @@
      * Number of distinct tokens. It keeps tokens to six digits, since traffic between regions is billed. Two starts of
      * an endpoint share a token if they are an exact multiple of 1,000 s apart, to the millisecond.
      */
-    private static final int TOKENS = 1_000_000;
+    private static final int TOKEN_COUNT = 1_000_000;
 
     public EndpointStart {
         Objects.requireNonNull(id, "id is null");
@@ -30,7 +30,7 @@
      * @param id the endpoint's id
      * @return the only start known for this endpoint
      */
-    public static EndpointStart untold(String id) {
+    public static EndpointStart ofUnknownTime(String id) {
         return new EndpointStart(id, OptionalLong.empty());
     }
 
@@ -43,7 +43,7 @@
     public static OptionalInt token(OptionalLong startedMillis) {
         return startedMillis.isEmpty()
                 ? OptionalInt.empty()
-                : OptionalInt.of(Math.floorMod(startedMillis.getAsLong(), TOKENS));
+                : OptionalInt.of(Math.floorMod(startedMillis.getAsLong(), TOKEN_COUNT));
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param token the token reported by an agent; empty if its endpoint does not report its start time
      * @return true also if the token or the start time is not reported
      */
-    public boolean mayBe(OptionalInt token) {
+    public boolean mayHaveToken(OptionalInt token) {
         OptionalInt own = token(startedMillis);
         return own.isEmpty() || token.isEmpty() || own.equals(token);
     }
--- a/src/main/java/org/micabarrow/routing/Failures.java
+++ b/src/main/java/org/micabarrow/routing/FailureTracker.java
@@ -4,31 +4,31 @@
  * Tracks the failures of recent requests at an endpoint and ejects it for a while because of them. Not thread-safe:
  * confined to one thread.
  */
-public final class Failures {
+public final class FailureTracker {
 
     /**
      * Duration of the ejection after the first of consecutive connection failures, in milliseconds; doubled by each
      * further one.
      */
-    private static final long FIRST_EXCLUSION_MILLIS = 1_000;
+    private static final long INITIAL_EJECTION_MILLIS = 1_000;
 
     /** Longest ejection, in milliseconds: a recovered endpoint gets traffic again within this time. */
-    private static final long LONGEST_EXCLUSION_MILLIS = 8_000;
+    private static final long MAX_EJECTION_MILLIS = 8_000;
 
     /** Weight of the newest response in the smoothed failure ratio. */
     private static final double FAILURE_SMOOTHING = 0.15;
 
     /** Failure ratio above which an endpoint is ejected: well above the error ratio of healthy services. */
-    private static final double FAILURE_SHARE = 0.5;
+    private static final double MAX_FAILURE_RATIO = 0.5;
 
-    private int inARow;
-    private double share;
-    private long excludedUntilMillis = Long.MIN_VALUE;
+    private int consecutiveFailures;
+    private double failureRatio;
+    private long ejectedUntilMillis = Long.MIN_VALUE;
 
     /** Records a response that may be passed on. */
     public void succeeded() {
-        inARow = 0;
-        share *= 1 - FAILURE_SMOOTHING;
+        consecutiveFailures = 0;
+        failureRatio *= 1 - FAILURE_SMOOTHING;
     }
 
     /**
@@ -36,10 +36,10 @@
      *
      * @param nowMillis the time on the monotonic clock
      */
-    public void broke(long nowMillis) {
-        long exclusion = FIRST_EXCLUSION_MILLIS << Math.min(inARow, 3);
-        inARow++;
-        excludedUntilMillis = nowMillis + Math.min(exclusion, LONGEST_EXCLUSION_MILLIS);
+    public void connectionFailed(long nowMillis) {
+        long ejectionMillis = INITIAL_EJECTION_MILLIS << Math.min(consecutiveFailures, 3);
+        consecutiveFailures++;
+        ejectedUntilMillis = nowMillis + Math.min(ejectionMillis, MAX_EJECTION_MILLIS);
     }
 
     /**
@@ -47,10 +47,10 @@
      *
      * @param nowMillis the time on the monotonic clock
      */
-    public void failed(long nowMillis) {
-        share += (1 - share) * FAILURE_SMOOTHING;
-        if (share > FAILURE_SHARE) {
-            excludedUntilMillis = nowMillis + FIRST_EXCLUSION_MILLIS;
+    public void errorReceived(long nowMillis) {
+        failureRatio += (1 - failureRatio) * FAILURE_SMOOTHING;
+        if (failureRatio > MAX_FAILURE_RATIO) {
+            ejectedUntilMillis = nowMillis + INITIAL_EJECTION_MILLIS;
         }
     }
 
@@ -61,7 +61,7 @@
      * @param nowMillis the time on the monotonic clock
      */
     public void misdirected(long nowMillis) {
-        excludedUntilMillis = Math.max(excludedUntilMillis, nowMillis + FIRST_EXCLUSION_MILLIS);
+        ejectedUntilMillis = Math.max(ejectedUntilMillis, nowMillis + INITIAL_EJECTION_MILLIS);
     }
 
     /**
@@ -70,7 +70,7 @@
      * @param nowMillis the time on the monotonic clock
      * @return true until the ejection ends
      */
-    public boolean excluded(long nowMillis) {
-        return nowMillis < excludedUntilMillis;
+    public boolean ejected(long nowMillis) {
+        return nowMillis < ejectedUntilMillis;
     }
 }
--- a/src/main/java/org/micabarrow/routing/FirstEventDelay.java
+++ b/src/main/java/org/micabarrow/routing/FirstEventDelay.java
@@ -15,16 +15,16 @@
      * Decay time of past measurements, in milliseconds: an endpoint that gets no requests because it was slow is tried
      * again after a few seconds.
      */
-    private static final double MEMORY_MILLIS = 2_000;
+    private static final double DECAY_MILLIS = 2_000;
 
     /**
      * Upper bound of the factor's logarithm, so that a single response does not exclude an endpoint for longer than it
      * is remembered.
      */
-    private static final double MOST_LOG = 2;
+    private static final double MAX_LOG_FACTOR = 2;
 
     private double logFactor;
-    private long atMillis;
+    private long updatedAtMillis;
 
     /** Creates a measurement that corrects nothing. */
     public FirstEventDelay() {}
@@ -38,8 +38,8 @@
      */
     public void observed(double predictedMillis, long tookMillis, long nowMillis) {
         double error = Math.log(Math.max(1, tookMillis) / Math.max(1, predictedMillis));
-        logFactor = Math.clamp(logFactor(nowMillis) + NEWEST_WEIGHT * error, 0, MOST_LOG);
-        atMillis = nowMillis;
+        logFactor = Math.clamp(logFactor(nowMillis) + NEWEST_WEIGHT * error, 0, MAX_LOG_FACTOR);
+        updatedAtMillis = nowMillis;
     }
 
     /**
@@ -53,6 +53,6 @@
     }
 
     private double logFactor(long nowMillis) {
-        return logFactor * Math.exp(-(nowMillis - atMillis) / MEMORY_MILLIS);
+        return logFactor * Math.exp(-(nowMillis - updatedAtMillis) / DECAY_MILLIS);
     }
 }
--- a/src/main/java/org/micabarrow/routing/LinkDelay.java
+++ b/src/main/java/org/micabarrow/routing/LinkLatency.java
@@ -1,7 +1,7 @@
 package org.micabarrow.routing;
 
 /** Measures the round-trip time to an endpoint by the replies of its agent. Not thread-safe: confined to one thread. */
-final class LinkDelay {
+final class LinkLatency {
 
     /**
      * Round-trip time above which a link is slow, in milliseconds: about one objective, so that no response could be in
@@ -13,14 +13,14 @@
      * Time after a slow reply during which the link may become slow again, in milliseconds. A narrow link is fast
      * between two chunks of weights, and each chunk fills it for a second.
      */
-    private static final long SLOW_AGAIN_MILLIS = 3_000;
+    private static final long SLOW_MEMORY_MILLIS = 3_000;
 
-    private long lastMillis;
-    private long lastSlowMillis = -SLOW_AGAIN_MILLIS - 1;
+    private long lastDelayMillis;
+    private long lastSlowMillis = -SLOW_MEMORY_MILLIS - 1;
 
     /** Records the delay between a query and its reply. */
     void measured(long delayMillis, long nowMillis) {
-        lastMillis = delayMillis;
+        lastDelayMillis = delayMillis;
         if (delayMillis > SLOW_MILLIS) {
             lastSlowMillis = nowMillis;
         }
@@ -28,11 +28,11 @@
 
     /** Returns whether the last reply was late. */
     boolean slow() {
-        return lastMillis > SLOW_MILLIS;
+        return lastDelayMillis > SLOW_MILLIS;
     }
 
     /** Returns whether a reply was late recently. */
-    boolean slowLately(long nowMillis) {
-        return nowMillis - lastSlowMillis <= SLOW_AGAIN_MILLIS;
+    boolean recentlySlow(long nowMillis) {
+        return nowMillis - lastSlowMillis <= SLOW_MEMORY_MILLIS;
     }
 }
--- a/src/main/java/org/micabarrow/routing/LoadReport.java
+++ b/src/main/java/org/micabarrow/routing/LoadReport.java
@@ -18,12 +18,12 @@
         int othersPromptTokens,
         boolean loading,
         long version,
-        int places,
+        int allottedSlots,
         OptionalInt start,
-        boolean leaving) {
+        boolean draining) {
 
     /** Value of {@link #allottedSlots} if an agent does not allot slots: all free slots may be used. */
-    public static final int ANY_PLACES = Integer.MAX_VALUE;
+    public static final int UNLIMITED_SLOTS = Integer.MAX_VALUE;
 
     /**
      * Creates the report of an endpoint that is not draining.
@@ -36,8 +36,8 @@
      * @param start identifies the endpoint's start, see {@link EndpointStart#token}
      */
     public LoadReport(
-            int requests, int othersPromptTokens, boolean loading, long version, int places, OptionalInt start) {
-        this(requests, othersPromptTokens, loading, version, places, start, false);
+            int requests, int othersPromptTokens, boolean loading, long version, int allottedSlots, OptionalInt start) {
+        this(requests, othersPromptTokens, loading, version, allottedSlots, start, false);
     }
 
     /**
@@ -49,7 +49,7 @@
      * @param version the weight version it holds; 0 for none
      */
     public LoadReport(int requests, int othersPromptTokens, boolean loading, long version) {
-        this(requests, othersPromptTokens, loading, version, ANY_PLACES);
+        this(requests, othersPromptTokens, loading, version, UNLIMITED_SLOTS);
     }
 
     /**
@@ -61,8 +61,8 @@
      * @param version the weight version it holds; 0 for none
      * @param allottedSlots the free slots of the endpoint that are allotted to this entry until the next report
      */
-    public LoadReport(int requests, int othersPromptTokens, boolean loading, long version, int places) {
-        this(requests, othersPromptTokens, loading, version, places, OptionalInt.empty());
+    public LoadReport(int requests, int othersPromptTokens, boolean loading, long version, int allottedSlots) {
+        this(requests, othersPromptTokens, loading, version, allottedSlots, OptionalInt.empty());
     }
 
     /**
@@ -72,7 +72,7 @@
      * @param slots the number of free slots allotted to the entry
      * @return the report for the entry
      */
-    public LoadReport to(int others, int dealt) {
-        return new LoadReport(requests, others, loading, version, dealt, start, leaving);
+    public LoadReport forEntry(int otherPromptTokens, int slots) {
+        return new LoadReport(requests, otherPromptTokens, loading, version, slots, start, draining);
     }
 }
--- a/src/main/java/org/micabarrow/routing/Route.java
+++ b/src/main/java/org/micabarrow/routing/Route.java
@@ -21,7 +21,7 @@
         String name,
         String host,
         String pathPrefix,
-        List<Share> shares,
+        List<WeightedService> weightedServices,
         RequestKind kind,
         long timeoutMillis,
         long objectiveMillis,
@@ -35,7 +35,7 @@
         Objects.requireNonNull(host, "host is null");
         Objects.requireNonNull(pathPrefix, "pathPrefix is null");
         Objects.requireNonNull(kind, "kind is null");
-        shares = List.copyOf(shares);
+        weightedServices = List.copyOf(weightedServices);
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param service the service
      * @param weight its weight relative to the other services
      */
-    public record Share(String service, double weight) {}
+    public record WeightedService(String service, double weight) {}
 
     /**
      * Selects a service at random in proportion to the weights.
@@ -52,15 +52,16 @@
      * @param draw a random number from 0 (inclusive) to 1 (exclusive)
      * @return the service
      */
-    public String service(double draw) {
-        double total = shares.stream().mapToDouble(Share::weight).sum();
-        double left = draw * total;
-        for (Share share : shares) {
-            left -= share.weight();
-            if (left < 0) {
-                return share.service();
+    public String selectService(double draw) {
+        double total =
+                weightedServices.stream().mapToDouble(WeightedService::weight).sum();
+        double remaining = draw * total;
+        for (WeightedService candidate : weightedServices) {
+            remaining -= candidate.weight();
+            if (remaining < 0) {
+                return candidate.service();
             }
         }
-        return shares.getLast().service();
+        return weightedServices.getLast().service();
     }
 }
--- a/src/main/java/org/micabarrow/routing/RouteManifest.java
+++ b/src/main/java/org/micabarrow/routing/RouteManifest.java
@@ -15,7 +15,7 @@
     private final Map<String, List<Route>> routesByHost;
     private final Map<String, Service> services;
     private final Map<String, KeyOwner> owners;
-    private final boolean keysNeeded;
+    private final boolean keysRequired;
     private final long maxBodyBytes;
 
     private RouteManifest(Parts parts) {
@@ -23,7 +23,7 @@
         this.routesByHost = byHost(parts.routes());
         this.services = Map.copyOf(parts.services());
         this.owners = Map.copyOf(parts.owners());
-        this.keysNeeded = parts.keysNeeded();
+        this.keysRequired = parts.keysRequired();
         this.maxBodyBytes = parts.maxBodyBytes();
     }
 
@@ -42,7 +42,7 @@
             List<Route> routes,
             Map<String, Service> services,
             Map<String, KeyOwner> owners,
-            boolean keysNeeded,
+            boolean keysRequired,
             long maxBodyBytes) {}
 
     /**
@@ -53,7 +53,7 @@
      * @param model the profile of its model, empty for plain services
      * @param origin the host and port of the origin of weights, empty for all other services
      */
-    public record Service(String name, int maxConnections, Optional<ModelService> model, Optional<String> origin) {}
+    public record Service(String name, int maxConnections, Optional<ModelProfile> model, Optional<String> origin) {}
 
     /**
      * The owner of a key.
@@ -74,13 +74,13 @@
     }
 
     private static Map<String, List<Route>> byHost(List<Route> routes) {
-        Map<String, List<Route>> all = new HashMap<>();
+        Map<String, List<Route>> grouped = new HashMap<>();
         routes.forEach(route ->
-                all.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route));
+                grouped.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route));
         Comparator<Route> longestFirst =
                 Comparator.comparingInt(route -> -route.pathPrefix().length());
-        all.values().forEach(some -> some.sort(longestFirst));
-        return all;
+        grouped.values().forEach(hostRoutes -> hostRoutes.sort(longestFirst));
+        return grouped;
     }
 
     // -- queries
@@ -133,7 +133,9 @@
      * @return its host and port, empty if the manifest names none
      */
     public Optional<String> origin() {
-        return services.values().stream().flatMap(one -> one.origin().stream()).findFirst();
+        return services.values().stream()
+                .flatMap(service -> service.origin().stream())
+                .findFirst();
     }
 
     /**
@@ -151,8 +153,8 @@
      *
      * @return true if the manifest names organisations
      */
-    public boolean keysNeeded() {
-        return keysNeeded;
+    public boolean keysRequired() {
+        return keysRequired;
     }
 
     /**
--- a/src/main/java/org/micabarrow/routing/Wanted.java
+++ b/src/main/java/org/micabarrow/routing/RoutingRequest.java
@@ -16,28 +16,36 @@
  * @param triedEndpoints the ids of the endpoints to which it was already sent, including those that have restarted
  *     since
  */
-public record Wanted(
+public record RoutingRequest(
         int promptTokens,
         long objectiveMillis,
         long millisToObjective,
-        long millisLeft,
-        Optional<ModelService> model,
-        long leastVersion,
+        long remainingMillis,
+        Optional<ModelProfile> model,
+        long minVersion,
         long newestVersion,
-        Set<String> tried) {
+        Set<String> triedEndpoints) {
 
     /** Creates a first attempt of a client that waits without a limit. */
-    Wanted(
+    RoutingRequest(
             int promptTokens,
             long objectiveMillis,
-            Optional<ModelService> model,
-            long leastVersion,
+            Optional<ModelProfile> model,
+            long minVersion,
             long newestVersion,
-            Set<String> tried) {
-        this(promptTokens, objectiveMillis, objectiveMillis, Long.MAX_VALUE, model, leastVersion, newestVersion, tried);
+            Set<String> triedEndpoints) {
+        this(
+                promptTokens,
+                objectiveMillis,
+                objectiveMillis,
+                Long.MAX_VALUE,
+                model,
+                minVersion,
+                newestVersion,
+                triedEndpoints);
     }
 
-    boolean late() {
+    boolean objectivePassed() {
         return millisToObjective <= 0;
     }
 }
--- a/src/main/java/org/micabarrow/routing/UnmetDemand.java
+++ b/src/main/java/org/micabarrow/routing/UnmetDemand.java
@@ -11,19 +11,19 @@
 public final class UnmetDemand {
 
     /** Decay time of the count, in milliseconds: a burst has its effect within a second, single requests even out. */
-    private static final double MEMORY_MILLIS = 1_000;
+    private static final double DECAY_MILLIS = 1_000;
 
-    private double perMemory;
-    private long atMillis;
+    private double count;
+    private long updatedAtMillis;
 
     /**
      * Counts a refused request.
      *
      * @param nowMillis the time on the monotonic clock
      */
-    public void turnedAway(long nowMillis) {
-        perMemory = faded(nowMillis) + 1;
-        atMillis = nowMillis;
+    public void refused(long nowMillis) {
+        count = decayed(nowMillis) + 1;
+        updatedAtMillis = nowMillis;
     }
 
     /**
@@ -32,11 +32,11 @@
      * @param nowMillis the time on the monotonic clock
      * @return the decayed count
      */
-    public int lately(long nowMillis) {
-        return (int) Math.round(faded(nowMillis));
+    public int recent(long nowMillis) {
+        return (int) Math.round(decayed(nowMillis));
     }
 
-    private double faded(long nowMillis) {
-        return perMemory * Math.exp((atMillis - nowMillis) / MEMORY_MILLIS);
+    private double decayed(long nowMillis) {
+        return count * Math.exp((updatedAtMillis - nowMillis) / DECAY_MILLIS);
     }
 }
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.admission.TakenRoom;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.OccupiedSlot;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.serving.EndpointProtocol.AnswerHead;
 import org.micabarrow.serving.EndpointProtocol.Sending;
@@ -31,10 +31,10 @@
     private final ClientRequest request;
     private final ClientAnswer answer;
     private final EventSplitter events;
-    private final EndpointEntry endpoint;
+    private final EndpointRegistration endpoint;
     private final double predictedMillis;
     private final EndpointLoad load;
-    private final TakenRoom room;
+    private final OccupiedSlot room;
     private final Runnable suspectGone;
     private final AnswerRelay relay;
     private final BeginLimit beginLimit;
@@ -45,7 +45,7 @@
     private boolean over;
     private boolean sending;
 
-    Attempt(ServedRequest run, Choice.Send chosen) {
+    Attempt(ServedRequest run, EndpointSelection.Selected chosen) {
         this.run = run;
         this.parts = run.parts();
         this.request = run.request();
@@ -59,8 +59,8 @@
         this.beganMillis = parts.nowMillis();
         this.awaited = new AwaitedPart(parts::nowMillis);
         this.suspectGone = parts.suspects().sent(endpoint, run.digest(), beganMillis);
-        load.limit().sent(beganMillis);
-        this.room = new TakenRoom(load, request.promptTokens(), parts.line()::roomMayBe);
+        load.rateLimit().sent(beganMillis);
+        this.room = new OccupiedSlot(load, request.promptTokens(), parts.line()::roomMayBe);
     }
 
     /** Sends the request, for which its room is taken already. */
@@ -91,7 +91,7 @@
         beginLimit.end();
         // Before the room: what waits for either is looked at when that is free.
         suspectGone.run();
-        room.free();
+        room.release();
     }
 
     /** Whether the endpoint may run the request, now or later: it has left, and nothing has ended the attempt. */
@@ -116,24 +116,24 @@
     /** Stops the attempt although its endpoint may still run it for a moment, and end by it. */
     private void takeBack() {
         if (sending) {
-            parts.crashes().takenBack(endpoint, run.digest(), request.body().length, room.begun());
+            parts.crashes().takenBack(endpoint, run.digest(), request.body().length, room.started());
         }
         stop();
     }
 
-    private void failed(AttemptEnd end, String why) {
+    private void failed(AttemptOutcome end, String why) {
         logFailed(end, why);
         takeBack();
         run.again(end, why);
     }
 
-    private void logFailed(AttemptEnd end, String why) {
+    private void logFailed(AttemptOutcome end, String why) {
         run.log().failed(endpoint, end, progress(), why);
     }
 
     /** How far the request came at the endpoint, for the log: whether a head of an answer came, and a part of it. */
     private String progress() {
-        return "afterMs=" + (parts.nowMillis() - beganMillis) + " taken=" + relay.begun() + " begun=" + room.begun();
+        return "afterMs=" + (parts.nowMillis() - beganMillis) + " taken=" + relay.begun() + " begun=" + room.started();
     }
 
     /**
@@ -145,7 +145,7 @@
         if (over) {
             return;
         }
-        if (!room.begun()) {
+        if (!room.started()) {
             beginLimit.look();
         }
         if (over) {
@@ -155,11 +155,13 @@
             lookWhetherOverdue();
             return;
         }
-        if (!room.begun() && waitsInVain()) {
-            failed(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
+        if (!room.started() && waitsInVain()) {
+            failed(
+                    AttemptOutcome.UNKNOWN,
+                    "nothing is heard of the endpoint, and what waits there would begin too late");
         } else if ((!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
-            events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint or its agent");
+            events.discardRemainder();
+            moveOn(AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint or its agent");
         }
     }
 
@@ -170,11 +172,12 @@
      */
     private void lookWhetherOverdue() {
         long dueMillis = awaited.dueMillis();
-        boolean overdue =
-                sending && !load.delayedLately(parts.nowMillis()) && AttemptPolicy.overdue(request.route(), dueMillis);
+        boolean overdue = sending
+                && !load.linkRecentlySlow(parts.nowMillis())
+                && AttemptPolicy.overdue(request.route(), dueMillis);
         if (overdue && (!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
-            events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + dueMillis + " ms");
+            events.discardRemainder();
+            moveOn(AttemptOutcome.UNKNOWN, "the endpoint has sent nothing for " + dueMillis + " ms");
         }
     }
 
@@ -191,7 +194,7 @@
         return late || parts.leaves(endpoint) || parts.versions().older(request, endpoint);
     }
 
-    private void moveOn(AttemptEnd end, String why) {
+    private void moveOn(AttemptOutcome end, String why) {
         logFailed(end, why);
         takeBack();
         run.moveOn(end, why);
@@ -202,14 +205,14 @@
         if (over || sending) {
             return;
         }
-        load.failures().broke(parts.nowMillis());
-        failed(AttemptEnd.NOT_RUN, "no connection within " + LastLook.CONNECT_MILLIS + " ms");
+        load.failures().connectionFailed(parts.nowMillis());
+        failed(AttemptOutcome.NOT_RUN, "no connection within " + LastLook.CONNECT_MILLIS + " ms");
     }
 
     /** An older weight version may begin nothing any more. */
     private void notBegun() {
-        if (!over && !room.begun()) {
-            failed(AttemptEnd.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
+        if (!over && !room.started()) {
+            failed(AttemptOutcome.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
         }
     }
 
@@ -236,7 +239,7 @@
     }
 
     private void withhold(LastLook.Verdict.Outdated outdated) {
-        logFailed(AttemptEnd.NOT_RUN, outdated.why());
+        logFailed(AttemptOutcome.NOT_RUN, outdated.why());
         stop();
         run.withheld(endpoint, outdated);
     }
@@ -248,25 +251,27 @@
         if (over) {
             return;
         }
-        load.heard(parts.nowMillis());
+        load.dataReceived(parts.nowMillis());
         AnswerHead read = parts.protocol().head(request, status, headers);
-        read.weightVersion().ifPresent(load::answeredBy);
+        read.weightVersion().ifPresent(load::respondedWithVersion);
         if (read.ofThisEndpoint()) {
             heed(read);
         }
         switch (HeadVerdict.of(read, request.route().kind().repeatable(), answer.begun())) {
-            case NOT_RUN -> failed(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
+            case NOT_RUN -> failed(AttemptOutcome.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
                 load.failures().misdirected(parts.nowMillis());
-                failed(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
+                failed(AttemptOutcome.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
-                load.failures().broke(parts.nowMillis());
-                failed(AttemptEnd.UNKNOWN, "what came is no answer to this request");
+                load.failures().connectionFailed(parts.nowMillis());
+                failed(AttemptOutcome.UNKNOWN, "what came is no answer to this request");
             }
             case NOT_TO_PASS -> {
                 remember(read.status());
-                failed(AttemptEnd.UNKNOWN, "the endpoint answered " + read.status() + " without saying it has not run");
+                failed(
+                        AttemptOutcome.UNKNOWN,
+                        "the endpoint answered " + read.status() + " without saying it has not run");
             }
             case ERROR -> {
                 remember(read.status());
@@ -285,27 +290,27 @@
             parts.saidThatItLeaves(endpoint);
         }
         read.restMillis().ifPresent(millis -> {
-            load.rest().asked(millis, parts.nowMillis());
+            load.backoff().requested(millis, parts.nowMillis());
             run.log().rests(endpoint, millis);
         });
-        if (load.limit().answered(read.limit(), beganMillis, parts.nowMillis())) {
-            load.limit().logChange("answer");
+        if (load.rateLimit().responseReceived(read.limit(), beganMillis, parts.nowMillis())) {
+            load.rateLimit().logChange("answer");
         }
     }
 
     private void remember(int status) {
         if (HeadVerdict.isError(status)) {
-            load.failures().failed(parts.nowMillis());
+            load.failures().errorReceived(parts.nowMillis());
         } else {
             load.failures().succeeded();
-            load.rest().answered(parts.nowMillis());
+            load.backoff().responded(parts.nowMillis());
             parts.metrics().firstByte.update(run.millisTaken(), TimeUnit.MILLISECONDS);
         }
     }
 
     private void endpointFailed(AnswerHead read) {
         if (run.mayTakeAnother()) {
-            moveOn(AttemptEnd.FAILED, "the endpoint failed with " + read.status());
+            moveOn(AttemptOutcome.FAILED, "the endpoint failed with " + read.status());
         } else {
             relay.begin(read, true);
         }
@@ -316,10 +321,10 @@
         if (over) {
             return;
         }
-        load.heard(parts.nowMillis());
-        if (!room.begun()) {
+        load.dataReceived(parts.nowMillis());
+        if (!room.started()) {
             parts.crashes().answered(run.digest(), false);
-            load.firstEvents().observed(predictedMillis, parts.nowMillis() - beganMillis, parts.nowMillis());
+            load.firstEventDelay().observed(predictedMillis, parts.nowMillis() - beganMillis, parts.nowMillis());
         }
         // The head may come as soon as the endpoint has taken the request; its prompt is read with the first event.
         room.promptRead();
@@ -341,21 +346,21 @@
         if (over) {
             return;
         }
-        load.failures().broke(parts.nowMillis());
-        events.dropRemainder();
+        load.failures().connectionFailed(parts.nowMillis());
+        events.discardRemainder();
         if (sent && fault.reason() == Reason.UNREACHABLE && !parts.saysThatItLeaves(endpoint)) {
             broke(fault.message());
         } else {
-            failed(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
+            failed(sent ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN, fault.message());
         }
     }
 
     /** Ends the attempt, and has the request go on when it is known whether its endpoint has ended. */
     private void broke(String why) {
-        boolean begun = room.begun();
-        logFailed(AttemptEnd.UNKNOWN, why);
+        boolean begun = room.started();
+        logFailed(AttemptOutcome.UNKNOWN, why);
         stop();
-        run.ended(AttemptEnd.UNKNOWN);
+        run.ended(AttemptOutcome.UNKNOWN);
         parts.crashes().broke(endpoint, run.digest().get(), begun, () -> run.goOn(why));
     }
 }
--- a/src/main/java/org/micabarrow/serving/RoomLine.java
+++ b/src/main/java/org/micabarrow/serving/RoomLine.java
@@ -2,10 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.admission.WaitQueue;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
+import org.micabarrow.admission.WaitQueue.Waiter;
 import org.micabarrow.steps.Steps;
 import org.xnio.XnioIoThread;
 
@@ -18,7 +18,7 @@
      */
     private static final long LOOK_MILLIS = 10;
 
-    private final WaitingLine line = new WaitingLine();
+    private final WaitQueue line = new WaitQueue();
     private final LongSupplier steadyMillis;
     private boolean looking;
 
@@ -26,8 +26,8 @@
         this.steadyMillis = steadyMillis;
     }
 
-    Place join(int rank, long latestStartMillis, Waiter waiter, XnioIoThread thread) {
-        Place place = line.join(rank, latestStartMillis, waiter);
+    QueuedRequest join(int rank, long latestStartMillis, Waiter waiter, XnioIoThread thread) {
+        QueuedRequest place = line.enqueue(rank, latestStartMillis, waiter);
         if (!looking) {
             looking = true;
             thread.executeAfter(() -> look(thread), LOOK_MILLIS, TimeUnit.MILLISECONDS);
@@ -36,22 +36,22 @@
     }
 
     /** The line for the requests of a thread. */
-    RoomWait.Line on(XnioIoThread thread) {
-        return new RoomWait.Line() {
+    SlotWait.Queue on(XnioIoThread thread) {
+        return new SlotWait.Queue() {
             @Override
-            public Place join(int rank, long latestStartMillis, Waiter waiter) {
+            public QueuedRequest enqueue(int rank, long latestStartMillis, Waiter waiter) {
                 return RoomLine.this.join(rank, latestStartMillis, waiter, thread);
             }
 
             @Override
-            public void leave(Place place) {
+            public void remove(QueuedRequest place) {
                 RoomLine.this.leave(place);
             }
         };
     }
 
-    void leave(Place place) {
-        line.leave(place);
+    void leave(QueuedRequest place) {
+        line.remove(place);
     }
 
     int size() {
@@ -60,7 +60,7 @@
 
     /** One of the entry's requests has begun to be answered, or has left its endpoint. A fault in who waits is not its own. */
     void roomMayBe() {
-        Steps.guarded("room", line::serve);
+        Steps.guarded("room", line::dispatch);
     }
 
     private void look(XnioIoThread thread) {
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -4,32 +4,32 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.attempts.AttemptHistory;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.attempts.RequestTimes;
-import org.micabarrow.attempts.Sendings;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.RequestKind;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /** One request from its arrival to its answer. All of it runs on the one thread for traffic. */
-final class ServedRequest implements OpenRequests.Open, RoomWait.Request {
+final class ServedRequest implements OpenRequests.Open, SlotWait.Request {
 
     private final ServingParts parts;
     private final ClientRequest request;
     private final ClientAnswer answer;
     private final XnioIoThread thread;
     private final RequestTimes times;
-    private final Sendings sendings = new Sendings();
-    private final RoomWait room;
+    private final AttemptHistory sendings = new AttemptHistory();
+    private final SlotWait room;
     private final EventSplitter events = new EventSplitter();
     private final EventTimes eventTimes = new EventTimes();
     private final RequestLog log;
@@ -46,14 +46,15 @@
         this.digest = LazyDigest.of(request);
         long now = parts.nowMillis();
         long sinceFirstTry =
-                parts.firstTries().millisSince(request.route().name(), request.deadlineMillis() - now, now);
+                parts.firstTries().millisSinceFirstAttempt(request.route().name(), request.deadlineMillis() - now, now);
         this.times = RequestTimes.of(request, now, sinceFirstTry);
-        this.room = new RoomWait(parts.line().on(thread), this);
+        this.room = new SlotWait(parts.line().on(thread), this);
         this.log = new RequestLog(parts, request, sinceFirstTry, eventTimes, digest);
     }
 
     void begin() {
-        deadline = Optional.of(thread.executeAfter(() -> end("time is up"), times.heldMillis(), TimeUnit.MILLISECONDS));
+        deadline =
+                Optional.of(thread.executeAfter(() -> end("time is up"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
         parts.open().add(this);
         next("first");
     }
@@ -90,15 +91,15 @@
     }
 
     long millisTaken() {
-        return times.takenMillis(parts.nowMillis());
+        return times.elapsedMillis(parts.nowMillis());
     }
 
     long millisLeft() {
-        return times.leftMillis(parts.nowMillis());
+        return times.remainingMillis(parts.nowMillis());
     }
 
     private long millisToObjective() {
-        return times.toObjectiveMillis(parts.nowMillis(), answer.begun());
+        return times.untilObjectiveMillis(parts.nowMillis(), answer.begun());
     }
 
     /** Whether an answer can no longer be in time. */
@@ -110,7 +111,7 @@
 
     @Override
     public Decision decide() {
-        return parts.decide(request, digest, millisToObjective(), sendings.tried());
+        return parts.decide(request, digest, millisToObjective(), sendings.triedEndpoints());
     }
 
     private void next(String why) {
@@ -120,15 +121,15 @@
     @Override
     public void decided(Decision decision, String why) {
         switch (decision) {
-            case Decision.Send(Choice.Send chosen) -> sendOrAsk(chosen, why);
+            case Decision.Send(EndpointSelection.Selected chosen) -> sendOrAsk(chosen, why);
             case Decision.Wait wait when !answer.begun() -> waitForRoom(wait, why);
             case Decision.Wait(long ignored, int endpoints) -> noRoom(endpoints);
             case Decision.Full(int endpoints) -> noRoom(endpoints);
             case Decision.Unable ignored -> cannotSend("no endpoint can serve");
-            case Decision.Resting(int endpoints, long ignored) ->
+            case Decision.BackingOff(int endpoints, long ignored) ->
                 cannotSend("all " + endpoints + " endpoints have asked for rest");
-            case Decision.Limited(int endpoints, OptionalLong millis) -> overLimit(endpoints, millis);
-            case Decision.Culprit(int crashes, long forMillis) -> refuse(crashes, forMillis);
+            case Decision.RateLimited(int endpoints, OptionalLong millis) -> overLimit(endpoints, millis);
+            case Decision.PoisonRequest(int crashes, long forMillis) -> refuse(crashes, forMillis);
         }
     }
 
@@ -162,24 +163,24 @@
     }
 
     @Override
-    public void outOfTime() {
+    public void expired() {
         next("no endpoint had room in time");
     }
 
     // -- sending
 
     /** Sends at once, or once the endpoint's agent has answered. */
-    private void sendOrAsk(Choice.Send chosen, String why) {
+    private void sendOrAsk(EndpointSelection.Selected chosen, String why) {
         if (!parts.mustAsk(request, chosen.endpoint())) {
             send(chosen, why);
-        } else if (sendings.ask()) {
+        } else if (sendings.countAgentQuery()) {
             parts.ask(request, chosen.endpoint(), maySend -> agentAnswered(chosen, why, maySend));
         } else {
             cannotSend("no agent answers beside an endpoint that could serve");
         }
     }
 
-    private void agentAnswered(Choice.Send chosen, String why, boolean maySend) {
+    private void agentAnswered(EndpointSelection.Selected chosen, String why, boolean maySend) {
         if (finished) {
             return;
         }
@@ -199,8 +200,8 @@
         return Ending.withoutAnswer(answer.begun(), sendings.mayHaveRun());
     }
 
-    private void send(Choice.Send chosen, String why) {
-        EndpointEntry endpoint = chosen.endpoint();
+    private void send(EndpointSelection.Selected chosen, String why) {
+        EndpointRegistration endpoint = chosen.endpoint();
         sendings.sent(endpoint.id());
         log.sent(chosen, why, sendings.count(), millisToObjective(), millisLeft());
         Attempt attempt = new Attempt(this, chosen);
@@ -212,12 +213,12 @@
      * Decides anew after a decision was outdated before any byte of the request left. What has not left is no repeat, so it
      * takes nothing of the budget for repeats, and what may run only once goes on too.
      */
-    void withheld(EndpointEntry endpoint, LastLook.Verdict.Outdated outdated) {
-        sendings.withheld();
-        if (millisLeft() < AttemptPolicy.LEAST_MILLIS_LEFT) {
+    void withheld(EndpointRegistration endpoint, LastLook.Verdict.Outdated outdated) {
+        sendings.notSent();
+        if (millisLeft() < AttemptPolicy.MIN_REMAINING_MILLIS) {
             cannotSend(outdated.why());
         } else if (outdated.able()) {
-            sendings.cameLateAt(endpoint.id());
+            sendings.connectionLate(endpoint.id());
             // Nothing was asked during a standstill, so that every agent seems silent until one has answered again.
             parts.hear(request, endpoint, () -> decideAgain(outdated.why()));
         } else {
@@ -227,7 +228,7 @@
 
     /** Whether a connection came too late once already. */
     boolean cameLate() {
-        return sendings.cameLate();
+        return sendings.connectedLate();
     }
 
     private void decideAgain(String why) {
@@ -244,13 +245,13 @@
     }
 
     /** Decides what follows when an attempt has ended without an answer: another one, or the end of the request. */
-    void again(AttemptEnd end, String why) {
+    void again(AttemptOutcome end, String why) {
         ended(end);
         goOn(why);
     }
 
     /** An attempt has ended without an answer; what follows is decided by {@link #goOn}. */
-    void ended(AttemptEnd end) {
+    void ended(AttemptOutcome end) {
         sendings.ended(end);
     }
 
@@ -260,7 +261,9 @@
             return;
         }
         boolean cut = answer.begun() && !mayGoOn();
-        if (!cut && AttemptPolicy.again(request.route(), sendings.progress(millisLeft()), parts.budget()::tryRetry)) {
+        if (!cut
+                && AttemptPolicy.allowsAnotherAttempt(
+                        request.route(), sendings.progress(millisLeft()), parts.budget()::tryRetry)) {
             next(why);
         } else {
             cannotSend(why);
@@ -268,7 +271,7 @@
     }
 
     /** Sends to another endpoint after {@link #mayTakeAnother} has allowed it; the one before may have run the request. */
-    void moveOn(AttemptEnd end, String why) {
+    void moveOn(AttemptOutcome end, String why) {
         sendings.ended(end);
         next(why);
     }
@@ -278,7 +281,7 @@
         AttemptPolicy.Progress progress = sendings.progressIfRun(millisLeft());
         return request.route().kind().repeatable()
                 && decide() instanceof Decision.Send
-                && AttemptPolicy.again(request.route(), progress, parts.budget()::tryRetry);
+                && AttemptPolicy.allowsAnotherAttempt(request.route(), progress, parts.budget()::tryRetry);
     }
 
     /** Whether an answer that has begun can go on at another endpoint. */
@@ -297,7 +300,7 @@
     public void lookAfter() {
         if (millisLeft() <= 0) {
             end("time is up");
-        } else if (!answer.begun() && standing() instanceof Standing.Refused(int crashes, long forMillis)) {
+        } else if (!answer.begun() && standing() instanceof SuspicionLevel.Refused(int crashes, long forMillis)) {
             current.ifPresent(this::takeBack);
             refuse(crashes, forMillis);
         } else {
@@ -305,13 +308,13 @@
         }
     }
 
-    private Standing standing() {
+    private SuspicionLevel standing() {
         return parts.suspects().standing(digest, parts.nowMillis());
     }
 
     /** Takes the request back from where it may be about to end another endpoint. */
     private void takeBack(Attempt attempt) {
-        sendings.ended(attempt.mayRun() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN);
+        sendings.ended(attempt.mayRun() ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN);
         attempt.abandon("it ends endpoints");
     }
 
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -17,10 +17,10 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.micabarrow.limits.LimitWord;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
 import org.micabarrow.steps.Steps;
@@ -50,7 +50,7 @@
     /** The endpoints at each host; after one started again there are two for a while, until nothing waits at the former. */
     private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
 
-    private final Map<EndpointStart, EndpointEntry> asked = new HashMap<>();
+    private final Map<EndpointStart, EndpointRegistration> asked = new HashMap<>();
 
     /** The stamp of the last answer from each host. */
     private final Map<String, Long> stamps = new ConcurrentHashMap<>();
@@ -81,7 +81,7 @@
             Map<String, String> regions,
             int peerPort,
             Supplier<View> view,
-            EndpointChoice choice,
+            EndpointSelector choice,
             XnioIoThread traffic,
             LongSupplier steadyMillis,
             Supplier<Optional<StoreNews>> news,
@@ -149,7 +149,7 @@
     private void round(Runnable afterRound) {
         boolean onTime = rounds.onTime(parts.steadyMillis().getAsLong());
         View view = parts.view().get();
-        Map<String, List<EndpointEntry>> hosts = askedByHost(view);
+        Map<String, List<EndpointRegistration>> hosts = askedByHost(view);
         // Before the questions: an answer may come at once.
         endpointsByHost = startsOf(hosts);
         stamps.keySet().retainAll(hosts.keySet());
@@ -165,7 +165,7 @@
                 ask(host, endpointsByHost.get(host), told);
             }
         });
-        parts.choice().keepOnly(view.endpoints().values());
+        parts.choice().retainOnly(view.endpoints().values());
         answersDue = answersDue || askedBefore || round >= MOST_ROUNDS_WITHOUT_ENDPOINTS;
         askedBefore = !hosts.isEmpty();
         round++;
@@ -178,31 +178,31 @@
      * The endpoints to ask about: those of models that are listed, and those listed no more at which requests still wait, since
      * an endpoint that is not asked about would seem to have fallen silent.
      */
-    private Map<String, List<EndpointEntry>> askedByHost(View view) {
-        asked.keySet().removeIf(start -> !parts.choice().awaits(start));
+    private Map<String, List<EndpointRegistration>> askedByHost(View view) {
+        asked.keySet().removeIf(start -> !parts.choice().hasRequestsInFlight(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> asked.put(endpoint.start(), endpoint));
-        return asked.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
+        return asked.values().stream().collect(Collectors.groupingBy(EndpointRegistration::instanceHost));
     }
 
-    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointEntry>> hosts) {
+    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointRegistration>> hosts) {
         return hosts.entrySet().stream()
                 .collect(Collectors.toUnmodifiableMap(
                         Map.Entry::getKey,
                         host -> host.getValue().stream()
-                                .map(EndpointEntry::start)
+                                .map(EndpointRegistration::start)
                                 .toList()));
     }
 
-    private static boolean isModel(View view, EndpointEntry endpoint) {
+    private static boolean isModel(View view, EndpointRegistration endpoint) {
         return view.manifest()
                 .flatMap(manifest -> manifest.service(endpoint.service()))
                 .filter(service -> service.model().isPresent())
                 .isPresent();
     }
 
-    private boolean near(EndpointEntry endpoint) {
+    private boolean near(EndpointRegistration endpoint) {
         return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
     }
 
@@ -212,7 +212,7 @@
      * @param endpoint the endpoint
      * @param then learns on the same thread, once, whether the agent answered in time
      */
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> then) {
         String host = endpoint.instanceHost();
         boolean near = near(endpoint);
         OptionalLong stamp = stamp(stamps, host);
@@ -227,10 +227,10 @@
         // What waits at a start that is over is read by nobody.
         int ownPromptTokens = endpoints.stream()
                 .map(parts.choice()::load)
-                .filter(load -> !load.startedAgain())
-                .mapToInt(EndpointLoad::ownPromptTokens)
+                .filter(load -> !load.restarted())
+                .mapToInt(EndpointLoad::ownPendingPromptTokens)
                 .sum();
-        int unmet = parts.choice().unmet().lately(parts.steadyMillis().getAsLong());
+        int unmet = parts.choice().unmetDemand().recent(parts.steadyMillis().getAsLong());
         ByteBuffer question = LoadMessages.write(new LoadMessages.Question(
                 parts.place().id(),
                 ownPromptTokens,
@@ -249,12 +249,12 @@
     }
 
     /** What this entry heard of the limit of the endpoint at a host; of two starts of it the one that said something last. */
-    private Optional<LimitWord> limit(List<EndpointStart> endpoints) {
+    private Optional<RateLimitUpdate> limit(List<EndpointStart> endpoints) {
         long now = parts.steadyMillis().getAsLong();
         return endpoints.stream()
-                .map(start -> parts.choice().load(start).limit().word(now))
+                .map(start -> parts.choice().load(start).rateLimit().ownUpdate(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(LimitWord::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
     }
 
     /** What an agent is told of the store, with the stamp that it is newer than. */
@@ -298,16 +298,16 @@
         }
         long now = parts.steadyMillis().getAsLong();
         long delay = now - asked.getAsLong();
-        answer.rank().ifPresent(rank -> parts.choice().entries().told(rank.entries(), now));
+        answer.rank().ifPresent(rank -> parts.choice().entryCount().reported(rank.entries(), now));
         for (EndpointStart start : endpoints) {
             EndpointLoad load = parts.choice().load(start);
-            if (start.mayBe(answer.told().start())) {
-                load.told(answer.told(), delay, now);
-                answer.rank().ifPresent(load.limit()::ranked);
+            if (start.mayHaveToken(answer.told().start())) {
+                load.reported(answer.told(), delay, now);
+                answer.rank().ifPresent(load.rateLimit()::rankReported);
                 answer.limit()
-                        .filter(word -> word.isOf(start.id()))
-                        .filter(word -> load.limit().told(word.news(asked.getAsLong(), now)))
-                        .ifPresent(word -> load.limit().logChange("agent"));
+                        .filter(word -> word.concerns(start.id()))
+                        .filter(word -> load.rateLimit().updated(word.toObservation(asked.getAsLong(), now)))
+                        .ifPresent(word -> load.rateLimit().logChange("agent"));
             } else {
                 toldOfAnotherStart(start, load);
             }
@@ -325,12 +325,12 @@
      * another: that may hold nothing of the version that it names.
      */
     private static void toldOfAnotherStart(EndpointStart start, EndpointLoad load) {
-        if (!load.startedAgain()) {
+        if (!load.restarted()) {
             LOG.info(
                     "event=agent_tells_of_another_start endpoint={} listed={}",
                     start.id(),
                     start.startedMillis().orElse(-1));
         }
-        load.toldOfAnotherStart();
+        load.otherStartReported();
     }
 }
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.limits.LimitRelay;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.steps.Steps;
 import org.micabarrow.transport.EntriesHeard.Heard;
@@ -26,8 +26,8 @@
     private final LongSupplier steadyMillis;
     private final BiConsumer<String, StoreNews> news;
     private final EntriesHeard entries;
-    private final LimitRelay limits = new LimitRelay();
-    private final PlaceShares shares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
+    private final RateLimitRelay limits = new RateLimitRelay();
+    private final SlotAllotment shares = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
@@ -75,7 +75,7 @@
      *
      * @return the relay, which may be told what the endpoint reports
      */
-    public LimitRelay limits() {
+    public RateLimitRelay limits() {
         return limits;
     }
 
@@ -104,7 +104,7 @@
             LoadMessages.Received received = LoadMessages.receive(channel);
             Heard heard =
                     entries.hear(received.from(), LoadMessages.question(received.bytes()), steadyMillis.getAsLong());
-            heard.question().limit().ifPresent(word -> limits.told(word, heard.atMillis()));
+            heard.question().limit().ifPresent(word -> limits.received(word, heard.atMillis()));
             heard.question().news().ifPresent(told -> news.accept(heard.peer().orElseThrow(), told));
             tell(heard);
         } catch (IOException e) {
@@ -120,11 +120,11 @@
     }
 
     private int share(LoadMessages.Question question, LoadReport told) {
-        if (told.places() == LoadReport.ANY_PLACES) {
-            return LoadReport.ANY_PLACES;
+        if (told.allottedSlots() == LoadReport.UNLIMITED_SLOTS) {
+            return LoadReport.UNLIMITED_SLOTS;
         }
         synchronized (shares) {
-            return shares.deal(question.entry(), question.unmet(), told.places(), steadyMillis.getAsLong());
+            return shares.allot(question.entry(), question.unmet(), told.allottedSlots(), steadyMillis.getAsLong());
         }
     }
 
@@ -133,11 +133,11 @@
         EntriesHeard.Others others = entries.others(heard, now);
         LoadMessages.Answer answer = new LoadMessages.Answer(
                 heard.question().number(),
-                told.to(others.promptTokens(), places),
+                told.forEntry(others.promptTokens(), places),
                 others.reader(),
                 now,
                 others.rank(),
-                limits.word(now));
+                limits.update(now));
         channel.send(LoadMessages.write(answer), heard.from());
     }
 }
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewKeeper.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -290,7 +290,7 @@
     // -- endpoints
 
     private void endpointsSaid(List<StoredRecord> news) {
-        Map<String, EndpointEntry> endpoints = new HashMap<>(view.endpoints());
+        Map<String, EndpointRegistration> endpoints = new HashMap<>(view.endpoints());
         List<StoredRecord> changing = new ArrayList<>();
         List<String> lines = new ArrayList<>();
         long now = steadyMillis.getAsLong();
--- a/src/test/java/org/micabarrow/Samples.java
+++ b/src/test/java/org/micabarrow/Samples.java
@@ -118,7 +118,7 @@
                 "r",
                 "h",
                 "/",
-                List.of(new Route.Share("s", 1)),
+                List.of(new Route.WeightedService("s", 1)),
                 RequestKind.RESUMABLE_STREAM,
                 timeoutMillis,
                 400,
--- a/src/test/java/org/micabarrow/admission/AdmissionTest.java
+++ b/src/test/java/org/micabarrow/admission/AdmissionControlTest.java
@@ -10,42 +10,42 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.Admission.Decision;
+import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.ModelProfile;
+import org.micabarrow.routing.RoutingRequest;
 
-class AdmissionTest {
+class AdmissionControlTest {
 
     private static final int MODEL_TOKENS_PER_MILLI = 20;
-    private static final ModelService MODEL =
-            new ModelService("m", 4, MODEL_TOKENS_PER_MILLI, 10, 0, 5, 16, 64, 32_768);
+    private static final ModelProfile MODEL =
+            new ModelProfile("m", 4, MODEL_TOKENS_PER_MILLI, 10, 0, 5, 16, 64, 32_768);
     private static final long OBJECTIVE = 500;
     private static final long CLIENT_MILLIS = 6_000;
     private static final long NOW = 100_000;
 
     /** Two rounds of steps and 1,000 prompt tokens take 150 ms, and a fifth of the objective is reserved. */
-    private static final long SPARE = 250;
+    private static final long MAX_WAIT = 250;
 
-    private final EndpointChoice choice = new EndpointChoice("r", Map.of("h", "r"));
-    private final Admission admission = new Admission(choice);
-    private final EndpointEntry endpoint =
-            EndpointEntry.of("a", "s", "10.0.0.1:80", "h", 4, false, Map.of("m", 1L), 16);
+    private final EndpointSelector selector = new EndpointSelector("r", Map.of("h", "r"));
+    private final AdmissionControl admission = new AdmissionControl(selector);
+    private final EndpointRegistration endpoint =
+            EndpointRegistration.of("a", "s", "10.0.0.1:80", "h", 4, false, Map.of("m", 1L), 16);
 
-    private static Wanted wanted(long millisToObjective, Optional<ModelService> model) {
-        return new Wanted(
+    private static RoutingRequest request(long millisToObjective, Optional<ModelProfile> model) {
+        return new RoutingRequest(
                 model.isPresent() ? 1_000 : 0, OBJECTIVE, millisToObjective, CLIENT_MILLIS, model, 0, 0, Set.of());
     }
 
     private Decision decide(long millisToObjective) {
-        return admission.decide(List.of(endpoint), wanted(millisToObjective, Optional.of(MODEL)), NOW);
+        return admission.decide(List.of(endpoint), request(millisToObjective, Optional.of(MODEL)), NOW);
     }
 
-    private void requestsThere(int requests, int places) {
-        choice.load("a").told(new LoadReport(requests, 0, false, 1, places), 1, NOW);
+    private void reportLoad(int requests, int allottedSlots) {
+        selector.load("a").reported(new LoadReport(requests, 0, false, 1, allottedSlots), 1, NOW);
     }
 
     @Test
@@ -55,67 +55,67 @@
 
     @Test
     void shouldWaitAsLongAsResponseCanBeInTimeWhenNoSlotIsFree() {
-        requestsThere(4, 0);
-        assertEquals(new Decision.Wait(SPARE, 1), decide(OBJECTIVE));
-        assertEquals(new Decision.Wait(1, 1), decide(OBJECTIVE - SPARE + 1));
+        reportLoad(4, 0);
+        assertEquals(new Decision.Wait(MAX_WAIT, 1), decide(OBJECTIVE));
+        assertEquals(new Decision.Wait(1, 1), decide(OBJECTIVE - MAX_WAIT + 1));
     }
 
     @Test
     void shouldRefuseImmediatelyWhenResponseCanNoLongerBeInTime() {
-        requestsThere(4, 0);
-        assertEquals(new Decision.Full(1), decide(OBJECTIVE - SPARE));
+        reportLoad(4, 0);
+        assertEquals(new Decision.Full(1), decide(OBJECTIVE - MAX_WAIT));
         assertEquals(new Decision.Full(1), decide(-1_000));
     }
 
     @Test
     void shouldSendRequestThatIsTooLateOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
-        requestsThere(2, 2);
-        assertInstanceOf(Decision.Send.class, decide(OBJECTIVE - SPARE));
-        requestsThere(3, 1);
-        assertEquals(new Decision.Full(1), decide(OBJECTIVE - SPARE));
+        reportLoad(2, 2);
+        assertInstanceOf(Decision.Send.class, decide(OBJECTIVE - MAX_WAIT));
+        reportLoad(3, 1);
+        assertEquals(new Decision.Full(1), decide(OBJECTIVE - MAX_WAIT));
     }
 
     /** The prompt alone takes longer than the objective. */
     @Test
     void shouldSendRequestThatIsTooLongOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
         int promptTokens = 2 * MODEL_TOKENS_PER_MILLI * (int) OBJECTIVE;
-        Wanted large =
-                new Wanted(promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
-        requestsThere(2, 2);
+        RoutingRequest large = new RoutingRequest(
+                promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
+        reportLoad(2, 2);
         assertInstanceOf(Decision.Send.class, admission.decide(List.of(endpoint), large, NOW));
-        requestsThere(3, 1);
+        reportLoad(3, 1);
         assertEquals(new Decision.Full(1), admission.decide(List.of(endpoint), large, NOW));
     }
 
     @Test
     void shouldRefuseImmediatelyWhenPromptAloneTakesLongerThanClientWaits() {
         int promptTokens = MODEL_TOKENS_PER_MILLI * (int) CLIENT_MILLIS;
-        Wanted endless =
-                new Wanted(promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
+        RoutingRequest endless = new RoutingRequest(
+                promptTokens, OBJECTIVE, OBJECTIVE, CLIENT_MILLIS, Optional.of(MODEL), 0, 0, Set.of());
         assertEquals(new Decision.Full(1), admission.decide(List.of(endpoint), endless, NOW));
     }
 
     @Test
     void shouldWaitWhenFreeSlotsAreAllottedToOtherEntries() {
-        requestsThere(2, 0);
+        reportLoad(2, 0);
         assertInstanceOf(Decision.Wait.class, decide(OBJECTIVE));
-        requestsThere(2, 1);
+        reportLoad(2, 1);
         assertInstanceOf(Decision.Send.class, decide(OBJECTIVE));
     }
 
     @Test
     void shouldReuseOwnSlotWhenOwnRequestEnds() {
-        choice.load("a").began(0);
-        requestsThere(4, 0);
-        choice.load("a").ended();
+        selector.load("a").requestSent(0);
+        reportLoad(4, 0);
+        selector.load("a").requestEnded();
         assertInstanceOf(Decision.Send.class, decide(OBJECTIVE));
     }
 
     @Test
     void shouldSendLateRequestOnlyWhenMoreThanAQuarterOfSlotsIsFree() {
-        requestsThere(2, 2);
+        reportLoad(2, 2);
         assertInstanceOf(Decision.Send.class, decide(-1));
-        requestsThere(3, 1);
+        reportLoad(3, 1);
         assertEquals(new Decision.Full(1), decide(-1));
         assertInstanceOf(Decision.Send.class, decide(OBJECTIVE));
     }
@@ -123,69 +123,71 @@
     @Test
     void shouldReturnUnableWhenNoEndpointCanServe() {
         assertInstanceOf(
-                Decision.Unable.class, admission.decide(List.of(), wanted(OBJECTIVE, Optional.of(MODEL)), NOW));
+                Decision.Unable.class, admission.decide(List.of(), request(OBJECTIVE, Optional.of(MODEL)), NOW));
     }
 
     @Test
     void shouldRefuseImmediatelyWhenPlainServiceIsFull() {
         for (int i = 0; i < 8; i++) {
-            choice.load("a").began(0);
+            selector.load("a").requestSent(0);
         }
         assertEquals(
-                new Decision.Full(1), admission.decide(List.of(endpoint), wanted(OBJECTIVE, Optional.empty()), NOW));
+                new Decision.Full(1), admission.decide(List.of(endpoint), request(OBJECTIVE, Optional.empty()), NOW));
     }
 
     // -- rate limits
 
-    private void limitOf(String id, double perSecond) {
-        choice.load(id).limit().ranked(new EntryRank(0, 1));
-        choice.load(id).limit().answered(OptionalDouble.of(perSecond), NOW, NOW);
+    private void stateLimit(String id, double perSecond) {
+        selector.load(id).rateLimit().rankReported(new EntryRank(0, 1));
+        selector.load(id).rateLimit().responseReceived(OptionalDouble.of(perSecond), NOW, NOW);
     }
 
     @Test
     void shouldRefuseWithTimeOfNextRequestWhenRateLimitIsReached() {
-        requestsThere(0, 4);
-        limitOf("a", 2);
-        assertEquals(new Decision.Limited(1, OptionalLong.of(500)), decide(OBJECTIVE));
+        reportLoad(0, 4);
+        stateLimit("a", 2);
+        assertEquals(new Decision.RateLimited(1, OptionalLong.of(500)), decide(OBJECTIVE));
     }
 
     @Test
     void shouldRefuseWithoutTimeWhenRateLimitIsLeftToOtherEntries() {
-        requestsThere(0, 4);
-        choice.load("a").limit().ranked(new EntryRank(10, 11));
-        choice.load("a").limit().answered(OptionalDouble.of(2), NOW, NOW);
-        assertEquals(new Decision.Limited(1, OptionalLong.empty()), decide(OBJECTIVE));
+        reportLoad(0, 4);
+        selector.load("a").rateLimit().rankReported(new EntryRank(10, 11));
+        selector.load("a").rateLimit().responseReceived(OptionalDouble.of(2), NOW, NOW);
+        assertEquals(new Decision.RateLimited(1, OptionalLong.empty()), decide(OBJECTIVE));
     }
 
     @Test
     void shouldSendWhenRateLimitPeriodHasPassed() {
-        requestsThere(0, 4);
-        limitOf("a", 2);
-        Wanted wanted = wanted(OBJECTIVE, Optional.of(MODEL));
-        admission.decide(List.of(endpoint), wanted, NOW);
-        choice.load("a").told(new LoadReport(0, 0, false, 1, 4), 1, NOW + 500);
-        assertInstanceOf(Decision.Send.class, admission.decide(List.of(endpoint), wanted, NOW + 500));
+        reportLoad(0, 4);
+        stateLimit("a", 2);
+        RoutingRequest request = request(OBJECTIVE, Optional.of(MODEL));
+        admission.decide(List.of(endpoint), request, NOW);
+        selector.load("a").reported(new LoadReport(0, 0, false, 1, 4), 1, NOW + 500);
+        assertInstanceOf(Decision.Send.class, admission.decide(List.of(endpoint), request, NOW + 500));
     }
 
     @Test
     void shouldSendToOtherEndpointWhenRateLimitIsReached() {
-        EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
-        limitOf("a", 2);
-        Decision decision = admission.decide(List.of(endpoint, other), wanted(OBJECTIVE, Optional.of(MODEL)), NOW);
+        EndpointRegistration other =
+                EndpointRegistration.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
+        stateLimit("a", 2);
+        Decision decision = admission.decide(List.of(endpoint, other), request(OBJECTIVE, Optional.of(MODEL)), NOW);
         assertEquals(
                 "b",
                 assertInstanceOf(Decision.Send.class, decision)
-                        .chosen()
+                        .selection()
                         .endpoint()
                         .id());
     }
 
     @Test
     void shouldWaitForSlotWhenEndpointWithoutRateLimitIsFull() {
-        EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
-        limitOf("a", 2);
-        choice.load("b").told(new LoadReport(4, 0, false, 1, 0), 1, NOW);
-        Decision decision = admission.decide(List.of(endpoint, other), wanted(OBJECTIVE, Optional.of(MODEL)), NOW);
-        assertEquals(new Decision.Wait(SPARE, 1), decision);
+        EndpointRegistration other =
+                EndpointRegistration.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
+        stateLimit("a", 2);
+        selector.load("b").reported(new LoadReport(4, 0, false, 1, 0), 1, NOW);
+        Decision decision = admission.decide(List.of(endpoint, other), request(OBJECTIVE, Optional.of(MODEL)), NOW);
+        assertEquals(new Decision.Wait(MAX_WAIT, 1), decision);
     }
 }
