--- a/src/test/java/org/micabarrow/admission/TakenRoomTest.java
+++ b/src/test/java/org/micabarrow/admission/OccupiedSlotTest.java
@@ -7,17 +7,17 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.micabarrow.limits.EndpointLimit;
-import org.micabarrow.limits.KnownEntries;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
 import org.micabarrow.routing.EndpointLoad;
 
 /** Checks the endpoint's load after each sequence of steps, and at each notification of freed capacity. */
-class TakenRoomTest {
+class OccupiedSlotTest {
 
     private static final int PROMPT = 70;
 
-    private final EndpointLoad load = new EndpointLoad(new EndpointLimit("a", new KnownEntries(), new Random(1)));
-    private final List<String> looks = new ArrayList<>();
+    private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
+    private final List<String> notifications = new ArrayList<>();
 
     @ParameterizedTest
     @CsvSource({
@@ -28,19 +28,22 @@
         "read free, true,  0,              true,    taken:0 free:0",
         "free,      true,  0,              true,    taken:0 free:0"
     })
-    void shouldReleasePromptBeforeSlot(String steps, boolean idle, int prompt, boolean begun, String seen) {
-        TakenRoom room = new TakenRoom(
-                load, PROMPT, () -> looks.add((load.idle() ? "free:" : "taken:") + load.ownPromptTokens()));
+    void shouldReleasePromptBeforeSlot(
+            String steps, boolean idle, int pendingPrompt, boolean started, String expected) {
+        OccupiedSlot slot = new OccupiedSlot(
+                load,
+                PROMPT,
+                () -> notifications.add((load.idle() ? "free:" : "taken:") + load.ownPendingPromptTokens()));
         for (String step : steps.split(" ")) {
             switch (step) {
-                case "read" -> room.promptRead();
-                case "free" -> room.free();
+                case "read" -> slot.promptRead();
+                case "free" -> slot.release();
                 default -> {}
             }
         }
         assertEquals(idle, load.idle());
-        assertEquals(prompt, load.ownPromptTokens());
-        assertEquals(begun, room.begun());
-        assertEquals(seen, String.join(" ", looks));
+        assertEquals(pendingPrompt, load.ownPendingPromptTokens());
+        assertEquals(started, slot.started());
+        assertEquals(expected, String.join(" ", notifications));
     }
 }
--- a/src/test/java/org/micabarrow/admission/RoomWaitTest.java
+++ b/src/test/java/org/micabarrow/admission/SlotWaitTest.java
@@ -6,34 +6,34 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
+import org.micabarrow.admission.WaitQueue.Waiter;
 
 /** Runs waits against a real queue. */
-class RoomWaitTest {
+class SlotWaitTest {
 
     private static final long LATEST = 100;
 
-    private final WaitingLine line = new WaitingLine();
-    private final List<String> told = new ArrayList<>();
+    private final WaitQueue queue = new WaitQueue();
+    private final List<String> notified = new ArrayList<>();
     private Decision next = new Decision.Wait(50, 1);
-    private final RoomWait room = new RoomWait(new OneLine(), new Request());
+    private final SlotWait wait = new SlotWait(new TestQueue(), new Request());
 
-    private final class OneLine implements RoomWait.Line {
+    private final class TestQueue implements SlotWait.Queue {
 
         @Override
-        public Place join(int rank, long latestStartMillis, Waiter waiter) {
-            return line.join(rank, latestStartMillis, waiter);
+        public QueuedRequest enqueue(int priority, long latestStartMillis, Waiter waiter) {
+            return queue.enqueue(priority, latestStartMillis, waiter);
         }
 
         @Override
-        public void leave(Place place) {
-            line.leave(place);
+        public void remove(QueuedRequest queued) {
+            queue.remove(queued);
         }
     }
 
-    private final class Request implements RoomWait.Request {
+    private final class Request implements SlotWait.Request {
 
         @Override
         public Decision decide() {
@@ -41,31 +41,31 @@
         }
 
         @Override
-        public void decided(Decision decision, String why) {
-            told.add(decision.getClass().getSimpleName() + " " + why);
-            if (why.equals("again")) {
-                room.begin(0, LATEST, "second");
+        public void decided(Decision decision, String reason) {
+            notified.add(decision.getClass().getSimpleName() + " " + reason);
+            if (reason.equals("again")) {
+                wait.begin(0, LATEST, "second");
             }
         }
 
         @Override
-        public void outOfTime() {
-            told.add("expired");
+        public void expired() {
+            notified.add("expired");
         }
     }
 
-    private void play(String events) {
+    private void apply(String events) {
         for (String event : events.split(" ")) {
             switch (event) {
                 case "-" -> {}
-                case "begin" -> room.begin(0, LATEST, "first");
-                case "begin-again" -> room.begin(0, LATEST, "again");
+                case "begin" -> wait.begin(0, LATEST, "first");
+                case "begin-again" -> wait.begin(0, LATEST, "again");
                 case "full" -> next = new Decision.Full(1);
                 case "unable" -> next = new Decision.Unable();
-                case "dispatch" -> line.serve();
-                case "in-time" -> line.expire(LATEST);
-                case "late" -> line.expire(LATEST + 1);
-                case "end" -> room.end();
+                case "dispatch" -> queue.dispatch();
+                case "in-time" -> queue.expire(LATEST);
+                case "late" -> queue.expire(LATEST + 1);
+                case "end" -> wait.end();
                 default -> throw new IllegalArgumentException(event);
             }
         }
@@ -90,10 +90,10 @@
         "begin-again full dispatch end,     false, 0,      Full again",
         "begin-again full dispatch late,    false, 0,      Full again; expired"
     })
-    void shouldWaitUntilDecisionExpiryOrEnd(String events, boolean waits, int inLine, String expected) {
-        play(events);
-        assertEquals(waits, room.waits());
-        assertEquals(inLine, line.size());
-        assertEquals(expected, String.join("; ", told));
+    void shouldWaitUntilDecisionExpiryOrEnd(String events, boolean waits, int queueSize, String expected) {
+        apply(events);
+        assertEquals(waits, wait.isWaiting());
+        assertEquals(queueSize, queue.size());
+        assertEquals(expected, String.join("; ", notified));
     }
 }
--- a/src/test/java/org/micabarrow/attempts/SendingsTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptHistoryTest.java
@@ -8,23 +8,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class SendingsTest {
+class AttemptHistoryTest {
 
-    private final Sendings sendings = new Sendings();
+    private final AttemptHistory attempts = new AttemptHistory();
 
     /** Applies events; an upper-case letter is an attempt at that endpoint. */
-    private void play(String events) {
+    private void apply(String events) {
         for (String event : events.split(" ")) {
             switch (event) {
                 case "-" -> {}
-                case "query" -> sendings.ask();
-                case "not-sent" -> sendings.withheld();
-                case "late-at-A" -> sendings.cameLateAt("A");
-                case "not-run" -> sendings.ended(AttemptEnd.NOT_RUN);
-                case "misdirected" -> sendings.ended(AttemptEnd.MISDIRECTED);
-                case "unknown" -> sendings.ended(AttemptEnd.UNKNOWN);
-                case "failed" -> sendings.ended(AttemptEnd.FAILED);
-                default -> sendings.sent(event);
+                case "query" -> attempts.countAgentQuery();
+                case "not-sent" -> attempts.notSent();
+                case "late-at-A" -> attempts.connectionLate("A");
+                case "not-run" -> attempts.ended(AttemptOutcome.NOT_RUN);
+                case "misdirected" -> attempts.ended(AttemptOutcome.MISDIRECTED);
+                case "unknown" -> attempts.ended(AttemptOutcome.UNKNOWN);
+                case "failed" -> attempts.ended(AttemptOutcome.FAILED);
+                default -> attempts.sent(event);
             }
         }
     }
@@ -48,14 +48,15 @@
         "A not-sent late-at-A A,         A,     1,     false,        true",
         "A not-run B not-sent late-at-A, B,     1,     false,        true"
     })
-    void shouldTrackAttempts(String events, String tried, int count, boolean mayHaveRun, boolean cameLate) {
-        play(events);
-        assertEquals(set(tried), sendings.tried());
-        assertEquals(count, sendings.count());
-        assertEquals(mayHaveRun, sendings.mayHaveRun());
-        assertEquals(cameLate, sendings.cameLate());
-        assertEquals(new AttemptPolicy.Progress(count, mayHaveRun, 70), sendings.progress(70));
-        assertEquals(new AttemptPolicy.Progress(count, true, 70), sendings.progressIfRun(70));
+    void shouldTrackAttempts(
+            String events, String triedEndpoints, int count, boolean mayHaveRun, boolean connectedLate) {
+        apply(events);
+        assertEquals(set(triedEndpoints), attempts.triedEndpoints());
+        assertEquals(count, attempts.count());
+        assertEquals(mayHaveRun, attempts.mayHaveRun());
+        assertEquals(connectedLate, attempts.connectedLate());
+        assertEquals(new AttemptPolicy.Progress(count, mayHaveRun, 70), attempts.progress(70));
+        assertEquals(new AttemptPolicy.Progress(count, true, 70), attempts.progressIfRun(70));
     }
 
     @ParameterizedTest
@@ -67,8 +68,8 @@
         "query A query, true",
         "A query query, false"
     })
-    void shouldAllowTwoAgentQueriesBeforeOneAttempt(String events, boolean mayAsk) {
-        play(events);
-        assertEquals(mayAsk, sendings.ask());
+    void shouldAllowTwoAgentQueriesBeforeOneAttempt(String events, boolean mayQuery) {
+        apply(events);
+        assertEquals(mayQuery, attempts.countAgentQuery());
     }
 }
--- a/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
@@ -13,7 +13,8 @@
 class AttemptPolicyTest {
 
     private static Route route(RequestKind kind, int attempts) {
-        return new Route("r", "h", "/", List.of(new Route.Share("s", 1)), kind, 1_000, 500, 0, attempts, false);
+        return new Route(
+                "r", "h", "/", List.of(new Route.WeightedService("s", 1)), kind, 1_000, 500, 0, attempts, false);
     }
 
     @ParameterizedTest
@@ -28,16 +29,17 @@
         "IDEMPOTENT,       false, 1, 10,   false"
     })
     void shouldDecideByKindAndRemainingTime(
-            RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
-        AttemptPolicy.Progress progress = new AttemptPolicy.Progress(sendings, mayHaveRun, left);
-        assertEquals(again, AttemptPolicy.again(route(kind, 2), progress, () -> true));
+            RequestKind kind, boolean mayHaveRun, int attempts, long remainingMillis, boolean allowed) {
+        AttemptPolicy.Progress progress = new AttemptPolicy.Progress(attempts, mayHaveRun, remainingMillis);
+        assertEquals(allowed, AttemptPolicy.allowsAnotherAttempt(route(kind, 2), progress, () -> true));
     }
 
     @Test
     void shouldNotConsumeBudgetWhenRequestMayNotRunAgain() {
         AtomicInteger taken = new AtomicInteger();
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, true, 1_000);
-        AttemptPolicy.again(route(RequestKind.AT_MOST_ONCE, 2), progress, () -> taken.incrementAndGet() > 0);
+        AttemptPolicy.allowsAnotherAttempt(
+                route(RequestKind.AT_MOST_ONCE, 2), progress, () -> taken.incrementAndGet() > 0);
         assertEquals(0, taken.get());
     }
 
@@ -50,13 +52,14 @@
         "AT_MOST_ONCE,     9999, false"
     })
     void shouldReportOverdueAfterTwoObjectivesWhenRequestMayRunAgain(
-            RequestKind kind, long sentMillis, boolean overdue) {
-        assertEquals(overdue, AttemptPolicy.overdue(route(kind, 2), sentMillis));
+            RequestKind kind, long waitedMillis, boolean overdue) {
+        assertEquals(overdue, AttemptPolicy.overdue(route(kind, 2), waitedMillis));
     }
 
     @Test
     void shouldStopWhenBudgetIsExhausted() {
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, false, 1_000);
-        assertEquals(false, AttemptPolicy.again(route(RequestKind.IDEMPOTENT, 2), progress, () -> false));
+        assertEquals(
+                false, AttemptPolicy.allowsAnotherAttempt(route(RequestKind.IDEMPOTENT, 2), progress, () -> false));
     }
 }
--- a/src/test/java/org/micabarrow/attempts/EventSplitterTest.java
+++ b/src/test/java/org/micabarrow/attempts/EventSplitterTest.java
@@ -20,7 +20,7 @@
     @Test
     void shouldHoldBackEventWhenItIsIncomplete() {
         EventSplitter splitter = new EventSplitter();
-        assertEquals("id: 1\ndata: a\n\n", new String(splitter.whole(bytes("id: 1\ndata: a\n\nid: 2\nda"))));
+        assertEquals("id: 1\ndata: a\n\n", new String(splitter.append(bytes("id: 1\ndata: a\n\nid: 2\nda"))));
         assertEquals(Optional.of("1"), splitter.lastId());
         assertEquals("id: 2\nda", new String(splitter.remainder()));
     }
@@ -28,16 +28,16 @@
     @Test
     void shouldAcceptCarriageReturns() {
         EventSplitter splitter = new EventSplitter();
-        assertEquals(15, splitter.whole(bytes("id:7\r\ndata:\r\n\r\nx")).length);
+        assertEquals(15, splitter.append(bytes("id:7\r\ndata:\r\n\r\nx")).length);
         assertEquals(Optional.of("7"), splitter.lastId());
     }
 
     @Test
     void shouldDiscardRemainderWhenConnectionBroke() {
         EventSplitter splitter = new EventSplitter();
-        splitter.whole(bytes("id: 1\n\nid: 2\nbroken"));
-        splitter.dropRemainder();
-        assertEquals("id: 2\nwhole\n\n", new String(splitter.whole(bytes("id: 2\nwhole\n\n"))));
+        splitter.append(bytes("id: 1\n\nid: 2\nbroken"));
+        splitter.discardRemainder();
+        assertEquals("id: 2\nwhole\n\n", new String(splitter.append(bytes("id: 2\nwhole\n\n"))));
     }
 
     /** However the input is cut, the concatenated output equals it, and every piece of output ends with an event. */
@@ -56,7 +56,7 @@
         EventSplitter splitter = new EventSplitter();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (int at = 0; at < all.length; at += cut) {
-            byte[] part = splitter.whole(Arrays.copyOfRange(all, at, Math.min(all.length, at + cut)));
+            byte[] part = splitter.append(Arrays.copyOfRange(all, at, Math.min(all.length, at + cut)));
             assertEquals(true, part.length == 0 || new String(part).endsWith("\n\n"));
             out.writeBytes(part);
         }
--- a/src/test/java/org/micabarrow/attempts/RequestTimesTest.java
+++ b/src/test/java/org/micabarrow/attempts/RequestTimesTest.java
@@ -7,10 +7,10 @@
 
 class RequestTimesTest {
 
-    private static final long BEGAN = 10_000;
+    private static final long ARRIVED = 10_000;
 
-    private static RequestTimes times(long given, long timeout, long objective, long sinceFirstTry) {
-        return new RequestTimes(BEGAN, BEGAN + given, timeout, objective, sinceFirstTry);
+    private static RequestTimes times(long clientMillis, long timeout, long objective, long sinceFirstAttempt) {
+        return new RequestTimes(ARRIVED, ARRIVED + clientMillis, timeout, objective, sinceFirstAttempt);
     }
 
     @ParameterizedTest
@@ -23,14 +23,14 @@
         " 700, 1000,  900, -200",
         "-100, 1000,    0, -100"
     })
-    void shouldReturnRemainingTimeOfClientAndRoute(long given, long timeout, long after, long left) {
-        assertEquals(left, times(given, timeout, 500, 0).leftMillis(BEGAN + after));
+    void shouldReturnRemainingTimeOfClientAndRoute(long clientMillis, long timeout, long after, long remaining) {
+        assertEquals(remaining, times(clientMillis, timeout, 500, 0).remainingMillis(ARRIVED + after));
     }
 
     @ParameterizedTest
     @CsvSource({"3000, 1000, 1000", "700, 1000, 700", "0, 1000, 1", "-100, 1000, 1"})
-    void shouldHoldRequestForRemainingTimeButAtLeastOneMillisecond(long given, long timeout, long held) {
-        assertEquals(held, times(given, timeout, 500, 0).heldMillis());
+    void shouldHoldRequestForRemainingTimeButAtLeastOneMillisecond(long clientMillis, long timeout, long maxHold) {
+        assertEquals(maxHold, times(clientMillis, timeout, 500, 0).maxHoldMillis());
     }
 
     @ParameterizedTest
@@ -42,7 +42,9 @@
         "900,   0, false, -400",
         "900, 300, true,  500"
     })
-    void shouldReturnRemainderOfObjectiveSinceFirstAttempt(long sinceFirstTry, long after, boolean begun, long left) {
-        assertEquals(left, times(3_000, 1_000, 500, sinceFirstTry).toObjectiveMillis(BEGAN + after, begun));
+    void shouldReturnRemainderOfObjectiveSinceFirstAttempt(
+            long sinceFirstAttempt, long after, boolean begun, long remaining) {
+        assertEquals(
+                remaining, times(3_000, 1_000, 500, sinceFirstAttempt).untilObjectiveMillis(ARRIVED + after, begun));
     }
 }
--- a/src/test/java/org/micabarrow/crashes/CulpritsTest.java
+++ b/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class CulpritsTest {
+class PoisonRequestDetectorTest {
 
-    private static final int ENDPOINTS = 30;
+    private static final int ENDPOINT_COUNT = 30;
 
     static RequestDigest digest(String name) {
         return new RequestDigest(String.format("%032x", new BigInteger(1, name.getBytes(StandardCharsets.UTF_8))));
@@ -28,10 +28,10 @@
      * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters stand for requests
      * whose responses had begun.
      */
-    private static Culprits.Evidence evidence(String crashes) {
+    private static PoisonRequestDetector.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
         Map<String, Long> times = new HashMap<>();
-        Set<RequestDigest> begun = new HashSet<>();
+        Set<RequestDigest> partlyAnswered = new HashSet<>();
         for (String crash : crashes.split(" ")) {
             String[] parts = crash.split(":");
             String endpoint = "e" + times.size();
@@ -40,11 +40,11 @@
                 RequestDigest digest = digest(String.valueOf(Character.toLowerCase(request)));
                 at.computeIfAbsent(digest, key -> new HashSet<>()).add(endpoint);
                 if (Character.isUpperCase(request)) {
-                    begun.add(digest);
+                    partlyAnswered.add(digest);
                 }
             }
         }
-        return new Culprits.Evidence(at, begun, times);
+        return new PoisonRequestDetector.Evidence(at, partlyAnswered, times);
     }
 
     @ParameterizedTest
@@ -60,9 +60,9 @@
         "responses had begun at four,                    0:A 9:A 18:A 27:A,                   a",
         "many other endpoints crash in the same second,  0:a 0:b 0:c 0:d 0:e 0:f 0:g 0:a 0:a, ''"
     })
-    void shouldDetectPoisonRequests(String what, String crashes, String culprits) {
+    void shouldDetectPoisonRequests(String description, String crashes, String poisonRequests) {
         Set<String> found = new TreeSet<>();
-        Culprits.of(evidence(crashes), ENDPOINTS).keySet().forEach(one -> found.add(name(one)));
-        assertEquals(culprits, String.join("", found), what);
+        PoisonRequestDetector.detect(evidence(crashes), ENDPOINT_COUNT).keySet().forEach(one -> found.add(name(one)));
+        assertEquals(poisonRequests, String.join("", found), description);
     }
 }
--- a/src/test/java/org/micabarrow/crashes/RequestDigestTest.java
+++ b/src/test/java/org/micabarrow/crashes/RequestDigestTest.java
@@ -19,8 +19,8 @@
 
     private static ClientRequest request(
             String id, String method, String host, String target, String org, String body) {
-        Route route =
-                new Route("r", host, "/", List.of(new Route.Share("s", 1)), RequestKind.IDEMPOTENT, 1, 1, 1, 1, false);
+        Route route = new Route(
+                "r", host, "/", List.of(new Route.WeightedService("s", 1)), RequestKind.IDEMPOTENT, 1, 1, 1, 1, false);
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         Map<String, String> headers = Map.of("Attempt-Id", id);
         return new ClientRequest(
--- /dev/null
+++ b/src/test/java/org/micabarrow/crashes/SuspectIsolationTest.java
@@ -0,0 +1,48 @@
+package org.micabarrow.crashes;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.micabarrow.crashes.PoisonRequestDetectorTest.digest;
+
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import org.micabarrow.routing.EndpointRegistration;
+
+class SuspectIsolationTest {
+
+    private static final SuspicionLevel.Suspected ONCE = new SuspicionLevel.Suspected(1);
+    private static final SuspicionLevel.Suspected TWICE = new SuspicionLevel.Suspected(2);
+    private static final RequestDigest ONE = digest("1");
+    private static final RequestDigest OTHER = digest("2");
+
+    private final List<EndpointRegistration> endpoints = IntStream.range(0, 6)
+            .mapToObj(i -> EndpointRegistration.of("e" + i, "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1))
+            .toList();
+    private final SuspectIsolation isolation = new SuspectIsolation();
+
+    @Test
+    void shouldSkipEndpointsWithOtherSuspects() {
+        isolation.started(endpoints.getFirst().start(), OTHER);
+        assertEquals(endpoints.subList(1, 6), isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
+        isolation.ended(endpoints.getFirst().start(), OTHER);
+        assertEquals(endpoints, isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
+    }
+
+    @Test
+    void shouldRunOneAttemptAtATimeWhenInvolvedInMoreThanOneCrash() {
+        isolation.started(endpoints.getFirst().start(), ONE);
+        assertEquals(endpoints, isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
+        assertEquals(List.of(), isolation.withoutOtherSuspects(endpoints, ONE, TWICE));
+        isolation.ended(endpoints.getFirst().start(), ONE);
+        assertEquals(6, isolation.withoutOtherSuspects(endpoints, ONE, TWICE).size());
+    }
+
+    @Test
+    void shouldTryEndpointsInSameOrderEverywhereWhenInvolvedInMoreThanOneCrash() {
+        List<EndpointRegistration> order = isolation.withoutOtherSuspects(endpoints, ONE, TWICE);
+        assertEquals(order, new SuspectIsolation().withoutOtherSuspects(endpoints.reversed(), ONE, TWICE));
+        assertNotEquals(order, isolation.withoutOtherSuspects(endpoints, OTHER, TWICE));
+    }
+}
--- a/src/test/java/org/micabarrow/limits/KnownEntriesTest.java
+++ b/src/test/java/org/micabarrow/limits/EntryCountTest.java
@@ -4,35 +4,35 @@
 
 import org.junit.jupiter.api.Test;
 
-class KnownEntriesTest {
+class EntryCountTest {
 
-    private final KnownEntries entries = new KnownEntries();
+    private final EntryCount entries = new EntryCount();
 
     @Test
     void shouldAssumeDefaultWhenNothingWasReported() {
-        assertEquals(KnownEntries.ASSUMED, entries.count());
+        assertEquals(EntryCount.DEFAULT_COUNT, entries.count());
     }
 
     @Test
     void shouldUseFirstReport() {
-        entries.told(5, 0);
+        entries.reported(5, 0);
         assertEquals(5, entries.count());
     }
 
     @Test
     void shouldIgnoreLowerReportOfOneAgent() {
-        entries.told(13, 1_000);
-        entries.told(2, 1_100);
-        entries.told(13, 3_000);
-        entries.told(2, 5_900);
+        entries.reported(13, 1_000);
+        entries.reported(2, 1_100);
+        entries.reported(13, 3_000);
+        entries.reported(2, 5_900);
         assertEquals(13, entries.count());
     }
 
     @Test
     void shouldAdaptWhenAllReportsAreLower() {
-        entries.told(13, 1_000);
+        entries.reported(13, 1_000);
         for (long now = 1_100; now < 5_000; now += 150) {
-            entries.told(12, now);
+            entries.reported(12, now);
         }
         assertEquals(12, entries.count());
     }
--- a/src/test/java/org/micabarrow/limits/EntryRankTest.java
+++ b/src/test/java/org/micabarrow/limits/EntryRankTest.java
@@ -25,8 +25,9 @@
     @ValueSource(ints = {1, 5, 13, 60})
     void shouldAssignDistinctRanks(int count) {
         Map<String, EntryRank> ranks = EntryRank.ranks(names(count), "agent");
-        Set<Integer> places = ranks.values().stream().map(EntryRank::rank).collect(Collectors.toSet());
-        assertEquals(IntStream.range(0, count).boxed().collect(Collectors.toSet()), places);
+        Set<Integer> distinctRanks =
+                ranks.values().stream().map(EntryRank::rank).collect(Collectors.toSet());
+        assertEquals(IntStream.range(0, count).boxed().collect(Collectors.toSet()), distinctRanks);
         ranks.values().forEach(rank -> assertEquals(count, rank.entries()));
     }
 
--- a/src/test/java/org/micabarrow/play/LoadPlay.java
+++ b/src/test/java/org/micabarrow/play/LoadPlay.java
@@ -8,18 +8,18 @@
 import java.util.Random;
 import java.util.Set;
 import org.micabarrow.Samples;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.FirstTries;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.FirstAttemptEstimator;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.admission.WaitQueue;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.routing.Route;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.RoutingRequest;
 
 /**
  * Plays a load on some entries before some emulated engines, with the decisions that entries and agents make in earnest, and
@@ -157,13 +157,13 @@
     private final class Engine {
 
         private final EngineEmulator emulator = new EngineEmulator(events, setting.model());
-        private final PlaceShares shares = new PlaceShares(new Random(random.nextLong()));
-        private final EndpointEntry listed;
+        private final SlotAllotment shares = new SlotAllotment(new Random(random.nextLong()));
+        private final EndpointRegistration listed;
         private final Map<String, Integer> said = new HashMap<>();
         private int reported;
 
         private Engine(String id) {
-            this.listed = EndpointEntry.of(
+            this.listed = EndpointRegistration.of(
                     id,
                     "s",
                     "10.0.0.1:80",
@@ -185,9 +185,10 @@
                     .filter(one -> !one.getKey().equals(entry.name))
                     .mapToInt(Map.Entry::getValue)
                     .sum();
-            int free = PlaceShares.dealable(setting.model().slots(), reported);
-            int places =
-                    setting.dealt() ? shares.deal(entry.name, unmet, free, events.nowMillis()) : LoadReport.ANY_PLACES;
+            int free = SlotAllotment.allottable(setting.model().slots(), reported);
+            int places = setting.dealt()
+                    ? shares.allot(entry.name, unmet, free, events.nowMillis())
+                    : LoadReport.UNLIMITED_SLOTS;
             return new LoadReport(reported, others, false, 1, places);
         }
     }
@@ -197,11 +198,11 @@
     private final class Entry {
 
         private final String name;
-        private final EndpointChoice choice = new EndpointChoice("region", Map.of("hall", "region"));
-        private final Admission admission = new Admission(choice);
-        private final WaitingLine line = new WaitingLine();
-        private final FirstTries firstTries = new FirstTries();
-        private final List<EndpointEntry> candidates =
+        private final EndpointSelector choice = new EndpointSelector("region", Map.of("hall", "region"));
+        private final AdmissionControl admission = new AdmissionControl(choice);
+        private final WaitQueue line = new WaitQueue();
+        private final FirstAttemptEstimator firstTries = new FirstAttemptEstimator();
+        private final List<EndpointRegistration> candidates =
                 engines.stream().map(engine -> engine.listed).toList();
 
         private Entry(String name) {
@@ -210,13 +211,13 @@
 
         private void askAll() {
             engines.forEach(engine -> {
-                int own = choice.load(engine.listed.id()).ownPromptTokens();
-                int unmet = choice.unmet().lately(events.nowMillis());
+                int own = choice.load(engine.listed.id()).ownPendingPromptTokens();
+                int unmet = choice.unmetDemand().recent(events.nowMillis());
                 events.after(WAY_MILLIS, () -> {
                     LoadReport told = engine.asked(this, own, unmet);
                     events.after(WAY_MILLIS, () -> {
-                        choice.load(engine.listed.id()).told(told, 2 * (long) WAY_MILLIS, events.nowMillis());
-                        line.serve();
+                        choice.load(engine.listed.id()).reported(told, 2 * (long) WAY_MILLIS, events.nowMillis());
+                        line.dispatch();
                     });
                 });
             });
@@ -225,12 +226,13 @@
         }
 
         private void take(Caller caller) {
-            new Run(this, caller, firstTries.millisSince("r", caller.millisGiven(), events.nowMillis())).next();
+            new Run(this, caller, firstTries.millisSinceFirstAttempt("r", caller.millisGiven(), events.nowMillis()))
+                    .next();
         }
     }
 
     /** A request at an entry. */
-    private final class Run implements WaitingLine.Waiter {
+    private final class Run implements WaitQueue.Waiter {
 
         private final Entry entry;
         private final Caller caller;
@@ -247,7 +249,7 @@
         }
 
         private Decision decide() {
-            Wanted wanted = new Wanted(
+            RoutingRequest wanted = new RoutingRequest(
                     caller.promptTokens,
                     caller.objective,
                     millisToObjective(),
@@ -261,39 +263,39 @@
 
         private void next() {
             switch (decide()) {
-                case Decision.Send(Choice.Send chosen) -> send(chosen);
+                case Decision.Send(EndpointSelection.Selected chosen) -> send(chosen);
                 case Decision.Wait(long millis, int ignored) -> {
-                    entry.line.join(1, events.nowMillis() + millis, this);
+                    entry.line.enqueue(1, events.nowMillis() + millis, this);
                     events.after(millis + 1, () -> entry.line.expire(events.nowMillis()));
                 }
-                case Decision.Full ignored -> tooLate();
-                case Decision.Resting ignored -> throw new AssertionError("no engine rests");
-                case Decision.Limited ignored -> throw new AssertionError("no engine names a limit");
+                case Decision.Full ignored -> expired();
+                case Decision.BackingOff ignored -> throw new AssertionError("no engine rests");
+                case Decision.RateLimited ignored -> throw new AssertionError("no engine names a limit");
                 case Decision.Unable ignored -> throw new AssertionError("every engine can serve");
-                case Decision.Culprit ignored -> throw new AssertionError("no engine ends");
+                case Decision.PoisonRequest ignored -> throw new AssertionError("no engine ends");
             }
         }
 
-        private void send(Choice.Send chosen) {
-            EndpointEntry endpoint = chosen.endpoint();
+        private void send(EndpointSelection.Selected chosen) {
+            EndpointRegistration endpoint = chosen.endpoint();
             long sentMillis = events.nowMillis();
             Engine engine = engines.stream()
                     .filter(one -> one.listed.id().equals(endpoint.id()))
                     .findFirst()
                     .orElseThrow();
             EndpointLoad load = entry.choice.load(endpoint.id());
-            load.began(caller.promptTokens);
+            load.requestSent(caller.promptTokens);
             int rank = millisToObjective() <= 0 ? 9 : 1;
             Runnable began = () -> events.after(WAY_MILLIS, () -> {
                 load.promptRead(caller.promptTokens);
-                load.firstEvents()
+                load.firstEventDelay()
                         .observed(chosen.predictedMillis(), events.nowMillis() - sentMillis, events.nowMillis());
                 caller.began();
-                entry.line.serve();
+                entry.line.dispatch();
             });
             Runnable ended = () -> events.after(WAY_MILLIS, () -> {
-                load.ended();
-                entry.line.serve();
+                load.requestEnded();
+                entry.line.dispatch();
             });
             events.after(
                     WAY_MILLIS,
@@ -311,8 +313,8 @@
         }
 
         @Override
-        public void tooLate() {
-            entry.choice.unmet().turnedAway(events.nowMillis());
+        public void expired() {
+            entry.choice.unmetDemand().refused(events.nowMillis());
             entry.firstTries.refused(ROUTE, caller.comeBackMillis(), events.nowMillis());
             caller.refused();
         }
--- a/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.micabarrow.limits.EndpointLimit;
-import org.micabarrow.limits.KnownEntries;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
 
 /** Covers endpoints whose agents have not reported, or replied late. */
 class EndpointLoadTest {
 
-    private final EndpointLoad load = new EndpointLoad(new EndpointLimit("a", new KnownEntries(), new Random(1)));
+    private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 999, 1_000, 100_000})
     void shouldNotReportLinkRecentlySlowWhenAgentHasNotReported(long nowMillis) {
-        assertFalse(load.delayedLately(nowMillis), "a steady clock may begin near 0");
-        assertFalse(load.toldLately(nowMillis));
+        assertFalse(load.linkRecentlySlow(nowMillis), "a steady clock may begin near 0");
+        assertFalse(load.hasRecentReport(nowMillis));
     }
 
     @Test
     void shouldReportLinkRecentlySlowForAWhileAfterLateReply() {
-        load.told(new LoadReport(0, 0, false, 1), 401, 10);
-        assertTrue(load.delayedLately(3_010));
-        assertFalse(load.delayedLately(3_011));
+        load.reported(new LoadReport(0, 0, false, 1), 401, 10);
+        assertTrue(load.linkRecentlySlow(3_010));
+        assertFalse(load.linkRecentlySlow(3_011));
     }
 }
--- a/src/test/java/org/micabarrow/routing/EndpointStartTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointStartTest.java
@@ -20,14 +20,15 @@
 
     @Test
     void shouldDistinguishStartsByTheirTokens() {
-        assertTrue(STARTED.mayBe(OptionalInt.of(674_123)));
-        assertFalse(STARTED.mayBe(OptionalInt.of(674_124)));
+        assertTrue(STARTED.mayHaveToken(OptionalInt.of(674_123)));
+        assertFalse(STARTED.mayHaveToken(OptionalInt.of(674_124)));
     }
 
     @Test
     void shouldMatchAnyTokenWhenStartTimeIsUnknown() {
-        assertTrue(STARTED.mayBe(OptionalInt.empty()), "the report does not identify the start");
+        assertTrue(STARTED.mayHaveToken(OptionalInt.empty()), "the report does not identify the start");
         assertTrue(
-                EndpointStart.untold("a").mayBe(OptionalInt.of(5)), "the registration does not state the start time");
+                EndpointStart.ofUnknownTime("a").mayHaveToken(OptionalInt.of(5)),
+                "the registration does not state the start time");
     }
 }
--- a/src/test/java/org/micabarrow/routing/FirstEventDelayTest.java
+++ b/src/test/java/org/micabarrow/routing/FirstEventDelayTest.java
@@ -7,14 +7,14 @@
 
 class FirstEventDelayTest {
 
-    private static final double FIGURES_MILLIS = 100;
+    private static final double PREDICTED_MILLIS = 100;
 
     private final FirstEventDelay delay = new FirstEventDelay();
 
     /** Observes first events of the given duration, where the model profile predicts 100 ms. */
-    private void come(int events, long tookMillis, long nowMillis) {
+    private void observe(int events, long tookMillis, long nowMillis) {
         for (int i = 0; i < events; i++) {
-            delay.observed(FIGURES_MILLIS * delay.factor(nowMillis), tookMillis, nowMillis);
+            delay.observed(PREDICTED_MILLIS * delay.factor(nowMillis), tookMillis, nowMillis);
         }
     }
 
@@ -25,26 +25,26 @@
 
     @Test
     void shouldFollowObservationsWhenFirstEventsAreSlow() {
-        come(20, 300, 1_000);
+        observe(20, 300, 1_000);
         assertEquals(3, delay.factor(1_000), 0.05);
     }
 
     @Test
     void shouldNotCorrectBelowPredictionWhenFirstEventsAreFast() {
-        come(20, 10, 1_000);
+        observe(20, 10, 1_000);
         assertEquals(1, delay.factor(1_000));
     }
 
     @Test
     void shouldDecayWhenNothingIsObserved() {
-        come(20, 300, 1_000);
+        observe(20, 300, 1_000);
         assertTrue(delay.factor(3_000) < 1.6);
         assertTrue(delay.factor(7_000) < 1.1);
     }
 
     @Test
     void shouldBeBoundedWhenFirstEventsTakeForever() {
-        come(100, Long.MAX_VALUE, 1_000);
+        observe(100, Long.MAX_VALUE, 1_000);
         assertTrue(delay.factor(1_000) < 8);
     }
 }
--- a/src/test/java/org/micabarrow/serving/LateSendingTest.java
+++ b/src/test/java/org/micabarrow/serving/LateSendingTest.java
@@ -157,7 +157,7 @@
     /** More requests than an endpoint has room for. */
     private void fill(String endpoint) {
         for (int i = 0; i < MANY_REQUESTS; i++) {
-            choice.load(endpoint).began(0);
+            choice.load(endpoint).requestSent(0);
         }
     }
 
@@ -200,7 +200,7 @@
             platform.enter("model-1", "models", 1, "draining");
             Await.until(
                     "the news that it leaves",
-                    () -> views.view().endpoints().get("model-1").leaving());
+                    () -> views.view().endpoints().get("model-1").draining());
         });
         assertEquals(503, ask("/stream/x").status());
         assertEquals(0, received("model-1"));
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -115,7 +115,7 @@
         // settled.
         agentTells.set(false);
         for (int i = 0; i < FEW_REQUESTS; i++) {
-            choice.load("model-1").began(0);
+            choice.load("model-1").requestSent(0);
         }
         platform.next(Behaviour.REFUSE);
         assertEquals(503, ask().status());
--- a/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
@@ -73,7 +73,7 @@
         clockMillis.addAndGet(millis);
         lookAfterRequests(() -> {
             idleWith("model-1", 1);
-            choice.load("model-2").told(new LoadReport(requestsAtOther, 0, false, 1), 0, clockMillis.get());
+            choice.load("model-2").reported(new LoadReport(requestsAtOther, 0, false, 1), 0, clockMillis.get());
         });
     }
 
@@ -115,7 +115,7 @@
                     () -> client.call(call, WITHIN).toOptional().orElseThrow());
             try (Socket stalled = server.accept()) {
                 stalled.getOutputStream().write(FIRST_EVENT.getBytes(StandardCharsets.US_ASCII));
-                Await.until("the first event", () -> choice.load("model-1").ownPromptTokens() == 0);
+                Await.until("the first event", () -> choice.load("model-1").ownPendingPromptTokens() == 0);
                 platform.add("model-2", "models", 1);
                 Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
                 pass(LATE_MILLIS, 0);
--- a/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
@@ -118,7 +118,7 @@
         platform.enter("model-1", "models", 1, "draining");
         Await.until(
                 "the news that it leaves",
-                () -> views.view().endpoints().get("model-1").leaving());
+                () -> views.view().endpoints().get("model-1").draining());
         standStill(SILENCE_MILLIS);
         assertEquals(BAD_GATEWAY, answer.join().status());
         assertEquals(List.of(), standing.wake());
@@ -130,7 +130,7 @@
         CompletableFuture<HttpAnswer> answer = sent();
         platform.store().append("keyed.servers", "model-1", "");
         Await.until("the end of its entry", () -> views.view().endpoints().isEmpty());
-        choice.keepOnly(views.view().endpoints().values());
+        choice.retainOnly(views.view().endpoints().values());
         standStill(SILENCE_MILLIS);
         assertEquals(BAD_GATEWAY, answer.join().status());
         assertEquals(List.of(), standing.wake());
@@ -165,7 +165,7 @@
         CompletableFuture<HttpAnswer> answer = sent();
         views.want(MODEL, 2);
         clockMillis.addAndGet(SILENCE_MILLIS);
-        choice.load("model-1").told(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
+        choice.load("model-1").reported(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
         lookAfterRequests();
         assertEquals(1, standing.wake().size());
         answer.cancel(true);
@@ -197,7 +197,7 @@
         views.want(MODEL, 2);
         CompletableFuture<HttpAnswer> answer = sent();
         // The time for the first version passes while the endpoint holds it already; then another is named.
-        choice.load("model-1").told(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
+        choice.load("model-1").reported(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
         CompletableFuture<Void> passed = new CompletableFuture<>();
         worker.getIoThread().executeAfter(() -> passed.complete(null), 2 * CANCEL_MILLIS, TimeUnit.MILLISECONDS);
         passed.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS);
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.views.TopicReader.Batch;
 import org.slf4j.LoggerFactory;
 
@@ -182,7 +182,7 @@
                         + "}");
     }
 
-    private EndpointEntry entry(String id) {
+    private EndpointRegistration entry(String id) {
         return keeper.view().endpoints().get(id);
     }
 
@@ -190,7 +190,7 @@
     void shouldBelieveNothingOfFormerStartWhenEndpointStartsAgain() {
         endpoints(1, started("a", 0, 5_000, "draining", 3));
         endpoints(2, started("a", 1, 9_000, "ready", 1));
-        assertFalse(entry("a").leaving());
+        assertFalse(entry("a").draining());
         assertEquals(1, entry("a").models().get("m"));
     }
 
@@ -199,7 +199,7 @@
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         now.addAndGet(3_000);
         endpoints(2, started("a", 1, 5_000, "draining", 3));
-        assertFalse(entry("a").leaving());
+        assertFalse(entry("a").draining());
         assertEquals(1, entry("a").models().get("m"));
     }
 
@@ -279,9 +279,9 @@
         endpoints(2, written("a", 1, 6, "draining"));
         now.addAndGet(5_900);
         endpoints(3, written("a", 2, 5, "ready"));
-        assertTrue(entry("a").leaving());
+        assertTrue(entry("a").draining());
         endpoints(4, written("a", 3, 7, "ready"));
-        assertFalse(entry("a").leaving(), "what it wrote after that counts");
+        assertFalse(entry("a").draining(), "what it wrote after that counts");
     }
 
     @Test
@@ -298,7 +298,7 @@
         endpoints(1, written("a", 0, 60, "ready"));
         now.addAndGet(7_100);
         endpoints(2, written("a", 1, 1, "draining"));
-        assertTrue(entry("a").leaving());
+        assertTrue(entry("a").draining());
     }
 
     // -- entries of other writers
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
@@ -116,7 +116,7 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
             return notFound();
         }
     }
--- a/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
-            return Result.success(EndpointEntry.of(
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+            return Result.success(EndpointRegistration.of(
                     record.key(), "s", "10.0.0.1:80", "h", 1, false, Map.of("m", record.offset()), record.value()[0]));
         }
     }
