--- /dev/null
+++ b/src/main/java/org/micabarrow/admission/OccupiedSlot.java
@@ -0,0 +1,56 @@
+package org.micabarrow.admission;
+
+import java.util.Objects;
+import org.micabarrow.routing.EndpointLoad;
+
+/**
+ * The slot that one attempt of a request occupies at its endpoint. The prompt stops counting as pending when the
+ * response begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the
+ * wait queue. Not thread-safe: confined to one thread.
+ */
+public final class OccupiedSlot {
+
+    private final EndpointLoad load;
+    private final int promptTokens;
+    private final Runnable onCapacityFreed;
+    private boolean promptRead;
+
+    /**
+     * Occupies a slot.
+     *
+     * @param load the endpoint's load
+     * @param promptTokens the tokens of the request's prompt
+     * @param onCapacityFreed run whenever capacity has been freed
+     */
+    public OccupiedSlot(EndpointLoad load, int promptTokens, Runnable onCapacityFreed) {
+        this.load = Objects.requireNonNull(load, "load is null");
+        this.promptTokens = promptTokens;
+        this.onCapacityFreed = Objects.requireNonNull(onCapacityFreed, "onCapacityFreed is null");
+        load.requestSent(promptTokens);
+    }
+
+    /** Records that the endpoint has processed the prompt. Idempotent. */
+    public void promptRead() {
+        if (!promptRead) {
+            promptRead = true;
+            load.promptRead(promptTokens);
+            onCapacityFreed.run();
+        }
+    }
+
+    /**
+     * Returns whether the endpoint has started the request.
+     *
+     * @return true once its prompt is processed or the slot is released
+     */
+    public boolean started() {
+        return promptRead;
+    }
+
+    /** Releases the slot at the end of the attempt. Must be called once. */
+    public void release() {
+        promptRead();
+        load.requestEnded();
+        onCapacityFreed.run();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/micabarrow/admission/WaitQueue.java
@@ -0,0 +1,134 @@
+package org.micabarrow.admission;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Objects;
+import java.util.TreeSet;
+
+/**
+ * A queue of requests for which no endpoint has capacity and whose responses can still be in time. Slots become free
+ * many times a second, so at full load a short wait saves a request from being refused, while a request that can no
+ * longer be in time leaves at once instead of taking the slot of one that can. Not thread-safe: confined to one thread.
+ */
+public final class WaitQueue {
+
+    /**
+     * Number of requests that may fail to start in one pass, before the rest are left for the next pass. Usually all of
+     * them lack the same thing, but a short prompt may find capacity where a long one does not.
+     */
+    private static final int MAX_FAILED_STARTS = 4;
+
+    /** Ordered by priority, then by the time until which the request can be started. */
+    private final TreeSet<QueuedRequest> queue = new TreeSet<>(Comparator.comparingInt(QueuedRequest::priority)
+            .thenComparingLong(QueuedRequest::latestStartMillis)
+            .thenComparingLong(QueuedRequest::sequence));
+
+    private long sequence;
+    private boolean dispatching;
+
+    /** A request that waits. */
+    public interface Waiter {
+
+        /**
+         * Sends the request if there is capacity for it.
+         *
+         * @return whether it no longer waits
+         */
+        boolean tryStart();
+
+        /** Called after the request was removed from the queue because it can no longer meet its objective. */
+        void expired();
+    }
+
+    /**
+     * A request in the queue.
+     *
+     * @param priority its priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective, on the monotonic clock
+     * @param sequence preserves the order of arrival among equals
+     * @param waiter the request
+     */
+    public record QueuedRequest(int priority, long latestStartMillis, long sequence, Waiter waiter) {}
+
+    /**
+     * Adds a request.
+     *
+     * @param priority its priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective
+     * @param waiter the request
+     * @return the queued request, by which it can be removed
+     */
+    public QueuedRequest enqueue(int priority, long latestStartMillis, Waiter waiter) {
+        QueuedRequest queued = new QueuedRequest(
+                priority, latestStartMillis, sequence++, Objects.requireNonNull(waiter, "waiter is null"));
+        queue.add(queued);
+        return queued;
+    }
+
+    /**
+     * Removes a request that stops waiting for another reason. Does nothing if it has been removed already.
+     *
+     * @param queued the queued request
+     */
+    public void remove(QueuedRequest queued) {
+        queue.remove(queued);
+    }
+
+    /**
+     * Returns the number of requests that wait.
+     *
+     * @return the size of the queue
+     */
+    public int size() {
+        return queue.size();
+    }
+
+    /**
+     * Starts the requests that find capacity, in order. Called when a slot may have become free; a reentrant call does
+     * nothing.
+     */
+    public void dispatch() {
+        if (dispatching || queue.isEmpty()) {
+            return;
+        }
+        dispatching = true;
+        try {
+            dispatchInOrder();
+        } finally {
+            dispatching = false;
+        }
+    }
+
+    private void dispatchInOrder() {
+        int failedStarts = 0;
+        for (QueuedRequest queued : List.copyOf(queue)) {
+            if (failedStarts == MAX_FAILED_STARTS) {
+                return;
+            }
+            if (!queue.contains(queued)) {
+                continue;
+            }
+            if (queued.waiter().tryStart()) {
+                queue.remove(queued);
+            } else {
+                failedStarts++;
+            }
+        }
+    }
+
+    /**
+     * Removes and notifies the requests that can no longer meet their objective.
+     *
+     * @param nowMillis the time on the monotonic clock
+     */
+    public void expire(long nowMillis) {
+        List<QueuedRequest> expired = queue.stream()
+                .filter(queued -> queued.latestStartMillis() < nowMillis)
+                .toList();
+        expired.forEach(queued -> {
+            if (queue.remove(queued)) {
+                queued.waiter().expired();
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/org/micabarrow/routing/EndpointCandidate.java
@@ -0,0 +1,79 @@
+package org.micabarrow.routing;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.OptionalLong;
+import java.util.function.Predicate;
+
+/**
+ * An endpoint and its load, which is looked up once per decision. Decisions are made hundreds of times a second over
+ * all endpoints, so lists of candidates are iterated without streams.
+ *
+ * @param endpoint the endpoint
+ * @param load its known load
+ */
+record EndpointCandidate(EndpointRegistration endpoint, EndpointLoad load) {
+
+    /**
+     * Returns the weight version of a model that the endpoint holds, from its registration or from later reports and
+     * responses; 0 if none.
+     */
+    long version(ModelProfile model) {
+        long registered =
+                endpoint.layers() < model.layers() ? 0 : endpoint.models().getOrDefault(model.model(), 0L);
+        return Math.max(registered, load.version());
+    }
+
+    /** Returns whether the endpoint has asked this process for a backoff that is still active. */
+    boolean inBackoff(long nowMillis) {
+        return load.backoff().active(nowMillis);
+    }
+
+    /** Returns whether this process's quota share of the endpoint's rate limit allows a request now. */
+    boolean withinRateLimit(long nowMillis) {
+        return load.rateLimitAllows(nowMillis);
+    }
+
+    /**
+     * Returns the shortest time until the rate limit of a candidate allows a request; empty if all limits are left to
+     * other entries.
+     */
+    static OptionalLong untilRateLimitAllowsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        return candidates.stream()
+                .map(candidate -> candidate.load().untilRateLimitAllowsMillis(nowMillis))
+                .filter(OptionalLong::isPresent)
+                .mapToLong(OptionalLong::getAsLong)
+                .min();
+    }
+
+    /** Returns whether the endpoint is neither ejected nor behind a slow link. */
+    boolean healthy(long nowMillis) {
+        return !load.failures().ejected(nowMillis) && !load.linkSlow(nowMillis);
+    }
+
+    /** Returns the candidates that match a condition. */
+    static List<EndpointCandidate> filter(List<EndpointCandidate> candidates, Predicate<EndpointCandidate> condition) {
+        List<EndpointCandidate> matching = new ArrayList<>(candidates.size());
+        for (EndpointCandidate candidate : candidates) {
+            if (condition.test(candidate)) {
+                matching.add(candidate);
+            }
+        }
+        return matching;
+    }
+
+    /**
+     * Returns the time until the first candidate ends its backoff; empty if a candidate is not in backoff or there are
+     * none.
+     */
+    static OptionalLong untilBackoffEndsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        long shortestMillis = Long.MAX_VALUE;
+        for (EndpointCandidate candidate : candidates) {
+            if (!candidate.inBackoff(nowMillis)) {
+                return OptionalLong.empty();
+            }
+            shortestMillis = Math.min(shortestMillis, candidate.load().backoff().remainingMillis(nowMillis));
+        }
+        return candidates.isEmpty() ? OptionalLong.empty() : OptionalLong.of(shortestMillis);
+    }
+}
