--- a/src/main/java/org/micabarrow/clock/BootClock.java
+++ b/src/main/java/org/micabarrow/clock/BootClock.java
@@ -4,14 +4,14 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clock that counts from the start of the instance, suspensions included. A runtime of version 21 has no way to it; from 22 on the
- * class of the same name under {@code src/main/java22} takes this one's place in the packaged program.
+ * The time since the instance was booted, including suspensions. Java 21 cannot read this clock; on Java 22 and later,
+ * the class of the same name in {@code src/main/java22} replaces this one in the multi-release jar.
  */
 final class BootClock {
 
     private BootClock() {}
 
-    /** The clock in nanoseconds; empty if it cannot be read. */
+    /** Returns the clock in nanoseconds; empty if it cannot be read. */
     static Optional<LongSupplier> nanos() {
         return Optional.empty();
     }
--- a/src/main/java/org/micabarrow/clock/SteadyClock.java
+++ b/src/main/java/org/micabarrow/clock/SteadyClock.java
@@ -5,8 +5,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * A clock that never steps and that counts the time for which the instance was suspended, where the runtime can read such a clock.
- * {@link System#nanoTime} stands still meanwhile, so that all that a process knows would seem younger by as much when it goes on.
+ * A monotonic clock that includes the time for which the instance was suspended, where the runtime can read such a
+ * clock. {@link System#nanoTime} does not advance during a suspension, so that all information of a process would
+ * appear younger by its duration afterwards.
  */
 public final class SteadyClock {
 
@@ -17,16 +18,16 @@
     private SteadyClock() {}
 
     /**
-     * The time now.
+     * The current time.
      *
-     * @return milliseconds since some moment before the process began
+     * @return milliseconds since some moment before the process started
      */
     public static long millis() {
         return TimeUnit.NANOSECONDS.toMillis(NANOS.getAsLong());
     }
 
     /**
-     * Whether the time of suspensions is counted.
+     * Whether the clock includes the time for which the instance was suspended.
      *
      * @return false on a runtime that cannot read such a clock
      */
--- a/src/main/java/org/micabarrow/steps/OwnedThread.java
+++ b/src/main/java/org/micabarrow/steps/OwnedThread.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A thread that ends before what it works with is closed: whoever closes it waits for its end, so that it begins no call on
- * connections or executors that are about to stop.
+ * A thread that is joined before the resources it uses are closed: closing it waits for it to end, so that it starts no
+ * calls on connections or executors that are about to be closed.
  *
  * <pre>{@code
  * OwnedThread reader = new OwnedThread("configuration-reader", this::run);
@@ -19,8 +19,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(OwnedThread.class);
 
     /**
-     * How long the end is waited for. An interrupted call ends within some milliseconds, so that only work which passes over
-     * interrupts takes longer, and a process that stops is not to hang on it.
+     * The maximum time to wait for the thread to end. An interrupted call ends within some milliseconds; only work that
+     * ignores interrupts takes longer, and it must not block the shutdown of the process.
      */
     private static final Duration LONGEST_END = Duration.ofSeconds(2);
 
@@ -28,10 +28,10 @@
     private volatile boolean closing;
 
     /**
-     * Makes a thread, which does not run yet.
+     * Creates a thread that is not running yet.
      *
-     * @param name the thread's name
-     * @param work the work, which looks at {@link #closing} before each call and ends when it is interrupted
+     * @param name the name of the thread
+     * @param work the work, which checks {@link #isClosing} before each call and ends when it is interrupted
      */
     public OwnedThread(String name, Runnable work) {
         Objects.requireNonNull(name, "name is null");
@@ -45,18 +45,18 @@
     }
 
     /**
-     * Whether the work is to end.
+     * Whether the work should end.
      *
-     * @return whether {@link #close} was called or a rest was interrupted
+     * @return whether {@link #close} was called or a pause was interrupted
      */
     public boolean closing() {
         return closing;
     }
 
     /**
-     * Rests on the thread; an interrupt ends the rest and the work.
+     * Pauses the calling thread. An interrupt ends the pause and the work.
      *
-     * @param rest how long
+     * @param duration the duration of the pause
      */
     public void rest(Duration rest) {
         try {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Tells the work to end, interrupts it and waits until it has ended. */
+    /** Signals the work to end, interrupts the thread and waits for it to end. */
     @Override
     public void close() {
         closing = true;
--- a/src/main/java/org/micabarrow/steps/Steps.java
+++ b/src/main/java/org/micabarrow/steps/Steps.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Work that goes on for as long as the process runs, step by step: a fault of the program costs one step and a line of the
- * log, not all steps that were to follow.
+ * Repeats tasks for as long as the process runs. An unexpected exception fails a single run of a task and is logged;
+ * later runs are not affected.
  *
  * <pre>{@code
  * Steps.start("report", 150, endpoint::refresh);
@@ -19,12 +19,12 @@
 
     private Steps() {}
 
-    /** A step of the work of a thread. */
+    /** A task that is run repeatedly. */
     @FunctionalInterface
     public interface Step {
 
         /**
-         * Takes the step.
+         * Runs the task once.
          *
          * @throws InterruptedException if the thread is to end
          */
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Takes a step again and again on a thread of its own, until that is interrupted.
+     * Runs a task repeatedly on a separate thread until the thread is interrupted.
      *
-     * @param name the work's name, for the thread and the log
-     * @param restMillis the rest after each step, in milliseconds
-     * @param step the step
+     * @param name the name of the task, for the thread and the log
+     * @param pauseMillis the pause after each run, in milliseconds
+     * @param task the task
      * @return the running thread
      */
     public static Thread start(String name, long restMillis, Step step) {
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Takes a step again and again on a thread of its own, until that is interrupted, and asks each time how long to rest.
+     * Runs a task repeatedly on a separate thread until the thread is interrupted, with a variable pause between runs.
      *
-     * @param name the work's name, for the thread and the log
-     * @param restMillis the rest after the step that was just taken, in milliseconds
-     * @param step the step
+     * @param name the name of the task, for the thread and the log
+     * @param pauseMillis returns the pause after the latest run, in milliseconds
+     * @param task the task
      * @return the running thread
      */
     public static Thread start(String name, LongSupplier restMillis, Step step) {
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Takes one step of work that something else repeats.
+     * Runs a task that the caller repeats, and logs unexpected exceptions.
      *
-     * @param name the work's name, for the log
-     * @param step the step
+     * @param name the name of the task, for the log
+     * @param task the task
      */
     public static void guarded(String name, Runnable step) {
         try {
--- a/src/main/java/org/micabarrow/views/DropDoubts.java
+++ b/src/main/java/org/micabarrow/views/DropDoubts.java
@@ -10,16 +10,17 @@
 import org.micabarrow.routing.EndpointEntry;
 
 /**
- * Endpoints whose entries were dropped right after the store was away. Entries lapse while endpoints cannot write, so such
- * an endpoint stays in the view until it has had time to write its entry again. Where most entries did not lapse, the store took what
- * endpoints write and was away for this process alone; then a drop is believed at once, since an endpoint that is gone must get nothing
- * more. Not safe for several threads at once.
+ * Endpoints whose entries vanished from the store right after an outage and whose removal is still pending. Entries
+ * expire while endpoints cannot write, so such an endpoint stays in the view until it has had time to write its entry
+ * again. If most entries did not expire, the store was accepting writes of endpoints and was unreachable for this
+ * process alone; the removal then takes effect at once, because an endpoint that is gone must get no more requests. Not
+ * thread-safe.
  */
 final class DropDoubts {
 
     /**
-     * How long after the store was away a dropped entry is doubted, in milliseconds: an endpoint that lives writes its
-     * entry again within two seconds of the store's return.
+     * How long after the store became reachable again a removal stays pending, in milliseconds: a running endpoint
+     * writes its entry again within two seconds of that moment.
      */
     static final long DOUBT_MILLIS = 2_300;
 
@@ -28,18 +29,18 @@
     private int listed;
     private long regainedMillis = Long.MIN_VALUE / 2;
 
-    /** The store answers again after it did not. */
+    /** Records that the store is reachable again after an outage. */
     void regained(long nowMillis) {
         regainedMillis = nowMillis;
         dropped.clear();
     }
 
     /**
-     * Takes note of the drops among records that are read at once, before any of them is decided on.
+     * Records the removals in one batch of records, before a decision is made on any of them.
      *
-     * @param drops the ids of listed endpoints whose entries are dropped
-     * @param listedNow how many endpoints are listed before these records
-     * @param nowMillis the time on the steady clock
+     * @param removedIds the ids of listed endpoints whose entries were removed
+     * @param listedBefore how many endpoints were listed before this batch
+     * @param nowMillis the time on the monotonic clock
      */
     void read(Set<String> drops, int listedNow, long nowMillis) {
         if (nowMillis >= regainedMillis + DOUBT_MILLIS) {
@@ -55,7 +56,10 @@
         return 2 * dropped.size() > listed;
     }
 
-    /** Whether the drop of an endpoint's entry is doubted; if so, the endpoint is remembered. */
+    /**
+     * Defers the removal of an endpoint if the store may have been unreachable for all endpoints. Returns whether it
+     * was deferred.
+     */
     boolean doubt(EndpointEntry known, long nowMillis) {
         long until = regainedMillis + DOUBT_MILLIS;
         if (known.leaving() || nowMillis >= until || !awayForAll()) {
@@ -65,17 +69,17 @@
         return true;
     }
 
-    /** Forgets the doubt of an endpoint about which there is news, if there is one. */
+    /** Cancels the pending removal of an endpoint, if there is one. */
     void forget(String id) {
         doubtedUntil.remove(id);
     }
 
-    /** When the first doubt ends; empty if there is none. */
+    /** The earliest time at which a pending removal takes effect; empty if none is pending. */
     OptionalLong firstEndMillis() {
         return doubtedUntil.values().stream().mapToLong(Long::longValue).min();
     }
 
-    /** Takes out the endpoints that have not come back in time. */
+    /** Removes and returns the pending removals that are due. */
     List<String> takeOverdue(long nowMillis) {
         List<String> overdue = new ArrayList<>();
         doubtedUntil.forEach((id, until) -> {
--- a/src/main/java/org/micabarrow/views/EndpointEntries.java
+++ b/src/main/java/org/micabarrow/views/EndpointEntries.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What endpoints' entries change in the list of endpoints: entries that come late, cannot be used, or lapsed while the store was
- * away. Not safe for several threads at once.
+ * Applies endpoint entries from the store to the list of endpoints, and handles entries that were written late, are
+ * invalid, or expired during a store outage. Not thread-safe.
  */
 final class EndpointEntries {
 
@@ -27,21 +27,21 @@
     private final DropDoubts doubts = new DropDoubts();
     private final NewestEntries newestEntries = new NewestEntries();
 
-    /** The keys whose entry cannot be used: that is said once, however often it is written. */
+    /** Keys with an invalid entry. An invalid entry is logged once per key, however often it is written. */
     private final Set<String> unusable = new HashSet<>();
 
     EndpointEntries(RecordDecoder decoder) {
         this.decoder = decoder;
     }
 
-    // -- the store
+    // -- store outages
 
-    /** The store answers again after it did not. */
+    /** Records that the store is reachable again after an outage. */
     void regained(long nowMillis) {
         doubts.regained(nowMillis);
     }
 
-    /** A list without the endpoints whose entries were doubted and have not come back in time; empty if there are none. */
+    /** Returns the list without the endpoints whose pending removal is due; empty if none is due. */
     Optional<Map<String, EndpointEntry>> withoutOverdue(Map<String, EndpointEntry> endpoints, long nowMillis) {
         List<String> overdue = doubts.takeOverdue(nowMillis);
         if (overdue.isEmpty()) {
@@ -55,7 +55,7 @@
         return Optional.of(left);
     }
 
-    /** A wait, or the time until the first doubt ends if that is less. */
+    /** Returns the given wait, shortened to the time until the first pending removal is due. */
     Duration untilDoubtEnds(Duration wait, long nowMillis) {
         OptionalLong end = doubts.firstEndMillis();
         return end.isEmpty() ? wait : Duration.ofMillis(Math.clamp(end.getAsLong() - nowMillis, 0, wait.toMillis()));
@@ -63,7 +63,7 @@
 
     // -- records
 
-    /** Records are read at once, each of which {@link #take} is given next. */
+    /** Prepares for a batch of records, each of which is passed to {@link #apply} afterwards. */
     void read(List<StoredRecord> records, Map<String, EndpointEntry> endpoints, long nowMillis) {
         Set<String> drops = records.stream()
                 .filter(StoredRecord::dropped)
@@ -73,7 +73,7 @@
         doubts.read(drops, endpoints.size(), nowMillis);
     }
 
-    /** Takes a record into account, in the list that is given; returns what to log, if anything changes. */
+    /** Applies a record to the given endpoints. Returns the line to log if anything changed. */
     Optional<String> take(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
         return record.dropped() ? dropped(record, endpoints, nowMillis) : written(record, endpoints, nowMillis);
     }
@@ -105,8 +105,8 @@
     }
 
     /**
-     * An entry that cannot be used takes the place of the one before: that says what was, and nobody knows of what the endpoint
-     * does now, whether it leaves or is gone.
+     * Removes an endpoint whose new entry is invalid. Its previous entry is outdated, and it is unknown whether the
+     * endpoint is still running or draining.
      */
     private Optional<String> refused(StoredRecord record, String why, Map<String, EndpointEntry> endpoints) {
         String id = record.key();
--- a/src/main/java/org/micabarrow/views/LastChanges.java
+++ b/src/main/java/org/micabarrow/views/LastChanges.java
@@ -3,31 +3,31 @@
 import java.util.List;
 
 /**
- * Up to where a process knows the records that changed what it believes. Endpoints write their entries again and again, mostly
- * without a change; and most manifests change nothing that agents act on.
+ * Offsets up to which a process knows the records that changed its view. Endpoints rewrite their entries regularly,
+ * mostly without a change, and most manifests change nothing that agents use.
  *
- * @param operator the offset after the last such record of operators
- * @param endpoints the offset after the last such record of endpoints
- * @param weights the offset after the last record of operators that agents act on: a named weight version, or a manifest with
- *     other services than the one before
+ * @param operator the offset after the last operator record that changed the view
+ * @param endpoints the offset after the last endpoint record that changed the view
+ * @param weights the offset after the last operator record that agents use: a named weight version, or a manifest whose
+ *     services differ from those of the previous one
  */
 public record LastChanges(long operator, long endpoints, long weights) {
 
     /**
-     * Changes of which the last one of operators is one that agents act on.
+     * Creates offsets where the last operator record is one that agents use.
      *
-     * @param operator the offset after the last record of operators
-     * @param endpoints the offset after the last record of endpoints that changed anything
+     * @param operator the offset after the last operator record
+     * @param endpoints the offset after the last endpoint record that changed the view
      */
     public LastChanges(long operator, long endpoints) {
         this(operator, endpoints, operator);
     }
 
     /**
-     * Of one topic.
+     * Returns the offset of one topic.
      *
      * @param topic the topic
-     * @return the offset after its last change; 0 for a topic of which no changes are told
+     * @return the offset after the last change; 0 for a topic whose changes are not tracked
      */
     public long of(Topic topic) {
         return switch (topic) {
--- a/src/main/java/org/micabarrow/views/LeavingBound.java
+++ b/src/main/java/org/micabarrow/views/LeavingBound.java
@@ -4,38 +4,46 @@
 import java.util.Objects;
 
 /**
- * Divides the time in which an entry must know that an endpoint leaves among all that may delay it: the pause between two reads of the
- * store, the time for which the store holds a read, its answer, and the answer of a peer in its place.
+ * Divides the time within which an entry must learn that an endpoint is draining among everything that may delay it:
+ * the pause between two reads of the store, the time for which the store holds a read, its response, and the response
+ * of a peer if the store fails.
  */
 public final class LeavingBound {
 
     /**
-     * How long the store's answer may take beyond the wait that was asked for. It answers in a few milliseconds; a slow one takes some fifty
-     * times as long, and beyond this it counts as silent.
+     * How long the store's response may take beyond the requested wait. It normally responds within a few milliseconds;
+     * a slow store takes some fifty times as long, and after this time it counts as unresponsive.
      */
     public static final Duration STORE_ANSWER = Duration.ofMillis(700);
 
-    /** How long a peer's answer may take: one round trip between regions and a few milliseconds of work. */
+    /** How long a peer's response may take: one round trip between regions and a few milliseconds of processing. */
     public static final Duration PEER_ANSWER = Duration.ofMillis(400);
 
-    /** The pause between two reads, as a part of the bound: endpoints write their entries often, and many come with one read. */
+    /**
+     * The pause between two reads, as a fraction of the bound. Endpoints write their entries often, and the pause lets
+     * one read return many of them.
+     */
     private static final double REST_PART = 0.25;
 
-    /** What is left for round trips and for work. */
+    /** Time reserved for round trips and processing. */
     private static final Duration RESERVE = Duration.ofMillis(100);
 
-    /** The least time for which a read is held. Without any, a store in which nothing changes would be read without a pause. */
+    /**
+     * The minimum time for which a read is held. Without it, a store in which nothing changes would be read without a
+     * pause.
+     */
     private static final Duration LEAST_HOLD = Duration.ofMillis(100);
 
     private LeavingBound() {}
 
     /**
-     * How often entries read endpoints' entries. At worst an endpoint leaves at the beginning of a pause, in which the store falls silent: its
-     * answer, that of a peer that is gone and that of the next peer are waited for in turn. The store holds a read for what these leave,
-     * so that a bound of 1.8 s or more is kept.
+     * Returns how entries poll the entries of endpoints. In the worst case an endpoint starts draining at the beginning
+     * of a pause, during which the store becomes unresponsive; the timeouts of the store, of a peer that is gone, and
+     * the response of the next peer then add up. The store holds a read for the rest of the bound, so that any bound of
+     * 1.8 s or more is kept.
      *
-     * @param bound within which an endpoint that leaves must get nothing new
-     * @return the pace
+     * @param bound the time after which a draining endpoint must get no new requests
+     * @return the poll timing
      */
     public static StoreFollower.Pace pace(Duration bound) {
         Objects.requireNonNull(bound, "bound is null");
--- a/src/main/java/org/micabarrow/views/ManifestPlace.java
+++ b/src/main/java/org/micabarrow/views/ManifestPlace.java
@@ -1,9 +1,9 @@
 package org.micabarrow.views;
 
 /**
- * Where a manifest stands among what operators wrote.
+ * The position of a manifest among the operator records.
  *
- * @param version its version
- * @param offset its offset
+ * @param version the version of the manifest
+ * @param offset its offset in the topic
  */
 public record ManifestPlace(long version, long offset) {}
--- a/src/main/java/org/micabarrow/views/Manifests.java
+++ b/src/main/java/org/micabarrow/views/Manifests.java
@@ -9,32 +9,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which manifest is in force, and where the newest one stands that processes kept in the store. An older manifest that is
- * written late hides the newest from processes that start. Not safe for several threads at once.
+ * Tracks the active manifest and the position of the newest manifest that any process has saved in the store. An older
+ * manifest that is written late replaces the newest one in the topic, so that processes that start then do not see the
+ * newest. Not thread-safe.
  */
 final class Manifests {
 
     private static final Logger LOG = LoggerFactory.getLogger(Manifests.class);
 
-    /** The version of a manifest that is not known. */
+    /** Stands for an unknown manifest version or offset. */
     private static final long NONE = -1;
 
     private long inForce = NONE;
 
-    /** The record of the manifest in force: an older one that is written late takes its place in the copy of the topic. */
+    /** The record of the active manifest. The topic copy loses it when an older manifest is written late. */
     private Optional<StoredRecord> record = Optional.empty();
 
-    /** Where the newest manifest stands that is known of, be it here or not. */
+    /** The position of the newest known manifest, whether or not this process has it. */
     private Optional<ManifestPlace> newest = Optional.empty();
 
     private long kept = NONE;
     private long keptOffset = NONE;
 
-    // -- what operators wrote
+    // -- operator records
 
     /**
-     * Takes a manifest, and tells whether it is in force now. Manifests only go up: a write that got no answer may be done seconds
-     * later, after that of a newer manifest.
+     * Accepts a manifest and returns whether it is now active. The version never decreases: a write whose response was
+     * lost may take effect seconds later, after that of a newer manifest.
      */
     boolean take(StoredRecord from, RouteManifest manifest) {
         long version = manifest.version();
@@ -49,14 +50,14 @@
         return true;
     }
 
-    /** Takes note of where a manifest stands. */
+    /** Records the position of a manifest. */
     void stands(ManifestPlace place) {
         if (newestVersion() <= place.version()) {
             newest = Optional.of(place);
         }
     }
 
-    /** Where the newest manifest stands that is known of; empty if none is. */
+    /** The position of the newest known manifest; empty if none is known. */
     Optional<ManifestPlace> newest() {
         return newest;
     }
@@ -65,14 +66,14 @@
         return newest.map(ManifestPlace::version).orElse(NONE);
     }
 
-    /** The record of the manifest in force, if it stands at or after an offset. */
+    /** The record of the active manifest, if its offset is at or after the given one. */
     Optional<StoredRecord> newestRecord(long offset) {
         return record.filter(one -> one.offset() >= offset);
     }
 
-    // -- what processes keep in the store
+    // -- records saved by processes
 
-    /** Takes what lies in the store. */
+    /** Applies manifest positions read from the store. */
     void takeKept(List<OperatorRecord> said) {
         for (OperatorRecord one : said) {
             if (one instanceof OperatorRecord.ManifestKept(long version, long offset) && version > kept) {
@@ -83,15 +84,15 @@
     }
 
     /**
-     * Where a manifest stands that is known to be newer than the one in force; empty if none is. One that was told of, and stands
-     * beyond what was read, is not lacking: this process does without it.
+     * The offset of a manifest known to be newer than the active one; empty if there is none. A manifest that a peer
+     * reported and that is beyond the records read so far is not missing: this process does not need it.
      */
     OptionalLong lacking(long readTo) {
         boolean passedOver = kept <= newestVersion() && keptOffset >= readTo;
         return kept > inForce && !passedOver ? OptionalLong.of(keptOffset) : OptionalLong.empty();
     }
 
-    /** The newest manifest, if it is not known to lie in the store under a key of its own. */
+    /** The newest manifest, if it is not known to be saved in the store under its own key. */
     Optional<Unkept> unkept(TopicCopy lying) {
         return newest.filter(place ->
                         lying.record(VersionKeys.ofManifest(place.version())).isEmpty())
--- a/src/main/java/org/micabarrow/views/NamedTargets.java
+++ b/src/main/java/org/micabarrow/views/NamedTargets.java
@@ -10,18 +10,18 @@
 import org.micabarrow.views.View.Learned;
 
 /**
- * Weight versions as operators named them, and as processes kept them in the store with the time of day at which they learned
- * of them. Not safe for several threads at once.
+ * Target weight versions as named by operators, and as saved in the store by processes together with the time of day at
+ * which they learned of them. Not thread-safe.
  */
 final class NamedTargets {
 
     private final LongSupplier steadyMillis;
     private final LongSupplier unixMillis;
 
-    /** The newest version of each model that was read from what operators wrote. */
+    /** The newest version of each model that was read from operator records. */
     private final Map<String, View.Target> byOperator = new HashMap<>();
 
-    /** Their records: an older version that is written late takes their place in the copy of the topic. */
+    /** The records of those versions. The topic copy loses a record when an older version is written late. */
     private final Map<String, StoredRecord> records = new HashMap<>();
 
     NamedTargets(LongSupplier steadyMillis, LongSupplier unixMillis) {
@@ -29,7 +29,7 @@
         this.unixMillis = unixMillis;
     }
 
-    /** Takes note of a version that was read from what operators wrote. */
+    /** Records a version that was read from an operator record. */
     View.Target byOperator(StoredRecord record, String model, long version, boolean seenNamed) {
         Learned learned = seenNamed ? Learned.SEEN_NAMED : Learned.FOUND;
         View.Target target = new View.Target(version, steadyMillis.getAsLong(), learned);
@@ -39,18 +39,18 @@
         return target;
     }
 
-    /** The records of the newest versions at or after an offset. */
+    /** The records of the newest versions, where their offset is at or after the given one. */
     List<StoredRecord> newestRecords(long offset) {
         return records.values().stream()
                 .filter(record -> record.offset() >= offset)
                 .toList();
     }
 
-    // -- what is kept in the store
+    // -- records saved by processes
 
     /**
-     * The newest kept version of each model alone: when the others were named is not known, so that they must not seem to be good
-     * to answer for a while.
+     * Returns only the newest saved version of each model. It is not known when the others were named, and they must
+     * not appear to be still allowed to serve.
      */
     Map<String, View.Target> kept(List<OperatorRecord> said) {
         Map<String, View.Target> newest = new HashMap<>();
@@ -68,8 +68,9 @@
     }
 
     /**
-     * When a version was named, on the steady clock. A process that starts while a version is due would give older ones the
-     * whole bound once more: with an agent and its entries started again 5 s after the naming, up to 13 s instead of 8.
+     * Returns when a version was named, on the monotonic clock. Without the saved time, a process that starts while a
+     * version is due would allow older versions for the whole bound once more: when an agent and its entries restarted
+     * 5 s after a version was named, it took up to 13 s instead of 8.
      */
     private long learnedMillis(OperatorRecord.WeightsNamed named) {
         long unixNow = unixMillis.getAsLong();
@@ -78,8 +79,8 @@
     }
 
     /**
-     * The newest versions that are not known to lie in the store under a key of their own. What only a peer told is none of them:
-     * a wrong word would outlast every process.
+     * The newest versions that are not known to be saved in the store under their own keys. Versions that were reported
+     * only by a peer are excluded: a wrong report would outlive all processes.
      */
     List<Unkept> unkept(TopicCopy kept) {
         List<Unkept> all = new ArrayList<>();
--- a/src/main/java/org/micabarrow/views/NamedVersions.java
+++ b/src/main/java/org/micabarrow/views/NamedVersions.java
@@ -15,27 +15,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps in the store which weight versions were named and when, one key a version, and where the newest manifest stands, and
- * recalls them at the start. The operator's own
- * record of a model does not tell this: a write that got no answer may be done seconds later, after the write of a newer
- * version, so that the newest record names an older version. A set of keys is the same in whatever order and however often its
- * members are written. Guards against endpoints that take up, and go on answering by, an older version after every process has
- * started again, and against processes that start with an older manifest than the others go by.
+ * Saves named weight versions, the time at which they were named, and the position of the newest manifest in the store,
+ * each under its own key, and restores them at startup. The operator's own record of a model is not sufficient: a write
+ * whose response was lost may take effect seconds later, after the write of a newer version, so that the latest record
+ * names an older version. A set of keys ends up the same regardless of the order and number of writes. This prevents
+ * endpoints from loading an older version and serving it after all processes have restarted, and prevents processes
+ * from starting with an older manifest than the others use.
  */
 public final class NamedVersions implements TopicReader {
 
     private static final Logger LOG = LoggerFactory.getLogger(NamedVersions.class);
 
     /**
-     * The pause between two looks, in milliseconds: a version is written half a second after it is known, and a store that does
-     * not answer is asked twice a second.
+     * The pause between two checks, in milliseconds: a version is saved half a second after it becomes known, and an
+     * unresponsive store is tried twice a second.
      */
     private static final long LOOK_MILLIS = 500;
 
-    /** The last look after the start at which the versions are read again: a write comes up to 6 s late. */
+    /**
+     * The number of the last check after startup at which the saved versions are read again: a write may take effect up
+     * to 6 s late.
+     */
     private static final long LAST_LOOK_AFTER_START = 16;
 
-    /** How many looks a process waits for those that are to write: 5 s. They may be cut off or gone, and still be listed. */
+    /**
+     * How many checks a backup waits for the primary writers: 5 s. A primary may be disconnected or gone and still be
+     * listed.
+     */
     private static final long LOOKS_FOR_OTHERS = 10;
 
     private final TopicReader reader;
@@ -48,49 +54,52 @@
     private long looksMissing;
     private long looksLacking;
 
-    /** What a process does for the versions that it knows of; each costs calls of the store. */
+    /** Whether a process saves the versions that it knows. Every write costs calls to the store. */
     public enum Duty {
-        /** Writes them at once: a few processes are enough. */
+        /** Saves versions at once. A few such processes are sufficient. */
         WRITES,
-        /** Writes them if nobody else has after a while: those that are to may be cut off or gone. */
+        /**
+         * Saves versions if no other process has done so after a while: the primary writers may be disconnected or
+         * gone.
+         */
         STANDS_IN,
-        /** Leaves them to others. */
+        /** Never saves versions. */
         NONE
     }
 
-    /** Writes a version where {@link Topic#NAMED} is read from. */
+    /** Saves a version to the topic {@link Topic#NAMED}. */
     @FunctionalInterface
     public interface VersionWriter {
 
         /**
-         * Writes that a version was named, and drops keys that are of use no more. May be done any number of times.
+         * Saves that a version was named and deletes outdated keys. The operation is idempotent.
          *
-         * @param unkept the version
-         * @return the records as they lie in the topic, or why they may not lie there
+         * @param item the version or manifest position to save
+         * @return the records as stored in the topic, or why they may not have been stored
          */
         Result<List<StoredRecord>> write(Unkept unkept);
     }
 
     /**
-     * Keeps the named versions of a process that has no peers.
+     * Creates an instance for a process without peers.
      *
      * @param reader reads the store
-     * @param writer writes versions
-     * @param keeper knows which versions were named
-     * @param writes whether this process is to write, else it stands in
+     * @param writer saves versions
+     * @param views knows which versions were named
+     * @param primary whether this process is a primary writer; otherwise it is a backup
      */
     public NamedVersions(TopicReader reader, VersionWriter writer, ViewKeeper keeper, BooleanSupplier writes) {
         this(reader, writer, keeper, () -> writes.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
     }
 
     /**
-     * Keeps the named versions of a process.
+     * Creates an instance.
      *
      * @param reader reads the store
-     * @param writer writes versions
-     * @param keeper knows which versions were named
-     * @param duty what this process does for the versions
-     * @param askPeer asks a peer for what operators wrote, from {@link ViewKeeper#askFrom} on
+     * @param writer saves versions
+     * @param views knows which versions were named
+     * @param role whether this process saves versions
+     * @param requestFromPeer requests operator records from a peer, starting at {@link ViewMaintainer#peerReadOffset}
      */
     public NamedVersions(
             TopicReader reader, VersionWriter writer, ViewKeeper keeper, Supplier<Duty> duty, Runnable askPeer) {
@@ -103,7 +112,10 @@
 
     // -- reading
 
-    /** Reads the newest records; before those of operators, which may name an older version, the versions are recalled. */
+    /**
+     * Reads the latest records. Before operator records are read, which may name an older version, the saved versions
+     * are restored.
+     */
     @Override
     public Result<Batch> newest(Topic topic) {
         if (topic != Topic.OPERATOR) {
@@ -114,7 +126,7 @@
         return reader.newest(topic).map(this::withHiddenManifest).map(this::asFarAsRecalled);
     }
 
-    /** Adds the newest manifest if it is not among the newest records, since an older one was written after it. */
+    /** Adds the newest manifest if it is missing from the latest records because an older one was written after it. */
     private Batch withHiddenManifest(Batch batch) {
         OptionalLong kept = keeper.lackingManifest();
         if (kept.isEmpty() || batch.records().stream().anyMatch(record -> record.offset() == kept.getAsLong())) {
@@ -125,7 +137,10 @@
         return new Batch(records, batch.end(), batch.asOfMillis());
     }
 
-    /** The manifest at an offset, from the store's history; a peer is asked for it if the history is gone. */
+    /**
+     * Returns the manifest at an offset from the store's history, or requests it from a peer if it is no longer in the
+     * history.
+     */
     private List<StoredRecord> hidden(long offset) {
         List<StoredRecord> found = history(offset);
         if (found.isEmpty()) {
@@ -158,7 +173,10 @@
         return reader.history(topic, from);
     }
 
-    /** While it is not known what is kept, a newer manifest may be hidden: the records tell of no moment up to which all is known. */
+    /**
+     * Removes the timestamp up to which all records are known while the saved items have not been read: a newer
+     * manifest may have been replaced by an older one.
+     */
     private Read asFarAsRecalled(Read read) {
         return switch (read) {
             case Read.Records(Batch batch) -> new Read.Records(asFarAsRecalled(batch));
@@ -185,14 +203,14 @@
         }
     }
 
-    // -- keeping
+    // -- saving
 
-    /** Looks again and again, on a thread of its own, for as long as the process runs. */
+    /** Starts periodic checks on a separate thread, which run until the process ends. */
     public void start() {
         Steps.start("named-versions", LOOK_MILLIS, this::look);
     }
 
-    /** Recalls the versions when it is time to, and writes those that are not known to lie in the store. */
+    /** Restores the saved versions when due, and saves those that are not known to be in the store. */
     void look() {
         if (!keeper.knowsOperator()) {
             return;
@@ -222,8 +240,9 @@
     }
 
     /**
-     * Looks for a manifest that is known to be newer than the one in force: at the first look that lacks it, then at the second,
-     * the fourth and so on, since it may be gone with all that knew it.
+     * Tries to read a manifest that is known to be newer than the active one: at the first check at which it is
+     * missing, then at the second, the fourth and so on, because it may be lost together with all processes that had
+     * it.
      */
     private void regainManifest() {
         OptionalLong lacking = keeper.lackingManifest();
@@ -235,8 +254,9 @@
     }
 
     /**
-     * A version may be kept after a process that starts has read what is kept, and before it reads the operator's record, which a
-     * late write replaced meanwhile. So it is read again 0.5, 2 and 8 s after the start.
+     * Returns whether the saved versions have to be read again. Another process may save a version after this process
+     * has read the saved versions at startup and before it reads the operator's record, which a late write has replaced
+     * in the meantime. So they are read again 0.5, 2 and 8 s after startup.
      */
     private boolean soonAfterStart() {
         return looks <= LAST_LOOK_AFTER_START
--- a/src/main/java/org/micabarrow/views/NewestEntries.java
+++ b/src/main/java/org/micabarrow/views/NewestEntries.java
@@ -6,24 +6,24 @@
 import org.micabarrow.routing.EndpointEntry;
 
 /**
- * The newest entry of each endpoint that was heard of, by its start and by how often it had written since. A write that got no
- * answer may be done seconds later, after those that followed it: then the entry that comes last says what was. An endpoint that
- * had said that it leaves would seem to stay, and one that went down would seem to be there. Not safe for several threads at
- * once.
+ * Detects endpoint entries that were written late. Entries of an endpoint are ordered by its start time and its write
+ * counter. A write whose response was lost may take effect seconds later, after the writes that followed it; the latest
+ * entry in the store is then outdated. Without this check, an endpoint that had reported that it is draining would
+ * appear active again, and one that had stopped would appear to be running. Not thread-safe.
  */
 final class NewestEntries {
 
     /**
-     * How long an entry holds against older ones after it was heard of, in milliseconds: a write that got no answer may be done
-     * up to 6 s later. A clock that was set back, or one false entry with a start in the
-     * future, costs an endpoint this long and no longer.
+     * How long an entry takes precedence over older ones after it was read, in milliseconds: a write whose response was
+     * lost may take effect up to 6 s later. The limit also bounds the effect of a clock that was set back, and of a
+     * wrong entry with a start time in the future.
      */
     private static final long HELD_MILLIS = 7_000;
 
-    /** Stands for the start of an endpoint that does not tell it. */
+    /** Stands for the start time of an endpoint that does not report one. */
     private static final long UNTOLD = -1;
 
-    /** As many as the copy of the topic holds keys. */
+    /** Holds as many entries as the topic copy holds keys. */
     private final Map<String, Heard> newest = new HashMap<>();
 
     private record Heard(long startedMillis, OptionalLong writes, long atMillis) {
@@ -37,7 +37,10 @@
         }
     }
 
-    /** Whether an entry does not tell its endpoint's start, although the endpoint's entries do: another writer wrote it. */
+    /**
+     * Whether an entry has no start time although earlier entries of the endpoint had one, which means that something
+     * else wrote it.
+     */
     boolean lacking(EndpointEntry entry) {
         return entry.startedMillis().isEmpty() && toldStart(entry.id());
     }
@@ -46,7 +49,7 @@
         return newest.containsKey(id) && newest.get(id).startedMillis() != UNTOLD;
     }
 
-    /** Takes an entry into account, and tells whether it was written before one that was heard of lately. */
+    /** Returns whether an entry is older than one that was read recently; otherwise records it as the newest. */
     boolean over(EndpointEntry entry, long nowMillis) {
         long started = entry.startedMillis().orElse(UNTOLD);
         Heard heard = newest.get(entry.id());
--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/NewsReader.java
@@ -10,17 +10,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads topics only when others tell that there is news, and then from them; the store itself while nobody tells. A process
- * that reads the store by itself makes a call of it every second, and each manifest crosses the link of its region once a process:
- * 30 processes, 40 KB and four changes a second are twice what a link of 18.9 Mbit/s carries, and entries fall behind by more than
- * the time in which a manifest must be in force. So one entry of a region reads the store for the other entries; agents are told by
- * all entries nearby, and of what they act on only.
+ * Reads topics from peers when they announce updates, and from the store itself when no peer announces anything. A
+ * process that reads the store directly calls it every second, and each manifest is transferred over the link of its
+ * region once per process: 30 processes, 40 KB and four changes a second amount to twice the capacity of a link of 18.9
+ * Mbit/s, and entries fall behind by more than the time within which a manifest must be active. So one entry of each
+ * region reads the store on behalf of the others. Agents are notified by all nearby entries, and only of the records
+ * that they use.
  */
 public final class NewsReader implements TopicReader {
 
     private static final Logger LOG = LoggerFactory.getLogger(NewsReader.class);
 
-    /** How long an answer to an agent may take, as long as it keeps coming: a large manifest over a narrow link. */
+    /** How long a response to an agent may take while data keeps arriving: a large manifest over a slow link. */
     private static final Duration WHOLE_ANSWER = Duration.ofSeconds(10);
 
     private final TopicReader store;
@@ -29,67 +30,68 @@
     private final LongSupplier steadyMillis;
     private final ToldNews told;
 
-    /** Whether what this process knows of operators' records comes from the store itself. */
+    /** Whether the operator records known to this process come from the store itself. */
     private boolean direct;
 
-    /** Asks peers for records. */
+    /** Requests records from peers. */
     @FunctionalInterface
     public interface Peers {
 
         /**
-         * Asks a peer for the newest records of a topic at or after an offset.
+         * Requests the latest records of a topic at or after an offset from a peer.
          *
          * @param peer the peer's host and port
          * @param topic the topic
          * @param from the offset
-         * @param within how long the whole answer may take
-         * @return the records, and where to read on
+         * @param timeout how long the whole response may take
+         * @return the records, and the offset to continue from
          */
         Result<Batch> ask(String peer, Topic topic, long from, Duration within);
     }
 
-    /** Whose word a process goes by, and for what. */
+    /** Determines which peers a process relies on, and for which records. */
     public sealed interface Role {
 
-        /** Agents need what they act on alone, and any entry nearby may tell. */
+        /** Agents need only the records that they use, and rely on any nearby entry. */
         record Agent() implements Role {}
 
         /**
-         * Entries need all that operators wrote. One goes by an entry whose address comes before its own, so that no two wait for
-         * each other; by any if the store does not answer it.
+         * Entries need all operator records. An entry relies on an entry whose address sorts before its own, so that no
+         * two entries wait for each other, or on any entry while the store does not respond.
          *
-         * @param self the address at which this entry is asked for records
-         * @param trustMillis how old what a peer knows may be, in milliseconds; the store is read by this process beyond that
+         * @param self the address at which this entry serves records to peers
+         * @param maxAgeMillis the maximum age of a peer's knowledge, in milliseconds; beyond it this process reads the
+         *     store
          */
         record Entry(String self, long trustMillis) implements Role {
 
-            /** Checks that the address is there. */
+            /** Validates the address. */
             public Entry {
                 Objects.requireNonNull(self, "self is null");
             }
         }
     }
 
-    /** What there is to read. */
+    /** What is available to read. */
     private sealed interface News {
 
-        /** Nobody tells. */
+        /** No peer has sent a recent update. */
         record Unknown() implements News {}
 
-        /** Nothing. */
+        /** The peers know nothing newer. */
         record Nothing() implements News {}
 
-        /** A peer knows more. */
+        /** A peer has newer records. */
         record At(String peer) implements News {}
     }
 
     /**
-     * Makes a reader that was told nothing yet.
+     * Creates a reader that has received no updates yet.
      *
      * @param store reads the store
-     * @param peers asks those that tell
-     * @param role whose word counts
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param peers requests records from the peers that sent updates
+     * @param role determines the peers to rely on
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     public NewsReader(TopicReader store, Peers peers, Role role, LongSupplier steadyMillis) {
         this.store = Objects.requireNonNull(store, "store is null");
@@ -99,14 +101,14 @@
         this.told = new ToldNews(role);
     }
 
-    // -- what others tell
+    // -- updates from peers
 
     /**
-     * Takes note of what a peer in touch with the store tells.
+     * Handles an update from a peer that is connected to the store.
      *
-     * @param peer the host and port at which it can be asked for records
-     * @param changes where the last changes stand that it knows of
-     * @param asOfMillis the moment on the steady clock up to which it knows all that operators wrote
+     * @param peer the host and port at which the peer serves records
+     * @param changes the offsets of the last changes that the peer knows
+     * @param asOfMillis the time on the monotonic clock up to which the peer knows all operator records
      */
     public synchronized void told(String peer, LastChanges changes, long asOfMillis) {
         if (told.take(peer, changes, asOfMillis, steadyMillis.getAsLong())) {
@@ -115,9 +117,10 @@
     }
 
     /**
-     * Whether what this process knows of operators' records comes from the store itself, so that others may go by it.
+     * Whether the operator records known to this process come from the store itself, so that other processes may rely
+     * on it.
      *
-     * @return false before the first read, while it goes by a peer, and while the store does not answer
+     * @return false before the first read, while the process relies on a peer, and while the store does not respond
      */
     public synchronized boolean direct() {
         return direct;
@@ -181,7 +184,10 @@
         return told.anyBeyond(topic, from, steadyMillis.getAsLong());
     }
 
-    /** A peer that does not give what it told of may have started again, or not know all that came before. */
+    /**
+     * Reads from a peer, or from the store if the peer does not return the records that it announced: it may have
+     * restarted, or lack earlier records.
+     */
     private Result<Read> fromPeer(String peer, Topic topic, long from) {
         Result<Batch> batch = peers.ask(peer, topic, from, within(peer));
         if (batch.toOptional().filter(one -> one.end() > from).isPresent()) {
@@ -193,8 +199,9 @@
     }
 
     /**
-     * How long a peer's answer may take. To an entry it must come while the peer's word counts: one that gives its answer piece by
-     * piece over a full link would keep the entry from the store for ten seconds.
+     * Returns how long a peer's response may take. For an entry, it must end while the peer's update is valid: a
+     * response that arrives slowly over a saturated link would otherwise keep the entry from reading the store for ten
+     * seconds.
      */
     private synchronized Duration within(String peer) {
         return switch (role) {
@@ -208,8 +215,8 @@
     }
 
     /**
-     * How long the store may hold a read. The first one after others told is not held: what they knew is old by then, and with a
-     * hold on top of that the age passes the time in which a manifest must be in force.
+     * Returns how long the store may hold a read. The first read after relying on peers is not held: the peers'
+     * knowledge is old by then, and adding a hold would exceed the time within which a manifest must be active.
      */
     private synchronized Duration ownHold(Topic topic, Duration wait) {
         return topic == Topic.OPERATOR && !direct ? Duration.ZERO : wait;
--- a/src/main/java/org/micabarrow/views/OperatorBeliefs.java
+++ b/src/main/java/org/micabarrow/views/OperatorBeliefs.java
@@ -13,10 +13,7 @@
 import org.micabarrow.views.RecordDecoder.OperatorRecord;
 import org.micabarrow.views.View.Learned;
 
-/**
- * What operators wrote, and what processes keep of it in the store, as far as it changes a view. Not safe for several threads at
- * once.
- */
+/** Applies operator records, and the records that processes saved about them, to the view. Not thread-safe. */
 final class OperatorBeliefs {
 
     private final RecordDecoder decoder;
@@ -25,7 +22,7 @@
     private final Manifests manifests = new Manifests();
     private boolean loaded;
 
-    /** Whether a manifest came after the one in force that cannot be used: what it allows is not known. */
+    /** Whether an invalid manifest followed the active one, so that the rules that apply now are unknown. */
     private boolean unusable;
 
     OperatorBeliefs(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
@@ -35,26 +32,28 @@
     }
 
     /**
-     * What a record changes.
+     * The effect of a record.
      *
-     * @param view the view after it
-     * @param forAgents whether agents act on it
+     * @param view the resulting view
+     * @param relevantToAgents whether agents use the record
      */
     record Change(View view, boolean forAgents) {}
 
-    /** All that operators wrote has been read once: what is named from now on is seen being named. */
+    /**
+     * Marks that all operator records have been read once: from now on, this process observes when a version is named.
+     */
     void loaded() {
         loaded = true;
     }
 
-    /** Whether all that operators wrote has been read once. */
+    /** Whether all operator records have been read once. */
     boolean isLoaded() {
         return loaded;
     }
 
-    // -- what operators wrote
+    // -- operator records
 
-    /** Takes a record of operators. */
+    /** Applies an operator record. */
     Change said(StoredRecord record, View view) {
         if (record.dropped()) {
             OperatorLines.dropped(record);
@@ -100,13 +99,13 @@
         return new Change(after, true);
     }
 
-    /** Takes a weight version of which a peer told. */
+    /** Adds a weight version that a peer reported. */
     View wanted(String model, long version, View view) {
         Learned learned = loaded ? Learned.SEEN_NAMED : Learned.TOLD_BY_PEER;
         return withTarget(model, new View.Target(version, steadyMillis.getAsLong(), learned), view, "peer");
     }
 
-    /** The view with one more version wanted, the same one if none is newer; the source is for the log. */
+    /** Returns the view with a target added, or the same view if the target is not newer. The source is only logged. */
     private View withTarget(String model, View.Target target, View view, String source) {
         View after = view.withTarget(model, target);
         if (after != view) {
@@ -115,9 +114,9 @@
         return after;
     }
 
-    // -- what processes keep in the store
+    // -- records saved by processes
 
-    /** Takes what was kept. */
+    /** Applies records that processes saved. */
     View kept(List<StoredRecord> records, View view) {
         List<OperatorRecord> said = records.stream()
                 .filter(record -> !record.dropped())
@@ -132,18 +131,18 @@
         return after;
     }
 
-    /** The newest versions that are not known to lie in the store under a key of their own. */
+    /** The newest versions that are not known to be saved in the store under their own keys. */
     List<Unkept> unkept(TopicCopy lying) {
         return targets.unkept(lying);
     }
 
-    // -- manifests, see Manifests
+    // -- manifests, see ManifestTracker
 
     OptionalLong lackingManifest(long readTo) {
         return manifests.lacking(readTo);
     }
 
-    /** Whether a manifest must be in force that this process does not have, or cannot use. */
+    /** Whether this process lacks the manifest that should be active, or cannot use it. */
     boolean misses(long readTo) {
         return unusable || manifests.lacking(readTo).isPresent();
     }
@@ -160,11 +159,12 @@
         return manifests.unkept(lying);
     }
 
-    // -- for peers
+    // -- peers
 
     /**
-     * Some records of operators, and those of the newest manifest and versions that others hide from whoever reads on from an offset:
-     * an older one that was written after them. In the order in which they stand, or the older would be taken and the newer not.
+     * Adds the records of the newest manifest and versions at or after an offset, which are no longer in the topic copy
+     * if an older one was written after them. The records are in order of offset: otherwise the reader would apply the
+     * older ones and skip the newer ones.
      */
     List<StoredRecord> withHidden(Collection<StoredRecord> records, long offset) {
         Stream<StoredRecord> newest =
--- a/src/main/java/org/micabarrow/views/OperatorKnowledge.java
+++ b/src/main/java/org/micabarrow/views/OperatorKnowledge.java
@@ -4,29 +4,34 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Up to which moment all that operators wrote is known. A process knows what it has read; that nothing else was written it
- * knows only of the time before its last read of the topic's end, or of what a peer knew when it answered. Safe for any number
- * of threads.
+ * The time up to which all operator records are known. A process knows what it has read; that nothing else was written
+ * is certain only for the time before its last read of the end of the topic, or for the time stated by a peer in its
+ * response. Thread-safe.
  */
 final class OperatorKnowledge {
 
-    /** Before any moment: a steady clock may begin anywhere. */
+    /** Earlier than any time; a monotonic clock may start at any value. */
     private static final long NEVER = Long.MIN_VALUE;
 
     private final AtomicLong asOfMillis = new AtomicLong(NEVER);
     private volatile boolean manifestLacking;
 
-    /** Everything that was written up to a moment has been taken; an earlier moment than is known says nothing new. */
+    /**
+     * Records that everything written up to a time has been applied. An earlier time than the known one has no effect.
+     */
     void confirm(long millis) {
         asOfMillis.accumulateAndGet(millis, Math::max);
     }
 
-    /** Whether a manifest is known to be newer than the one in force, which an older one that was written late hides. */
+    /**
+     * Sets whether a manifest is known to be newer than the active one and was replaced by an older one that was
+     * written late.
+     */
     void manifestLacking(boolean lacking) {
         manifestLacking = lacking;
     }
 
-    /** The latest such moment; empty if there is none, and while a manifest is lacking, whatever was read. */
+    /** The latest such time; empty if there is none, and while a manifest is missing, regardless of what was read. */
     OptionalLong asOf() {
         long millis = asOfMillis.get();
         return manifestLacking || millis == NEVER ? OptionalLong.empty() : OptionalLong.of(millis);
--- a/src/main/java/org/micabarrow/views/OperatorLines.java
+++ b/src/main/java/org/micabarrow/views/OperatorLines.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the lines of what operators' records change, and of why others change nothing. */
+/** Logs the effects of operator records, and why some records have no effect. */
 final class OperatorLines {
 
     private static final Logger LOG = LoggerFactory.getLogger(OperatorLines.class);
--- a/src/main/java/org/micabarrow/views/RecordDecoder.java
+++ b/src/main/java/org/micabarrow/views/RecordDecoder.java
@@ -5,10 +5,10 @@
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.state.Result;
 
-/** Turns the store's records into the project's types. */
+/** Decodes records of the store. */
 public interface RecordDecoder {
 
-    /** What an operator's record says. */
+    /** The content of an operator record. */
     sealed interface OperatorRecord {
 
         /**
@@ -19,47 +19,48 @@
         record ManifestSet(RouteManifest manifest) implements OperatorRecord {}
 
         /**
-         * The weight version that a model's endpoints are to hold.
+         * The weight version that the endpoints of a model should hold.
          *
          * @param model the model
          * @param version the version
-         * @param namedMillis the Unix millisecond at which a process learned of it; empty in what operators write
+         * @param namedMillis the Unix time in milliseconds at which a process learned of the version; empty in records
+         *     that operators wrote
          */
         record WeightsNamed(String model, long version, OptionalLong namedMillis) implements OperatorRecord {}
 
         /**
-         * A manifest that was in force, in what processes of this system keep.
+         * The position of a manifest that was active, as saved by a process of this system.
          *
-         * @param version its version
-         * @param offset its offset among what operators wrote
+         * @param version the version of the manifest
+         * @param offset its offset among the operator records
          */
         record ManifestKept(long version, long offset) implements OperatorRecord {}
 
-        /** Something that this system does not use. */
+        /** A record that this system does not use. */
         record Unused() implements OperatorRecord {}
     }
 
     /**
-     * Whether an operator's record is a manifest, be it one that can be read or not.
+     * Whether an operator record is a manifest, valid or not.
      *
-     * @param key the record's key
-     * @return true if it is
+     * @param key the key of the record
+     * @return true if it is a manifest
      */
     boolean isManifest(String key);
 
     /**
-     * Reads an operator's record, or one that processes of this system keep.
+     * Decodes an operator record, or a record that processes of this system saved about one.
      *
-     * @param record the record, not dropped
-     * @return what it says, or why it cannot be read
+     * @param record the record, which must not be a tombstone
+     * @return the content, or why the record is invalid
      */
     Result<OperatorRecord> operator(StoredRecord record);
 
     /**
-     * Reads an endpoint's entry.
+     * Decodes the entry of an endpoint.
      *
-     * @param record the record, not dropped
-     * @return the entry, or why it cannot be read
+     * @param record the record, which must not be a tombstone
+     * @return the entry, or why the record is invalid
      */
     Result<EndpointEntry> endpoint(StoredRecord record);
 }
--- a/src/main/java/org/micabarrow/views/StoreFollower.java
+++ b/src/main/java/org/micabarrow/views/StoreFollower.java
@@ -10,22 +10,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps one topic of the view up to date from the store, and from peers while the store does not answer this process.
+ * Keeps one topic of the view up to date from the store, and from peers while the store does not respond to this
+ * process.
  */
 public final class StoreFollower {
 
     private static final Logger LOG = LoggerFactory.getLogger(StoreFollower.class);
 
     /**
-     * How long to wait after a failed read, in milliseconds: with a question to a peer in between, a change reaches this
+     * The pause after a failed read, in milliseconds. With a request to a peer in between, a change reaches this
      * process well within the two seconds that the platform allows by default.
      */
     private static final long AGAIN_MILLIS = 300;
 
     /**
-     * Every how many rounds the store is read while it cannot be: every 0.9 s. Peers are asked in each round. A store that
-     * comes back is noticed within a third of the three seconds after which a process must be in touch again; read in every
-     * round, 20 processes ask a store that refuses them 130 times a second.
+     * While the store is unreachable, it is read only once in this many rounds, that is every 0.9 s. Peers are queried
+     * in every round. The return of the store is noticed within a third of the three seconds after which a process must
+     * be connected again. If it were read in every round, 20 processes would send 130 requests a second to a store that
+     * refuses them.
      */
     private static final int ROUNDS_A_READ = 3;
 
@@ -40,27 +42,28 @@
     private int roundsWithoutRead;
 
     /**
-     * Whether the last read was held and found what operators wrote. It proves that all is known only up to the moment it was sent,
-     * a whole hold ago perhaps; so the next is not held, or the proof would get as old as two holds in quiet times.
+     * Whether the last read was held and returned operator records. Such a read proves that all records are known only
+     * up to the time at which it was sent, which may be a whole hold ago. The next read is therefore not held, or the
+     * age of the proof could reach two holds in quiet times.
      */
     private boolean foundWhileHeld;
 
     /**
-     * How often to read.
+     * The timing of reads.
      *
-     * @param hold how long the store may hold a read that finds nothing
-     * @param rest the pause after a read that found something, so that chatty topics are read in batches
+     * @param hold how long the store may hold a read that finds no records
+     * @param pause the pause after a read that returned records, so that topics with many writes are read in batches
      */
     public record Pace(Duration hold, Duration rest) {}
 
     /**
-     * Makes a follower.
+     * Creates a follower.
      *
      * @param topic the topic
      * @param reader reads the store
-     * @param keeper takes what was read
-     * @param askPeer asks a peer for what it knows, when the store cannot be read
-     * @param pace how often to read
+     * @param views receives the records
+     * @param requestFromPeer requests records of a topic from a peer when the store cannot be read
+     * @param timing the timing of reads
      */
     public StoreFollower(Topic topic, TopicReader reader, ViewKeeper keeper, Consumer<Topic> askPeer, Pace pace) {
         this.topic = Objects.requireNonNull(topic, "topic is null");
@@ -71,17 +74,17 @@
     }
 
     /**
-     * Whether the topic is known as the store has it, but for what is on its way.
+     * Whether this process follows the topic without interruption, so that only records in transit are unknown.
      *
-     * @return false before the first read, and while the store does not answer
+     * @return false before the first read, and while the store does not respond
      */
     public boolean inTouch() {
         return loaded && reachable;
     }
 
     /**
-     * Whether the topic was read, or could not be and a peer was asked in the store's place. A process that takes requests before does not
-     * know what the others know.
+     * Whether the topic was read once, or a peer was queried instead because the store could not be read. A process
+     * that accepts requests earlier does not know what the other processes know.
      *
      * @return true from then on
      */
@@ -89,7 +92,7 @@
         return tried;
     }
 
-    /** Follows the topic on a thread of its own, for as long as the process runs. */
+    /** Follows the topic on a separate thread, which runs until the process ends. */
     public void start() {
         Thread.ofPlatform().name("follow-" + topic).daemon().start(this::follow);
     }
@@ -104,7 +107,10 @@
         }
     }
 
-    /** Reads once; a fault of this program costs one read, not the process's beliefs from then on. */
+    /**
+     * Reads once. An unexpected exception fails a single read and does not end the thread, which would leave the view
+     * outdated.
+     */
     private long onceWhatever() {
         try {
             return once();
@@ -121,8 +127,8 @@
      */
     public long once() {
         keeper.settleDoubts();
-        // An entry that was cut off reads at once when others tell again: by rounds that takes 1.9 s, of 3 s for a
-        // manifest.
+        // An entry that was disconnected reads at once when peers send updates again: waiting for its turn would take
+        // up to 1.9 s of the 3 s allowed for a manifest.
         if (!reachable && loaded && !reader.peersTell(topic) && ++roundsWithoutRead < ROUNDS_A_READ) {
             askPeer.accept(topic);
             return AGAIN_MILLIS;
@@ -162,7 +168,7 @@
                 });
     }
 
-    /** A hold or a rest: neither lasts longer than until a doubt is over. */
+    /** Shortens a hold or pause so that it ends when the first pending removal is due. */
     private Duration untilDoubtEnds(Duration wait) {
         return topic == Topic.ENDPOINTS ? keeper.untilDoubtEnds(wait) : wait;
     }
@@ -172,15 +178,16 @@
     }
 
     /**
-     * Reads once more at once if no answer came: an open connection may be reset or fall silent for good while the store is
-     * well, and answers on a new one. No pause is in the way then, and no dropped entry is doubted.
+     * Reads again at once if no response arrived: an open connection may be reset or stop responding for good while the
+     * store itself is available on a new connection. This needs no pause, and no removal becomes pending.
      */
     private Result<TopicReader.Read> readAgainIfLost(Duration wait) {
         Result<TopicReader.Read> first = read(wait);
         if (first instanceof Result.Failure<TopicReader.Read>(Fault fault) && ofConnection(fault)) {
             LOG.info("event=store_read_again topic={} why=\"{}\"", topic, fault);
             if (topic == Topic.ENDPOINTS) {
-                // If the store is silent a peer knows sooner, and one more time limit would be over the bound.
+                // If the store itself is unresponsive, a peer responds sooner; waiting for another timeout would exceed
+                // the bound.
                 askPeer.accept(topic);
             }
             return read(Duration.ZERO);
@@ -188,7 +195,7 @@
         return first;
     }
 
-    /** Whether a fault may lie in the connection alone, which was reset or fell silent. */
+    /** Whether a fault may be caused by the connection alone, which was reset or stopped responding. */
     private static boolean ofConnection(Fault fault) {
         return fault.reason() == Reason.TIMEOUT || fault.reason() == Reason.UNREACHABLE;
     }
--- a/src/main/java/org/micabarrow/views/StoredRecord.java
+++ b/src/main/java/org/micabarrow/views/StoredRecord.java
@@ -3,46 +3,46 @@
 import java.util.Objects;
 
 /**
- * The newest record of a key.
+ * The latest record of a key.
  *
  * @param key the key
- * @param offset where the record stands in its topic
- * @param value the value; empty if the key was dropped
+ * @param offset the offset of the record in its topic
+ * @param value the value; empty if the key was deleted
  */
 public record StoredRecord(String key, long offset, byte[] value) {
 
-    /** How much of what another writer wrote goes into a line of the log, in characters: a key has up to 255. */
+    /** The maximum number of characters of foreign text in a log line: a key may have up to 255. */
     private static final int SHOWN_CHARS = 120;
 
-    /** Checks that the parts are present. */
+    /** Validates the components. */
     public StoredRecord {
         Objects.requireNonNull(key, "key is null");
         Objects.requireNonNull(value, "value is null");
     }
 
     /**
-     * Whether the key was dropped.
+     * Whether this record deletes its key.
      *
-     * @return true if there is no value
+     * @return true if the value is empty
      */
     public boolean dropped() {
         return value.length == 0;
     }
 
     /**
-     * The key as it may stand in a line of the log.
+     * Returns the key in a form that is safe to log.
      *
-     * @return its beginning, without what would end the line or hide in it
+     * @return the key, truncated, with control characters and quotes replaced
      */
     public String shownKey() {
         return shown(key);
     }
 
     /**
-     * What another writer wrote, as it may stand in a line of the log.
+     * Returns text that another process wrote in a form that is safe to log.
      *
      * @param text the text
-     * @return its beginning, without what would end the line or hide in it
+     * @return the text, truncated, with control characters and quotes replaced
      */
     public static String shown(String text) {
         String line = text.replaceAll("[^ -~]", "?").replace('"', '\'');
--- a/src/main/java/org/micabarrow/views/ToldNews.java
+++ b/src/main/java/org/micabarrow/views/ToldNews.java
@@ -7,31 +7,32 @@
 import java.util.stream.Stream;
 import org.micabarrow.views.NewsReader.Role;
 
-/** What peers told of the store, and whose word counts for how long. Not safe for several threads at once. */
+/** Updates that peers sent about the store, and which of them are valid for how long. Not thread-safe. */
 final class ToldNews {
 
     /**
-     * How long what a peer told counts, in milliseconds: entries nearby tell some seven times in it, so that a few may be lost. A
-     * peer that lost the store tells nothing.
+     * How long an agent relies on an update, in milliseconds. Nearby entries send some seven updates in this time, so
+     * that a few may be lost. A peer that lost its connection to the store sends no updates.
      */
     private static final long TOLD_MILLIS = 1_000;
 
     /**
-     * The same of what an entry is told of the region's reader, in milliseconds: agents tell some three times in it. They go on naming
-     * a reader that ended for as long; the two together, and a read of the store, are to fit into two seconds.
+     * How long an entry relies on an update about the entry that reads the store for the region, in milliseconds.
+     * Agents send some three updates in this time. They continue to name a reader that has ended for the same time;
+     * twice this time and one read of the store must fit into two seconds.
      */
     private static final long READER_TOLD_MILLIS = 500;
 
     /**
-     * How old what an entry knows may be for agents to go by it, in milliseconds: a weight version is to be in use within some eight
-     * seconds, and its copy alone takes three to five.
+     * The maximum age of an entry's knowledge on which agents rely, in milliseconds: a weight version must be in use
+     * within about eight seconds, and copying it takes three to five of them.
      */
     private static final long AGENT_TRUST_MILLIS = 3_000;
 
     private final Role role;
     private final Map<String, Told> told = new HashMap<>();
 
-    /** Whether the store answered this process when it was last asked. */
+    /** Whether the store responded to this process at the last read. */
     private boolean storeAnswers = true;
 
     private record Told(String peer, LastChanges changes, long asOfMillis, long atMillis) {}
@@ -40,30 +41,30 @@
         this.role = role;
     }
 
-    /** Takes note of what a peer tells, and tells whether it is something else than before. */
+    /** Records an update from a peer. Returns whether it differs from the previous one. */
     boolean take(String peer, LastChanges changes, long asOfMillis, long nowMillis) {
         Told before = told.put(peer, new Told(peer, changes, asOfMillis, nowMillis));
         return before == null || !before.changes().equals(changes);
     }
 
-    /** Goes by a peer no more until it tells again. */
+    /** Ignores a peer until it sends another update. */
     void forget(String peer) {
         told.remove(peer);
     }
 
-    /** Takes note of whether the store answers this process. */
+    /** Records whether the store responds to this process. */
     void storeAnswers(boolean answers) {
         storeAnswers = answers;
     }
 
-    /** Whether the store answered this process when it was last asked. */
+    /** Whether the store responded to this process at the last read. */
     boolean storeAnswers() {
         return storeAnswers;
     }
 
-    // -- whose word counts
+    // -- validity
 
-    /** Whether anybody's word counts now. */
+    /** Whether any update is valid now. */
     boolean peersTell(long nowMillis) {
         told.values().removeIf(one -> nowMillis - one.atMillis() >= toldMillis());
         return counting(nowMillis).findAny().isPresent();
@@ -81,7 +82,7 @@
         };
     }
 
-    /** When nobody's word counts any more, unless somebody tells again. */
+    /** The time at which the last valid update expires, unless another one arrives. */
     long endOfTrust(long nowMillis) {
         return counting(nowMillis)
                 .mapToLong(one -> Math.min(one.atMillis() + toldMillis(), one.asOfMillis() + trustMillis()))
@@ -89,7 +90,9 @@
                 .orElse(nowMillis);
     }
 
-    /** How long what a peer knows is young enough to go by, in milliseconds; 0 for one that told nothing. */
+    /**
+     * How long a peer's knowledge remains recent enough to rely on, in milliseconds; 0 for a peer without an update.
+     */
     long trustLeft(String peer, long nowMillis) {
         Told one = told.get(peer);
         return one == null ? 0 : one.asOfMillis() + trustMillis() - nowMillis;
@@ -109,9 +112,9 @@
         };
     }
 
-    // -- what they know
+    // -- contents
 
-    /** The peer that knows most of what this process needs beyond an offset. */
+    /** The peer with the newest records that this process needs beyond an offset. */
     Optional<String> ahead(Topic topic, long from, long nowMillis) {
         return counting(nowMillis)
                 .filter(one -> needed(one.changes(), topic) > from)
@@ -119,7 +122,7 @@
                 .map(Told::peer);
     }
 
-    /** A peer that knows of a change beyond an offset, be it one that this process needs or not. */
+    /** A peer that knows of a change beyond an offset, whether or not this process needs it. */
     Optional<String> anyBeyond(Topic topic, long from, long nowMillis) {
         return counting(nowMillis)
                 .filter(one -> one.changes().of(topic) > from)
@@ -127,7 +130,7 @@
                 .findFirst();
     }
 
-    /** Where the last change stands that this process needs. */
+    /** The offset of the last change that this process needs. */
     private long needed(LastChanges changes, Topic topic) {
         return topic == Topic.OPERATOR && role instanceof Role.Agent ? changes.weights() : changes.of(topic);
     }
--- a/src/main/java/org/micabarrow/views/Topic.java
+++ b/src/main/java/org/micabarrow/views/Topic.java
@@ -1,13 +1,13 @@
 package org.micabarrow.views;
 
-/** The topics of the store that views are made of. */
+/** The topics of the store from which views are built. */
 public enum Topic {
-    /** What operators wrote: the manifest and named weight versions. */
+    /** Records that operators wrote: the manifest and named weight versions. */
     OPERATOR,
-    /** What endpoints wrote about themselves. */
+    /** Entries that endpoints wrote about themselves. */
     ENDPOINTS,
-    /** What processes of this system keep of what operators wrote, each thing under a key of its own. */
+    /** Records that processes of this system save about operator records, each under its own key. */
     NAMED,
-    /** What entries tell each other of endpoints that crashed. */
+    /** Reports of crashed endpoints that entries share with each other. */
     CRASHES
 }
--- a/src/main/java/org/micabarrow/views/TopicCopy.java
+++ b/src/main/java/org/micabarrow/views/TopicCopy.java
@@ -12,8 +12,9 @@
 import java.util.stream.Collectors;
 
 /**
- * A copy of the newest record of each key of a topic. It never goes back: a record counts only if its offset is above the
- * one held for the key, in whatever order and from whomever records come. Not safe for several threads at once.
+ * A copy of the latest record of each key of a topic. It never goes back to an older record: a record is accepted only
+ * if its offset is greater than that of the current record of its key, regardless of the order and source of the
+ * records. Not thread-safe.
  */
 public final class TopicCopy {
 
@@ -22,15 +23,15 @@
     private final Map<String, StoredRecord> newest = new HashMap<>();
     private long end;
 
-    /** From this offset on every record was read, or told by somebody who had read it. */
+    /** Every record from this offset on was read, or received from a peer that had read it. */
     private long gaplessFrom;
 
     /**
-     * Takes records as read from the topic, or from a peer.
+     * Applies records that were read from the topic or received from a peer.
      *
      * @param records the records
      * @param readTo the offset up to which everything that is still in the topic is now known
-     * @return the records that were news
+     * @return the records that were new
      */
     public List<StoredRecord> apply(Collection<StoredRecord> records, long readTo) {
         List<StoredRecord> news = new ArrayList<>();
@@ -45,12 +46,12 @@
     }
 
     /**
-     * Takes the topic's newest records of all keys. Keys that are not among them have been dropped, unless a record read
-     * since says otherwise.
+     * Applies the latest records of all keys. Keys that are not among them were deleted, unless a newer record of the
+     * key is already known.
      *
-     * @param records the newest record of each key
-     * @param takenAt the topic's end before the first of them was read
-     * @return the records that were news
+     * @param records the latest record of each key
+     * @param endBeforeRead the end of the topic before the first of them was read
+     * @return the records that were new
      */
     public List<StoredRecord> replace(Collection<StoredRecord> records, long takenAt) {
         Set<String> present = new HashSet<>();
@@ -73,40 +74,40 @@
         return held == null || record.offset() > held.offset();
     }
 
-    // -- questions
+    // -- queries
 
     /**
      * The offset to read from next.
      *
-     * @return the first offset that is not known
+     * @return the first unknown offset
      */
     public long end() {
         return end;
     }
 
     /**
-     * Where somebody may read on who knows all records before an offset and takes the newest ones from here. What was dropped
-     * before the first record that was read here is not among these.
+     * Returns where a process can continue reading that knows all records before an offset and receives the latest ones
+     * from this copy. Deletions before the first record that was read here are not part of this copy.
      *
      * @param offset the offset
-     * @return this copy's end, or the offset if records between the two were not read here
+     * @return the end of this copy, or the offset itself if records between the two were not read here
      */
     public long endFor(long offset) {
         return offset >= gaplessFrom ? end : offset;
     }
 
     /**
-     * The newest record of a key.
+     * The latest record of a key.
      *
      * @param key the key
-     * @return the record, empty if the key is unknown or was dropped
+     * @return the record, empty if the key is unknown or was deleted
      */
     public Optional<StoredRecord> record(String key) {
         return Optional.ofNullable(newest.get(key)).filter(held -> !held.dropped());
     }
 
     /**
-     * The keys that were not dropped.
+     * The keys that were not deleted.
      *
      * @return the keys
      */
@@ -118,7 +119,7 @@
     }
 
     /**
-     * The newest records at or after an offset, of dropped keys too.
+     * The latest records at or after an offset, including tombstones.
      *
      * @param offset the offset
      * @return the records
--- a/src/main/java/org/micabarrow/views/TopicReader.java
+++ b/src/main/java/org/micabarrow/views/TopicReader.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import org.micabarrow.state.Result;
 
-/** Reads the store's topics. */
+/** Reads topics of the store. */
 public interface TopicReader {
 
     /**
@@ -14,19 +14,19 @@
      *
      * @param records the records
      * @param end the offset after the last record known to the store
-     * @param asOfMillis the moment on this process's steady clock up to which everything that was written is among the records or
-     *     before them; empty if not known
+     * @param asOfMillis the time on this process's monotonic clock up to which everything that was written is in this
+     *     batch or before it; empty if unknown
      */
     record Batch(List<StoredRecord> records, long end, OptionalLong asOfMillis) {
 
-        /** Checks that nothing is missing. */
+        /** Validates the components. */
         public Batch {
             Objects.requireNonNull(records, "records is null");
             Objects.requireNonNull(asOfMillis, "asOfMillis is null");
         }
 
         /**
-         * Records of which it is not known up to which moment they reach.
+         * Creates a batch for which it is unknown up to which time all records are known.
          *
          * @param records the records
          * @param end the offset after the last record known to the store
@@ -36,7 +36,7 @@
         }
     }
 
-    /** What a read gave. */
+    /** The result of a read. */
     sealed interface Read {
 
         /**
@@ -46,20 +46,20 @@
          */
         record Records(Batch batch) implements Read {}
 
-        /** The records asked for are no longer kept: the newest of all keys must be read. */
+        /** The requested records are no longer stored: the latest records of all keys must be read. */
         record Expired() implements Read {}
     }
 
     /**
-     * The newest record of each key.
+     * Reads the latest record of each key.
      *
      * @param topic the topic
-     * @return the records, with the topic's end before the first was read
+     * @return the records, with the end of the topic before the first of them was read
      */
     Result<Batch> newest(Topic topic);
 
     /**
-     * The records from an offset on; waits if there is none yet.
+     * Reads the records from an offset on, and waits if there are none yet.
      *
      * @param topic the topic
      * @param from the offset
@@ -69,7 +69,7 @@
     Result<Read> read(Topic topic, long from, Duration wait);
 
     /**
-     * The records from an offset on that was passed before, be they news or not.
+     * Reads records from an offset that was passed before, whether or not they are new.
      *
      * @param topic the topic
      * @param from the offset
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Whether a read needs no answer of the store now, since others tell what is new there.
+     * Whether peers currently send updates about the topic, so that a read needs no response from the store.
      *
      * @param topic the topic
-     * @return false for whoever reads the store alone
+     * @return false for a reader that always reads the store
      */
     default boolean peersTell(Topic topic) {
         return false;
--- a/src/main/java/org/micabarrow/views/Unkept.java
+++ b/src/main/java/org/micabarrow/views/Unkept.java
@@ -4,20 +4,18 @@
 import java.util.Objects;
 import java.util.OptionalLong;
 
-/**
- * Something that operators wrote and that is not known to lie in {@link Topic#NAMED}, where it has a key of its own.
- */
+/** A fact from operator records that is not known to be saved in {@link Topic#NAMED}, where it has its own key. */
 public sealed interface Unkept {
 
     /**
-     * The key under which it is kept.
+     * The key under which it is saved.
      *
      * @return the key
      */
     String key();
 
     /**
-     * Keys there that are of use no more once this one is kept.
+     * Keys that are no longer needed once this item is saved.
      *
      * @return the keys
      */
@@ -28,8 +26,9 @@
      *
      * @param model the model
      * @param version the version
-     * @param namedMillis the Unix millisecond at which this process learned that it was named; empty if it found it so
-     * @param outdated keys of the model's versions that are of use no more
+     * @param namedMillis the Unix time in milliseconds at which this process observed that the version was named; empty
+     *     if it was already named when this process first read it
+     * @param outdated keys of versions of the model that are no longer needed
      */
     record Weights(String model, long version, OptionalLong namedMillis, List<String> outdated) implements Unkept {
 
@@ -47,11 +46,11 @@
     }
 
     /**
-     * A manifest. It is not kept whole: only its version and where it stands are.
+     * The position of a manifest. Only the version and the offset are saved, not the manifest itself.
      *
-     * @param version its version
-     * @param offset its offset among what operators wrote
-     * @param outdated keys of manifests that are of use no more
+     * @param version the version of the manifest
+     * @param offset its offset among the operator records
+     * @param outdated keys of manifests that are no longer needed
      */
     record Manifest(long version, long offset, List<String> outdated) implements Unkept {
 
--- a/src/main/java/org/micabarrow/views/VersionKeys.java
+++ b/src/main/java/org/micabarrow/views/VersionKeys.java
@@ -4,27 +4,30 @@
 import java.util.List;
 import java.util.OptionalLong;
 
-/** The keys under which named weight versions and manifests are kept: one a version, so that no write can hide another. */
+/**
+ * The keys under which named weight versions and manifest positions are saved. Each version has its own key, so that no
+ * write can replace another version.
+ */
 public final class VersionKeys {
 
-    /** Begins the keys of weight versions, as it does where operators write them. */
+    /** The prefix of keys of weight versions, the same as in the records that operators write. */
     public static final String VERSIONS = "version/";
 
-    /** Begins the keys of manifests. */
+    /** The prefix of keys of manifest positions. */
     public static final String MANIFESTS = "manifest/";
 
     private static final char BEFORE_VERSION = '/';
 
     /**
-     * How many versions before the newest are kept of a model: more are never on their way at once, and an older one that is
-     * written late is older than one of these.
+     * How many versions of a model before the newest are retained: there are never more in transit at once, and a
+     * version that is written late is older than one of these.
      */
     private static final int KEPT = 8;
 
     private VersionKeys() {}
 
     /**
-     * The key of a version.
+     * Returns the key of a weight version.
      *
      * @param model the model
      * @param version the version
@@ -35,16 +38,16 @@
     }
 
     /**
-     * The key of a manifest.
+     * Returns the key of a manifest position.
      *
-     * @param version its version
+     * @param version the version of the manifest
      * @return the key
      */
     public static String ofManifest(long version) {
         return MANIFESTS + version;
     }
 
-    /** The keys of manifests that are older than one: whoever looks for the newest needs no other. */
+    /** Returns the keys of manifests that are older than the given version; only the newest manifest is needed. */
     static List<String> outdatedManifests(Collection<String> keys, long newest) {
         return keys.stream()
                 .filter(key -> key.startsWith(MANIFESTS))
@@ -54,12 +57,12 @@
     }
 
     /**
-     * The keys of a model's versions that are of use no more once a newer one is kept.
+     * Returns the keys of a model's versions that are no longer needed once a newer one is saved.
      *
-     * @param keys the keys that are there
+     * @param keys the existing keys
      * @param model the model
      * @param newest its newest version
-     * @return those of versions that are older by more than are kept
+     * @return the keys of versions that are too old to be retained
      */
     static List<String> outdated(Collection<String> keys, String model, long newest) {
         String prefix = VERSIONS + model + BEFORE_VERSION;
@@ -74,7 +77,7 @@
         try {
             return OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException e) {
-            // Another model's key, whose name begins like this one's.
+            // The key belongs to another model whose name starts with the same characters.
             return OptionalLong.empty();
         }
     }
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -11,13 +11,14 @@
 import org.micabarrow.routing.RouteManifest;
 
 /**
- * What a process believes at one moment. Immutable.
+ * An immutable snapshot of what a process knows of the store.
  *
- * @param manifest the manifest in force, empty until one is known
- * @param manifestOffset where it stands in the store
+ * @param manifest the active manifest, empty until one is known
+ * @param manifestOffset the offset of its record in the store
  * @param endpoints the endpoints that the store lists, by id
- * @param targets the weight versions wanted of each model, in the order in which they were named
- * @param found the first version of each model that was found named and that a newer one replaced before it was wanted for long
+ * @param targets the target weight versions of each model, in the order in which they were named
+ * @param supersededTargets for each model, the first target that was already named when this process read it and that
+ *     was superseded by another such target
  */
 public record View(
         Optional<RouteManifest> manifest,
@@ -26,20 +27,21 @@
         Map<String, List<Target>> targets,
         Map<String, Target> found) {
 
-    /** How many named versions of a model are remembered: more are never on their way at once. */
+    /** The maximum number of targets that are remembered per model: there are never more in transit at once. */
     private static final int TARGETS_KEPT = 8;
 
     /**
-     * A wanted weight version.
+     * A weight version that endpoints should load.
      *
      * @param version the version
-     * @param learnedMillis when this process learned of it, on its steady clock
-     * @param learned how this process learned of it
+     * @param learnedAtMillis when this process learned of it, on its monotonic clock
+     * @param source how this process learned of it
      */
     public record Target(long version, long learnedMillis, Learned learned) {
 
         /**
-         * Whether this process saw the version being named, rather than finding it named at its start.
+         * Whether this process observed that the version was named, as opposed to reading at startup that it was
+         * already named.
          *
          * @return whether it did
          */
@@ -48,25 +50,27 @@
         }
     }
 
-    /** How a process learned of a weight version. */
+    /** How a process learned of a target. */
     public enum Learned {
-        /** It ran when the version was named. */
+        /** The process was running when the version was named. */
         SEEN_NAMED,
-        /** It found the version named, with the time at which that was. */
+        /**
+         * The version was already named when the process first read it, and the time at which it was named is known.
+         */
         TOLD_WHEN,
-        /** A peer told of it before this process had read what operators wrote. */
+        /** A peer reported it before this process had read the operator records. */
         TOLD_BY_PEER,
-        /** It found the version named, nobody knows since when. */
+        /** The version was already named when the process first read it, at an unknown time. */
         FOUND
     }
 
     /**
-     * A view in which no version was replaced by another that was found named.
+     * Creates a view without superseded targets.
      *
-     * @param manifest the manifest in force, empty until one is known
-     * @param manifestOffset where it stands in the store
+     * @param manifest the active manifest, empty until one is known
+     * @param manifestOffset the offset of its record in the store
      * @param endpoints the endpoints that the store lists, by id
-     * @param targets the weight versions wanted of each model, in the order in which they were named
+     * @param targets the target weight versions of each model, in the order in which they were named
      */
     public View(
             Optional<RouteManifest> manifest,
@@ -85,7 +89,7 @@
     }
 
     /**
-     * A view that knows nothing.
+     * Returns a view that contains nothing.
      *
      * @return the view
      */
@@ -93,13 +97,13 @@
         return new View(Optional.empty(), -1, Map.of(), Map.of());
     }
 
-    // -- questions
+    // -- queries
 
     /**
-     * The newest weight version that was named for a model.
+     * Returns the newest weight version that was named for a model.
      *
      * @param model the model
-     * @return the version, empty if none was named
+     * @return the target, empty if none was named
      */
     public Optional<Target> newestTarget(String model) {
         List<Target> named = named(model);
@@ -107,12 +111,13 @@
     }
 
     /**
-     * The least weight version that may still answer: the newest of those that were named long enough ago.
+     * Returns the minimum weight version that may still serve requests: the newest of those that were named long enough
+     * ago.
      *
      * @param model the model
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param nowMillis the time on the steady clock
-     * @return the version, 0 if any may answer
+     * @param boundMillis for how long older versions may serve after a version was named
+     * @param nowMillis the time on the monotonic clock
+     * @return the version, 0 if any may serve
      */
     public long leastVersion(String model, long boundMillis, long nowMillis) {
         return Stream.concat(named(model).stream(), Optional.ofNullable(found.get(model)).stream())
@@ -123,11 +128,11 @@
     }
 
     /**
-     * The oldest of the versions that are newer than one.
+     * Returns the oldest target that is newer than a version.
      *
      * @param model the model
-     * @param version the version that is held
-     * @return the version named first after it; empty if none is newer
+     * @param version the version that is loaded
+     * @return the first target named after it; empty if none is newer
      */
     public Optional<Target> newerNamed(String model, long version) {
         return named(model).stream()
@@ -136,10 +141,10 @@
     }
 
     /**
-     * The endpoints of a service.
+     * Returns the endpoints of a service.
      *
      * @param service the service
-     * @return its endpoints, those that leave too
+     * @return its endpoints, including draining ones
      */
     public List<EndpointEntry> endpointsOf(String service) {
         return endpoints.values().stream()
@@ -151,7 +156,7 @@
         return targets.getOrDefault(model, List.of());
     }
 
-    // -- views that follow from this one
+    // -- derived views
 
     View withManifest(RouteManifest newManifest, long offset) {
         return new View(Optional.of(newManifest), offset, endpoints, targets, found);
@@ -162,13 +167,14 @@
     }
 
     /**
-     * The same view with one more weight version wanted. One that was found named and a newer one that was found so too were both
-     * named nobody knows when: the older must not seem good to answer, and be fetched, for as long as the newer is not due. It
-     * still tells by when those before it must have stopped.
+     * Returns this view with a target added. If both the existing and the new target were already named when they were
+     * read, it is unknown when either was named. The older one must not be considered allowed to serve, and be fetched,
+     * until the newer one is due, so it is removed from the targets. It is retained as a superseded target, because it
+     * still determines by when earlier versions must have stopped.
      *
      * @param model the model
-     * @param target the version
-     * @return the new view; this one if the version is not newer than those known
+     * @param target the target
+     * @return the new view; this one if the version is not newer than the known ones
      */
     View withTarget(String model, Target target) {
         List<Target> named = named(model);
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewKeeper.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps copies of the store's two topics and publishes the view that follows from them. Records may come from the store
- * or from peers, in any order; changes are made under one lock and readers see immutable views.
+ * Maintains copies of the store's topics and publishes the resulting view. Records may come from the store or from
+ * peers, in any order. Changes are made under one lock; readers see immutable views.
  */
 public final class ViewKeeper {
 
@@ -33,21 +33,21 @@
     private volatile Consumer<List<StoredRecord>> crashNews = news -> {};
 
     /**
-     * Makes a keeper that knows nothing yet.
+     * Creates an instance without any records.
      *
-     * @param decoder reads records
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
     public ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis) {
         this(decoder, steadyMillis, System::currentTimeMillis);
     }
 
     /**
-     * Makes a keeper that knows nothing yet, with a time of day of its own.
+     * Creates an instance without any records, with a given time of day.
      *
-     * @param decoder reads records
-     * @param steadyMillis a clock that never steps, in milliseconds
-     * @param unixMillis the time of day, in milliseconds, which may be some seconds off
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param unixMillis the time of day, in milliseconds, which may be off by some seconds
      */
     ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
         Objects.requireNonNull(decoder, "decoder is null");
@@ -61,7 +61,7 @@
     }
 
     /**
-     * The view now.
+     * The current view.
      *
      * @return an immutable view
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Up to where the records are known that changed the view.
+     * The offsets up to which the records that changed the view are known.
      *
      * @return the offsets
      */
@@ -79,9 +79,9 @@
     }
 
     /**
-     * Has somebody learn of news in {@link Topic#CRASHES}, which change no view.
+     * Sets the listener for new records of {@link Topic#CRASHES}, which do not change the view.
      *
-     * @param learns takes the records; called under the keeper's lock, so it must not wait
+     * @param listener receives the records; it is called under the lock of this object and must not block
      */
     public void onCrashNews(Consumer<List<StoredRecord>> learns) {
         crashNews = Objects.requireNonNull(learns, "learns is null");
@@ -90,7 +90,7 @@
     // -- records
 
     /**
-     * Takes records of a topic.
+     * Applies records of a topic.
      *
      * @param topic the topic
      * @param records the records
@@ -103,11 +103,11 @@
     }
 
     /**
-     * Takes the newest records of all keys of a topic.
+     * Applies the latest records of all keys of a topic.
      *
      * @param topic the topic
      * @param records the records
-     * @param takenAt the topic's end before the first of them was read
+     * @param endBeforeRead the end of the topic before the first of them was read
      */
     public synchronized void replace(Topic topic, Collection<StoredRecord> records, long takenAt) {
         takeLacking(topic, records);
@@ -119,18 +119,18 @@
     }
 
     /**
-     * Takes note that all that operators wrote up to a moment has been taken; to be called after the records were.
+     * Records that all operator records up to a time have been applied. Must be called after the records were applied.
      *
-     * @param asOfMillis the moment on the steady clock; an earlier one than is known changes nothing
+     * @param asOfMillis the time on the monotonic clock; an earlier time than the known one has no effect
      */
     public void confirmOperator(long asOfMillis) {
         knowledge.confirm(asOfMillis);
     }
 
     /**
-     * Up to which moment all that operators wrote is known. A view that is taken after this holds it.
+     * The time up to which all operator records are known. A view that is obtained after this call contains them.
      *
-     * @return the moment on the steady clock; empty if there is none, and while a manifest is known to be lacking
+     * @return the time on the monotonic clock; empty if there is none, and while a manifest is known to be missing
      */
     public OptionalLong operatorAsOfMillis() {
         return knowledge.asOf();
@@ -147,13 +147,13 @@
     }
 
     /**
-     * The newest records of a topic at or after an offset, and where to read on after them, both at one moment: with an end that
-     * was taken after the records, whoever reads on from there would never get one that came in between. Of operators' records it
-     * is told, too, up to which moment they reach.
+     * Returns the latest records of a topic at or after an offset, together with the offset to continue from,
+     * atomically: if the end were read after the records, a process that continues from it would miss records that
+     * arrived in between. For operator records, the batch also has the time up to which all of them are known.
      *
      * @param topic the topic
-     * @param offset the offset, before which the asker knows all records
-     * @return the records, and the offset before which the asker then knows all
+     * @param offset the offset before which the requesting process knows all records
+     * @return the records, and the offset before which that process then knows all of them
      */
     public synchronized TopicReader.Batch since(Topic topic, long offset) {
         TopicCopy copy = copies.get(topic);
@@ -164,7 +164,8 @@
     }
 
     /**
-     * From where on a peer is to be asked for a topic: from where it is to be read next, or from a manifest on that is lacking.
+     * The offset from which a topic is to be requested from a peer: the offset to read from next, or that of a missing
+     * manifest.
      *
      * @param topic the topic
      * @return the offset
@@ -175,9 +176,9 @@
     }
 
     /**
-     * The store answers again after it did not.
+     * Records that a topic of the store is readable again after an outage.
      *
-     * @param topic the topic that can be read again
+     * @param topic the topic
      */
     public synchronized void regained(Topic topic) {
         if (topic == Topic.ENDPOINTS) {
@@ -185,23 +186,23 @@
         }
     }
 
-    /** Removes endpoints whose entries were doubted and have not come back in time. */
+    /** Removes the endpoints whose pending removal is due. */
     public synchronized void settleDoubts() {
         entries.withoutOverdue(view.endpoints(), steadyMillis.getAsLong())
                 .ifPresent(left -> view = view.withEndpoints(left));
     }
 
     /**
-     * Shortens a wait after which doubted endpoints are to be looked at.
+     * Shortens a wait so that it ends when the first pending removal is due.
      *
      * @param wait the wait
-     * @return the wait, or the time until the first doubt ends if that is less
+     * @return the wait, or the time until the first pending removal is due if that is less
      */
     synchronized Duration untilDoubtEnds(Duration wait) {
         return entries.untilDoubtEnds(wait, steadyMillis.getAsLong());
     }
 
-    // -- views
+    // -- updates of the view
 
     private void publish(Topic topic, List<StoredRecord> news) {
         if (news.isEmpty()) {
@@ -219,7 +220,7 @@
         }
     }
 
-    /** Takes what operators wrote, and tells whether agents act on it. */
+    /** Applies an operator record, and returns whether agents use it. */
     private boolean operatorSaid(StoredRecord record) {
         OperatorBeliefs.Change change = operator.said(record, view);
         view = change.view();
@@ -227,8 +228,8 @@
     }
 
     /**
-     * Takes the manifest that is lacking: the copy passes it over, since an older one stands after it. It comes before the others,
-     * or an entry would go by the older one for an instant.
+     * Applies a missing manifest, which the topic copy ignores because it holds an older one with a greater offset.
+     * This happens before the other records are applied, so that the older one is never active, not even briefly.
      */
     private void takeLacking(Topic topic, Collection<StoredRecord> records) {
         OptionalLong lacking = topic == Topic.OPERATOR ? lackingManifest() : OptionalLong.empty();
@@ -237,52 +238,52 @@
     }
 
     /**
-     * Takes note of a weight version that is wanted, from a peer that has heard of it.
+     * Adds a weight version that a peer reported as a target.
      *
      * @param model the model
-     * @param version the version; an older one than is known changes nothing
+     * @param version the version; has no effect if a newer one is known
      */
     public synchronized void want(String model, long version) {
         view = operator.wanted(model, version, view);
     }
 
-    // -- what processes keep in the store
+    // -- records saved by processes
 
-    /** Where a manifest stands that is known to be newer than the one in force; empty if none is. */
+    /** The offset of a manifest known to be newer than the active one; empty if there is none. */
     synchronized OptionalLong lackingManifest() {
         return operator.lackingManifest(end(Topic.OPERATOR));
     }
 
     /**
-     * Takes note of where the newest manifest stands, from a peer that has it: this process may do without the manifest, and still
-     * keep its place for others.
+     * Records the position of the newest manifest as reported by a peer that has it. A process that does not need the
+     * manifest itself still saves its position for others.
      *
-     * @param place where it stands
+     * @param position the position
      */
     public synchronized void manifestStands(ManifestPlace place) {
         operator.manifestStands(place);
     }
 
     /**
-     * Where the newest manifest stands that is known of.
+     * The position of the newest known manifest.
      *
-     * @return the place, empty if none is known
+     * @return the position, empty if none is known
      */
     public synchronized Optional<ManifestPlace> newestManifest() {
         return operator.newestManifest();
     }
 
-    /** The newest manifest, if it is not known to be kept. */
+    /** The newest manifest, if it is not known to be saved. */
     synchronized Optional<Unkept> unkeptManifest() {
         return operator.unkeptManifest(copies.get(Topic.NAMED));
     }
 
-    /** Whether what operators wrote has been read. */
+    /** Whether the operator records have been read. */
     synchronized boolean knowsOperator() {
         return operator.isLoaded();
     }
 
-    /** The newest versions that are not known to lie in the store under a key of their own. */
+    /** The newest versions that are not known to be saved in the store under their own keys. */
     synchronized List<Unkept> unkept() {
         return operator.unkept(copies.get(Topic.NAMED));
     }
--- a/src/main/java22/org/micabarrow/clock/BootClock.java
+++ b/src/main/java22/org/micabarrow/clock/BootClock.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The clock that counts from the start of the instance, suspensions included, as the C library of Linux has it. */
+/** The time since the instance was booted, including suspensions, read through the C library of Linux. */
 final class BootClock {
 
     private static final Logger LOG = LoggerFactory.getLogger(BootClock.class);
@@ -23,7 +23,7 @@
 
     private final MethodHandle clockGettime;
 
-    /** A {@code timespec} of each thread: seconds and nanoseconds. */
+    /** The {@code timespec} of each thread: seconds and nanoseconds. */
     private final ThreadLocal<MemorySegment> times =
             ThreadLocal.withInitial(() -> Arena.ofAuto().allocate(2 * ValueLayout.JAVA_LONG.byteSize()));
 
@@ -31,7 +31,7 @@
         this.clockGettime = clockGettime;
     }
 
-    /** The clock in nanoseconds; empty if it cannot be read. */
+    /** Returns the clock in nanoseconds; empty if it cannot be read. */
     static Optional<LongSupplier> nanos() {
         try {
             Linker linker = Linker.nativeLinker();
@@ -61,7 +61,7 @@
         try {
             return (int) clockGettime.invokeExact(BOOT_TIME, time);
         } catch (Throwable e) {
-            // The signature says that anything may be thrown; a function of the C library throws nothing.
+            // MethodHandle declares Throwable; a function of the C library throws nothing.
             throw new IllegalStateException("clock_gettime", e);
         }
     }
--- a/src/test/java/org/micabarrow/steps/StepsTest.java
+++ b/src/test/java/org/micabarrow/steps/StepsTest.java
@@ -9,16 +9,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Work that goes on whatever happens. */
+/** Tests that repeated tasks continue after unexpected exceptions. */
 class StepsTest {
 
-    /** Decides nothing but a hang. */
+    /** Only limits the time that a hanging test takes. */
     private static final Duration LONGEST = Duration.ofSeconds(10);
 
-    /** More steps than one, each with a fault. */
+    /** More than one run, each of which fails. */
     private static final int STEPS = 3;
 
-    /** What a fault of the program may end in. */
+    /** How a run fails. */
     private enum Ending {
         EXCEPTION,
         ERROR;
--- a/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
+++ b/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
@@ -9,14 +9,15 @@
 import org.micabarrow.platform.StoreRecords;
 
 /**
- * An endpoint whose entry goes while the store turns this process away, and serves all others.
+ * Tests the removal of endpoints whose entries vanish while the store is unreachable for this process but not for
+ * others.
  *
- * <p>Seen on a hunted day: three requests reached an endpoint up to 2.8 s after its entry had gone; it had not said that it leaves. The
- * store had refused one entry's connections for eight seconds; half a second after the endpoint's entry had gone the entry read the store
- * again, doubted that the endpoint was gone, as after an outage of the store, and went on sending to it for the 2.3 s of the doubt. Cause:
- * whether the store was away for all or for this process alone is not told apart. Evidence: {@code endpoint_doubted} in the entry's lines
- * between {@code store_regained} and the late sendings, in a batch in which two other endpoints had written just before: the store had
- * taken what endpoints write.
+ * <p>Guards against requests being sent to an endpoint that is gone: three requests reached one up to 2.8 s after its
+ * entry had vanished without it having reported that it was draining. The store had refused connections of one entry
+ * for eight seconds. When the entry read the store again, half a second after the removal, it treated the removal as
+ * pending, as after an outage for all, and continued to send to the endpoint for the 2.3 s for which a removal stays
+ * pending. The cause was that an outage for all was not distinguished from one for this process alone, although two
+ * other endpoints had written their entries just before, in the same batch.
  */
 class DropWhileAwayTest {
 
@@ -55,7 +56,9 @@
         assertTrue(known("b"));
     }
 
-    /** What was written between this process's last read and the outage comes in the same batch as the drops after it. */
+    /**
+     * Writes made between this process's last read and the outage arrive in the same batch as the removals after it.
+     */
     @Test
     void shouldDoubtDropsOfAllWhenSomeWroteBeforeTheStoreWasAway() {
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
--- a/src/test/java/org/micabarrow/views/FakeKeyedStore.java
+++ b/src/test/java/org/micabarrow/views/FakeKeyedStore.java
@@ -9,7 +9,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 
-/** A store of keyed topics, whose answers may fail. */
+/** A store of keyed topics that can simulate failures. */
 final class FakeKeyedStore implements TopicReader, NamedVersions.VersionWriter {
 
     final Map<Topic, List<StoredRecord>> topics = new LinkedHashMap<>();
--- a/src/test/java/org/micabarrow/views/LastChangesTest.java
+++ b/src/test/java/org/micabarrow/views/LastChangesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.micabarrow.platform.StoreRecords;
 
-/** Which records change what is believed: processes are told of those only. */
+/** Tests which records change the view: other processes are notified only of those. */
 class LastChangesTest {
 
     private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
@@ -27,7 +27,7 @@
                         + "\"sequence\":" + writes + "}");
     }
 
-    /** Every endpoint writes its entry again each second or so. */
+    /** Every endpoint rewrites its entry about once a second. */
     @Test
     void shouldCountNoChangeWhenEntrySaysTheSameAgain() {
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0, 1)), 1);
@@ -53,7 +53,7 @@
                         + "],\"services\":[{\"name\":\"s\",\"engine\":{\"slots\":" + slots + "}}]}");
     }
 
-    /** Agents act on services and weight versions; routes, keys and limits are for entries. */
+    /** Agents use services and weight versions; routes, keys and limits are used by entries only. */
     @Test
     void shouldTellAgentsOfManifestOnlyWhenItChangesServices() {
         String route = "{\"host\":\"h\",\"path_prefix\":\"/\",\"kind\":\"idempotent\",\"service\":\"s\"}";
@@ -67,7 +67,7 @@
         assertEquals(new LastChanges(4, 0, 4), keeper.changes());
     }
 
-    /** An agent that passed a manifest over still keeps its place for processes that start. */
+    /** An agent that skips a manifest still saves its position for processes that start. */
     @Test
     void shouldKeepPlaceOfManifestThatOnlyPeerHas() {
         keeper.apply(Topic.OPERATOR, List.of(manifest(0, 1, "", 4)), 1);
--- a/src/test/java/org/micabarrow/views/LeavingDelayTest.java
+++ b/src/test/java/org/micabarrow/views/LeavingDelayTest.java
@@ -17,10 +17,13 @@
 import org.micabarrow.views.TopicReader.Batch;
 import org.micabarrow.views.TopicReader.Read;
 
-/** How long an entry takes to learn from the store, or from peers in its place, that an endpoint is gone; by a clock that is moved. */
+/**
+ * Tests, with a simulated clock, how long an entry takes to learn that an endpoint is gone, from the store or from
+ * peers when the store fails.
+ */
 class LeavingDelayTest {
 
-    /** Within which an endpoint that leaves must get nothing new, as operators set it by default. */
+    /** The time after which a draining endpoint must get no new requests, with its default value. */
     private static final long BOUND_MILLIS = 2_000;
 
     private static final long ROUND_TRIP_MILLIS = 10;
@@ -30,23 +33,23 @@
 
     private static final long GONE_AT_MILLIS = 25 * WRITTEN_EVERY_MILLIS;
 
-    /** Between two moments at which a trouble is tried to begin: less than any time limit by far. */
+    /** The step between the tested start times of a failure, which is much shorter than any timeout. */
     private static final long STEP_MILLIS = 70;
 
-    /** What keeps an entry from hearing the store. */
+    /** What keeps an entry from reading the store. */
     private enum Trouble {
         NONE,
-        /** The connections that are open fall silent; new ones work. */
+        /** Open connections stop responding; new connections work. */
         SILENT_CONNECTION,
-        /** The store refuses this process at once, and serves the others. */
+        /** The store refuses requests of this process at once, and serves other processes. */
         REFUSED,
-        /** The store is silent towards this process, and serves the others. */
+        /** The store does not respond to this process, and serves other processes. */
         SILENT_STORE,
-        /** Each answer takes half a second. */
+        /** Each response takes half a second. */
         SLOW
     }
 
-    /** An entry with a store and peers that take time on one clock. */
+    /** An entry with a store and peers whose responses take time on a shared clock. */
     private static final class Entry implements TopicReader {
 
         /** The offset of the first record after the list of endpoints. */
@@ -76,7 +79,7 @@
                     LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
         }
 
-        /** How long after the endpoint's entry went the entry believes it. */
+        /** The time between the removal of the endpoint's entry and its removal from the view. */
         private long delayMillis() {
             long rest = follower.once();
             while (keeper.view().endpoints().containsKey("a")) {
@@ -87,7 +90,7 @@
             return (known ? knownAtMillis : nowMillis) - GONE_AT_MILLIS;
         }
 
-        /** Moves the clock; what the entry knows before it does so it knew at the moment before. */
+        /** Advances the clock. Anything in the view at this point was known before the clock advances. */
         private void pass(long millis) {
             if (!known
                     && nowMillis >= GONE_AT_MILLIS
@@ -112,7 +115,10 @@
             return nowMillis >= troubleAtMillis;
         }
 
-        /** The records from an offset on that the store has at a moment: another endpoint's, and in one of their places the drop. */
+        /**
+         * The records that the store has at a given time, from an offset on: entries of another endpoint, and one
+         * removal.
+         */
         private static Batch from(long offset, long atMillis) {
             List<StoredRecord> records = new ArrayList<>();
             for (long next = offset; writtenMillis(next) <= atMillis; next++) {
@@ -163,7 +169,7 @@
             return Result.success(new Read.Records(from(from, nowMillis)));
         }
 
-        /** When the store answers a read that is sent now: with the next record, or when it has held it for long enough. */
+        /** When the store responds to a read that is sent now: with the next record, or at the end of the hold. */
         private long answeredMillis(long from, Duration wait) {
             long held = Math.clamp(writtenMillis(from), nowMillis, nowMillis + wait.toMillis());
             return held + ROUND_TRIP_MILLIS;
@@ -216,7 +222,10 @@
         assertWithinBound(Trouble.SLOW);
     }
 
-    /** A store that was away for all: the entries of two endpoints of three lapsed, and one of them writes again. */
+    /**
+     * A store that was unreachable for all endpoints: the entries of two of three endpoints expired, and one of the two
+     * is written again.
+     */
     private static final class LapsedEntries implements TopicReader {
 
         private long nowMillis = GONE_AT_MILLIS;
--- a/src/test/java/org/micabarrow/views/NamedVersionsTest.java
+++ b/src/test/java/org/micabarrow/views/NamedVersionsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.micabarrow.platform.StoreRecords;
 
-/** Which weight versions were named, through writes that come late, lost answers and processes that start again. */
+/** Tests how named weight versions are saved and restored with late writes, lost responses and restarting processes. */
 class NamedVersionsTest {
 
     private final FakeKeyedStore store = new FakeKeyedStore();
@@ -30,7 +30,7 @@
         store.append(Topic.OPERATOR, "version/m", named("m", version));
     }
 
-    /** A process that has read what operators wrote. */
+    /** A process that has read the operator records. */
     private final class Node {
 
         private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), steady::get, unix::get);
@@ -46,14 +46,14 @@
             follower.once();
         }
 
-        /** What is kept is read again for a while after the start. */
+        /** The saved versions are read several times after startup. */
         private void lookUntilReadNoMore() {
             for (int i = 0; i < 40; i++) {
                 versions.look();
             }
         }
 
-        /** Reads the record of a version that is named now. */
+        /** Reads the record of a version that was just named. */
         private void learns(long version) {
             operatorNames(version);
             StoredRecord record = store.topics.get(Topic.OPERATOR).getLast();
@@ -194,7 +194,7 @@
         assertTrue(fresh.keeper.view().newestTarget("m").orElseThrow().seenNamed());
     }
 
-    // -- when a version was named
+    // -- the time at which a version was named
 
     private void pass(long millis) {
         steady.addAndGet(millis);
@@ -205,7 +205,7 @@
         return node.keeper.view().leastVersion("m", 8_000, steady.get());
     }
 
-    /** A process that runs sees version 2 being named and keeps it. */
+    /** A running process observes that version 2 is named, and saves it. */
     private void nameVersionTwo() {
         Node running = new Node();
         running.keeper.apply(
@@ -247,9 +247,9 @@
                 0, least(new Node()), "a process that started late would have made the version look newer or older");
     }
 
-    // -- what the kept versions must not make believe
+    // -- effects that saved versions must not have
 
-    /** A version is kept half a second after it was named at the soonest, and a process may start before. */
+    /** A version is saved half a second after it was named at the earliest, and a process may start before that. */
     @Test
     void shouldLearnNewestVersionWhenItIsKeptAfterStart() {
         operatorNames(3);
@@ -261,7 +261,7 @@
         assertEquals(3, fresh.newest());
     }
 
-    /** Nobody knows for how long it had been named, so that no older version may answer for another bound. */
+    /** The time of naming is unknown, so older versions must not be allowed for another bound. */
     @Test
     void shouldTakeVersionRecalledLaterForFoundAtStart() {
         operatorNames(3);
@@ -274,7 +274,7 @@
         assertFalse(fresh.keeper.view().newestTarget("m").orElseThrow().seenNamed());
     }
 
-    /** Whoever asks an agent for chunks names a version; that word must not outlast every process. */
+    /** A request for chunks from an agent states a version, which must not be saved for all later processes. */
     @Test
     void shouldNotKeepVersionThatOnlyPeerTold() {
         operatorNames(2);
@@ -284,7 +284,7 @@
         assertEquals(2, new Node().newest());
     }
 
-    /** A kept version that is older than the operator's newest was named nobody knows when. */
+    /** The time at which a saved version was named is unknown if it is older than the newest operator record. */
     @Test
     void shouldNotTakeKeptVersionForNamedNowWhenOperatorNamesNewerOne() {
         operatorNames(3);
@@ -298,7 +298,7 @@
                                 .toList());
     }
 
-    /** Manifests are written by the same operator through the same store as weight versions. */
+    /** The same operator writes manifests and weight versions through the same store. */
     @Test
     void shouldKnowNewestManifestWhenOlderOneIsWrittenAfterIt() {
         store.append(Topic.OPERATOR, "config", "{\"version\":2,\"routes\":[],\"services\":[]}");
@@ -308,7 +308,7 @@
         assertEquals(2, new Node().keeper.view().manifest().orElseThrow().version());
     }
 
-    // -- manifests that an older one hides
+    // -- manifests replaced by an older one
 
     private void operatorSets(long version) {
         store.append(Topic.OPERATOR, "config", "{\"version\":" + version + ",\"routes\":[],\"services\":[]}");
@@ -318,7 +318,7 @@
         return keeper.view().manifest().orElseThrow().version();
     }
 
-    /** The store drops its history after a while; the processes that ran know the record all the same. */
+    /** The store deletes its history after a while; processes that were running still have the record. */
     @Test
     void shouldKnowNewestManifestFromPeerWhenHistoryIsGone() {
         operatorSets(2);
@@ -340,7 +340,7 @@
         assertEquals(2, manifest(fresh));
     }
 
-    /** The kept versions may not be readable at the start. */
+    /** The saved versions may be unreadable at startup. */
     @Test
     void shouldRegainNewestManifestWhenItsVersionIsRecalledLater() {
         operatorSets(2);
@@ -354,7 +354,7 @@
         assertEquals(2, manifest(fresh.keeper));
     }
 
-    /** Requests are answered on another thread, by whatever view there is at the moment. */
+    /** Requests are handled on another thread, with whichever view is current. */
     @Test
     void shouldNotGoByOlderManifestForAnInstant() throws Exception {
         operatorSets(2);
@@ -377,7 +377,7 @@
         }
     }
 
-    /** All processes may have ended, and the history be gone: then the older manifest is all that is left. */
+    /** If all processes have ended and the history is gone, only the older manifest remains. */
     @Test
     void shouldGoOnWithOlderManifestWhenNobodyHasNewest() {
         operatorSets(2);
@@ -414,7 +414,7 @@
         assertEquals(0, store.writes, "every process would write at each change of the manifest");
     }
 
-    // -- what still must stop when a found version replaces another
+    // -- deadlines of superseded targets
 
     @Test
     void shouldStillStopVersionsBeforeReplacedOneInTime() {
--- a/src/test/java/org/micabarrow/views/NewsReaderTest.java
+++ b/src/test/java/org/micabarrow/views/NewsReaderTest.java
@@ -20,8 +20,9 @@
 import org.micabarrow.views.TopicReader.Read;
 
 /**
- * A fleet of 18 entries and 120 agents made 200 calls of the store a second, most of them agents' reads that found nothing. What
- * agents are told must neither cost them news nor keep them from the store when nobody tells.
+ * Tests when topics are read from peers and when from the store. Before agents received updates, 18 entries and 120
+ * agents sent 200 requests a second to the store, most of them reads by agents that found nothing. Relying on updates
+ * must neither make agents miss records nor keep them from reading the store when no updates arrive.
  */
 @Timeout(30)
 class NewsReaderTest {
@@ -109,7 +110,7 @@
         assertEquals(List.of(PEER, "store"), asked);
     }
 
-    /** It has not read all that came before, and says that the asker is to read on from where it is. */
+    /** The peer has not read all earlier records and returns the requested offset as the offset to continue from. */
     @Test
     void shouldReadStoreWhenPeerKnowsOnlyPart() {
         told = Result.success(new Batch(List.of(), 7));
@@ -128,7 +129,10 @@
         assertEquals(List.of(PEER, "store"), asked);
     }
 
-    /** The last a peer told counts, also if it is less: a peer that started again knows less at first. */
+    /**
+     * The last update of a peer is the one that counts, even if its offsets are lower: a restarted peer knows less at
+     * first.
+     */
     @Test
     void shouldGoByWhatPeerToldLast() {
         reader.told(PEER, new LastChanges(8, 0), now.get());
@@ -177,7 +181,10 @@
 
     // -- agents
 
-    /** A change of routes or keys is no news to an agent; each was a copy of the manifest for each of 30 agents of a region. */
+    /**
+     * Agents do not use changes of routes or keys; each such manifest was otherwise copied to each of 30 agents of a
+     * region.
+     */
     @Test
     void shouldNotReadManifestWhenItChangesNothingThatAgentsActOn() {
         reader.told(PEER, new LastChanges(9, 0, 7), now.get());
@@ -185,7 +192,7 @@
         assertEquals(List.of(), asked);
     }
 
-    /** The newest record of a model alone may name an older version, which was written late. */
+    /** The latest record of a model alone may name an older version that was written late. */
     @Test
     void shouldReadAllThatWasPassedOverWhenNobodyTells() {
         reader.told(PEER, new LastChanges(9, 0, 7), now.get());
@@ -221,7 +228,7 @@
         assertFalse(entry.direct());
     }
 
-    /** Two entries that went by each other would both learn nothing. */
+    /** Two entries that relied on each other would both learn nothing. */
     @Test
     void shouldReadStoreWhenReaderOfRegionComesAfter() {
         entry.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
@@ -230,7 +237,10 @@
         assertTrue(entry.direct());
     }
 
-    /** The reader still tells, but has not heard of the store for long: its connection may have fallen silent. */
+    /**
+     * The reader still sends updates but has not read the store for a long time: its connection may have stopped
+     * responding.
+     */
     @Test
     void shouldReadStoreWhenWhatReaderKnowsIsOld() {
         entry.told(PEER, new LastChanges(7, 0), now.get() - TRUST_MILLIS);
@@ -247,7 +257,7 @@
         assertEquals(List.of("store"), asked);
     }
 
-    /** An entry that the store turns away hears of changes from any entry that it does not. */
+    /** An entry that the store refuses learns of changes from any entry that the store accepts. */
     @Test
     void shouldGoByAnyReaderWhenStoreDoesNotAnswer() {
         storeDown = true;
@@ -259,8 +269,9 @@
     }
 
     /**
-     * What the reader of the region knew last was a whole trust ago when nobody's word counts any more. Held for a whole hold then,
-     * the read ends when that is older than a manifest may be, though the store answers all the time.
+     * When the last update expires, the knowledge of the region's reader is as old as the maximum age. If the next read
+     * were held for a whole hold, that knowledge would be older than a manifest may be when the read ends, although the
+     * store responds all the time.
      */
     @Test
     void shouldKnowWithinBoundWhenReaderOfRegionFellSilentInQuietTimes() {
@@ -290,8 +301,8 @@
     }
 
     /**
-     * A reader whose link is full gives its answer piece by piece, for as long as an answer may take: ten seconds. It gets no longer
-     * than its word counts, and then the store is read.
+     * A reader with a saturated link sends its response slowly, for up to the ten seconds that a response may take. The
+     * response is limited to the time for which the reader's update is valid; then the store is read.
      */
     @Test
     void shouldReadStoreWhenReaderOfRegionDoesNotEndItsAnswerWhileItsWordCounts() {
@@ -307,7 +318,10 @@
         assertEquals(List.of("store"), asked);
     }
 
-    /** Entries whose own reads trickle are in touch and tell on, of what was known long ago, without a weight version named since. */
+    /**
+     * Entries whose own reads are slow remain connected and continue to send updates that reflect an old state, without
+     * a weight version named since.
+     */
     @Test
     void shouldReadStoreByAgentWhenWhatEntriesKnowIsOld() {
         reader.told(PEER, new LastChanges(7, 0), now.get() - 10_000);
@@ -316,8 +330,9 @@
     }
 
     /**
-     * Manifests 1 (other services), 2 and 3 stand at 0 to 2, and 1 was written once more, late, at 3. Entries tell that services
-     * changed at 1; an agent that starts knows from what is kept that 3 stands at 2, and that is no news by what they tell.
+     * Manifests 1 (with other services), 2 and 3 have offsets 0 to 2, and manifest 1 was written again, late, at offset
+     * 3. Updates from entries say that services last changed at offset 1. An agent that starts reads from the saved
+     * positions that manifest 3 is at offset 2, which is not a change according to these updates.
      */
     @Test
     void shouldFindHiddenManifestByAgentWhenEntriesTellThatServicesChangedBeforeIt() {
--- a/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
@@ -12,7 +12,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 
-/** Up to which moment a process knows all that operators wrote. */
+/** Tests up to which time a process knows all operator records. */
 class OperatorKnowledgeTest {
 
     private static final Duration HOLD = Duration.ofMillis(10);
@@ -25,13 +25,13 @@
         return new StoredRecord("config", offset, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** What a process keeps of where a manifest stands. */
+    /** A saved manifest position. */
     private static StoredRecord kept(long version, long offset) {
         String json = "{\"version\":" + version + ",\"offset\":" + offset + "}";
         return new StoredRecord(VersionKeys.ofManifest(version), 0, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    // -- what is confirmed
+    // -- confirmed times
 
     @Test
     void shouldKnowOfNoMomentWhenNothingWasConfirmed() {
@@ -49,7 +49,10 @@
         assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis());
     }
 
-    /** An older manifest that was written late hides the newest: all records are known, and what they say is not. */
+    /**
+     * If an older manifest that was written late replaced the newest one, all records are known, but the newest
+     * manifest is not.
+     */
     @Test
     void shouldKnowOfNoMomentWhileManifestIsLacking() {
         keeper.apply(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
@@ -82,7 +85,7 @@
 
     // -- following the store
 
-    /** A store whose answers are laid out beforehand; when there are none left, it does not answer. */
+    /** A store with predefined responses; it does not respond when none are left. */
     private static final class LaidOut implements TopicReader {
 
         private final List<Result<Read>> reads = new ArrayList<>();
@@ -136,7 +139,10 @@
         assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the store did not answer");
     }
 
-    /** The store answers a held read with the first record that comes: what came after is known only when it is read again. */
+    /**
+     * The store responds to a held read with the first record that arrives; later records are known only after the next
+     * read.
+     */
     @Test
     void shouldReadOnceMoreAtOnceWithoutWaitWhenRecordsCame() {
         StoreFollower follower = follower(Topic.OPERATOR);
@@ -151,7 +157,7 @@
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD), store.waits);
     }
 
-    /** While records come without a pause, every second read is held: that one comes at once too. */
+    /** While records arrive continuously, every second read is held; it also returns at once. */
     @Test
     void shouldHoldReadAgainWhenRecordsCameInReadThatWasNotHeld() {
         StoreFollower follower = follower(Topic.OPERATOR);
@@ -166,7 +172,7 @@
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD, Duration.ZERO), store.waits);
     }
 
-    /** Endpoints write their entries again and again; nothing is refused by how old those are. */
+    /** Endpoints write their entries repeatedly; no request is refused because of their age. */
     @Test
     void shouldNeitherReadOnceMoreNorConfirmWhenEndpointsWrote() {
         StoreFollower follower = follower(Topic.ENDPOINTS);
@@ -179,7 +185,10 @@
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
     }
 
-    /** The newest manifest is read from the history and added to the newest records, which are as of the moment they were. */
+    /**
+     * The newest manifest is read from the history and added to the latest records, which keep the time at which they
+     * were read.
+     */
     @Test
     void shouldKeepMomentWhenHiddenManifestIsAdded() {
         keeper.apply(Topic.NAMED, List.of(kept(2, 5)), 1);
@@ -189,7 +198,7 @@
         assertEquals(OptionalLong.of(100), keeper.operatorAsOfMillis());
     }
 
-    /** A manifest that cannot be used is in force for operators, and what it allows is not known here. */
+    /** An invalid manifest is active for operators, but what it allows is unknown here. */
     @Test
     void shouldKnowOfNoMomentWhileNewestManifestCannotBeUsed() {
         keeper.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
@@ -201,8 +210,9 @@
     }
 
     /**
-     * A process started after an older manifest was written late, was told where the newest stands before that was kept, and has
-     * not got it: what it knows of is no manifest that it has.
+     * A process that started after an older manifest was written late was told the position of the newest one before
+     * that position was saved, and has not received the manifest: the manifest is missing although its position is
+     * known.
      */
     @Test
     void shouldLackManifestWhenPeerToldItsPlaceOnly() {
@@ -214,7 +224,7 @@
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
     }
 
-    /** A manifest may be hidden behind an older one that was written late, which only what is kept tells. */
+    /** A manifest may have been replaced by an older one that was written late, which only the saved items reveal. */
     @Test
     void shouldKnowOfNoMomentWhileWhatIsKeptCouldNotBeRead() {
         TopicReader withoutKept = new TopicReader() {
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -18,7 +18,9 @@
 import org.micabarrow.views.TopicReader.Batch;
 import org.micabarrow.views.TopicReader.Read;
 
-/** When the store is read, and when peers are asked, through outages, expired history and lost answers. */
+/**
+ * Tests when the store is read and when peers are queried during outages, with expired history and with lost responses.
+ */
 class StoreFollowerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
@@ -44,7 +46,10 @@
         private boolean brokenOnce;
         private boolean peersTell;
 
-        /** Whether to hold a read that finds nothing, as a store does; else a follower on a thread of its own never rests. */
+        /**
+         * Whether to hold a read that finds no records, as a store does. Without a hold, a follower on its own thread
+         * never pauses.
+         */
         private boolean holding;
 
         private Fault.Reason reason = Fault.Reason.TIMEOUT;
@@ -158,7 +163,7 @@
         assertEquals(Collections.nCopies(4, Topic.OPERATOR), asked, "a peer is asked in each turn");
     }
 
-    /** An entry that comes back from being cut off hears from agents before its next read of the store is due. */
+    /** An entry that was disconnected receives updates from agents before its next read of the store is due. */
     @Test
     void shouldReadInNextTurnWhenPeersTellAgain() {
         follower.once();
--- a/src/test/java/org/micabarrow/views/TopicCopyTest.java
+++ b/src/test/java/org/micabarrow/views/TopicCopyTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Copies of topics never go back. */
+/** Tests that a copy of a topic never goes back to older records. */
 class TopicCopyTest {
 
     private static StoredRecord record(String key, long offset, String value) {
@@ -59,7 +59,10 @@
         assertTrue(copy.since(3).getFirst().dropped());
     }
 
-    /** Whatever the order and the repeats, the copy ends with the newest record of each key: a map is the oracle. */
+    /**
+     * Regardless of the order and of duplicates, the copy ends with the latest record of each key; a map serves as the
+     * oracle.
+     */
     @Property(seed = "7", tries = 300)
     void shouldEndWithNewestWhateverTheOrder(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 5) Integer> keys, @ForAll int shuffle) {
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.views.TopicReader.Batch;
 import org.slf4j.LoggerFactory;
 
-/** What is believed of the store, through outages, expired history and peers. */
+/** Tests the view through store outages, expired history and updates from peers. */
 class ViewKeeperTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
@@ -92,9 +92,10 @@
     }
 
     /**
-     * Requests began on version 2 of a model 20 s after version 3 was acknowledged, when everything had started again. The late write
-     * of version 2 stood after that of version 3 before most processes had asked a peer for it, and a peer tells the newest record of
-     * a key: none of those that keep versions ever learned of version 3.
+     * Requests started on version 2 of a model 20 s after version 3 had been acknowledged, after all processes had
+     * restarted. The late write of version 2 had replaced version 3 before most processes had requested it from a peer,
+     * and a peer only returned the latest record of a key, so that none of the processes that save versions ever
+     * learned of version 3.
      */
     @Test
     void shouldLearnNewestVersionFromPeerWhenOlderOneWasWrittenLate() {
@@ -171,7 +172,7 @@
         assertFalse(known("a"));
     }
 
-    // -- endpoints that start again under their id
+    // -- endpoints that restart with the same id
 
     private static StoredRecord started(String id, long offset, long startedMillis, String state, long version) {
         return record(
@@ -230,11 +231,11 @@
         assertTrue(known("a"));
     }
 
-    // -- what peers tell
+    // -- records from peers
 
     /**
-     * A peer that started after an endpoint went knows nothing of its going. Whoever took the peer's word for where to read on
-     * would never learn of it either.
+     * A peer that started after an endpoint was removed does not know of the removal. If its end were used as the
+     * offset to continue from, the removal would never be read.
      */
     @Test
     void shouldLearnOfDroppedEntryWhenPeerStartedAfterIt() {
@@ -270,8 +271,8 @@
     }
 
     /**
-     * An endpoint wrote that it is ready, got no answer, wrote that it leaves, and then the first write was done: entries went on
-     * sending to it.
+     * An endpoint wrote that it was ready and got no response, then wrote that it was draining, and then the first
+     * write took effect: entries continued to send requests to it.
      */
     @Test
     void shouldBelieveThatEndpointLeavesWhenEarlierEntryIsWrittenLate() {
@@ -301,7 +302,7 @@
         assertTrue(entry("a").leaving());
     }
 
-    // -- entries of other writers
+    // -- invalid entries
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[]", "null", "{\"service\":\"s\",\"state\":\"ready\"}", "\u0000"})
