--- a/src/main/java/org/micabarrow/clock/package-info.java
+++ b/src/main/java/org/micabarrow/clock/package-info.java
@@ -1,2 +1,2 @@
-/** The clock by which processes judge how old what they know is. */
+/** The monotonic clock that determines the age of information. */
 package org.micabarrow.clock;
--- a/src/main/java/org/micabarrow/steps/package-info.java
+++ b/src/main/java/org/micabarrow/steps/package-info.java
@@ -1,2 +1,2 @@
-/** Work that goes on for as long as the process runs. */
+/** Background tasks that run until the process ends. */
 package org.micabarrow.steps;
--- a/src/main/java/org/micabarrow/views/EndpointEntries.java
+++ b/src/main/java/org/micabarrow/views/EndpointEntries.java
@@ -95,7 +95,7 @@
         return switch (decoder.endpoint(record)) {
             case Result.Failure<EndpointEntry>(Fault fault) -> refused(record, fault.message(), endpoints);
             case Result.Success<EndpointEntry>(EndpointEntry entry)
-            when newestEntries.lacking(entry) -> refused(record, "it does not tell the endpoint's start", endpoints);
+            when newestEntries.lacking(entry) -> refused(record, "the start time of the endpoint is missing", endpoints);
             case Result.Success<EndpointEntry>(EndpointEntry entry)
             when newestEntries.over(entry, nowMillis) ->
                 Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + started(entry)
--- a/src/main/java/org/micabarrow/views/package-info.java
+++ b/src/main/java/org/micabarrow/views/package-info.java
@@ -1,2 +1,5 @@
-/** What a process believes of the platform's store: copies of its topics that never go back, and who keeps them fresh. */
+/**
+ * An immutable view of the store and the components that keep it up to date: copies of the topics of the store, which
+ * never go back to older records, and their readers.
+ */
 package org.micabarrow.views;
--- a/src/main/java22/org/micabarrow/clock/BootClock.java
+++ b/src/main/java22/org/micabarrow/clock/BootClock.java
@@ -17,14 +17,14 @@
     private static final Logger LOG = LoggerFactory.getLogger(BootClock.class);
 
     /** {@code CLOCK_BOOTTIME} of Linux. */
-    private static final int BOOT_TIME = 7;
+    private static final int CLOCK_BOOTTIME = 7;
 
-    private static final long NANOS_A_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final MethodHandle clockGettime;
 
     /** The {@code timespec} of each thread: seconds and nanoseconds. */
-    private final ThreadLocal<MemorySegment> times =
+    private final ThreadLocal<MemorySegment> timespecs =
             ThreadLocal.withInitial(() -> Arena.ofAuto().allocate(2 * ValueLayout.JAVA_LONG.byteSize()));
 
     private BootClock(MethodHandle clockGettime) {
@@ -49,17 +49,17 @@
     }
 
     private long read() {
-        MemorySegment time = times.get();
-        if (call(time) != 0) {
-            throw new IllegalStateException("the system has no clock that counts suspensions");
+        MemorySegment timespec = timespecs.get();
+        if (call(timespec) != 0) {
+            throw new IllegalStateException("clock_gettime(CLOCK_BOOTTIME) failed");
         }
-        return time.get(ValueLayout.JAVA_LONG, 0) * NANOS_A_SECOND
-                + time.get(ValueLayout.JAVA_LONG, ValueLayout.JAVA_LONG.byteSize());
+        return timespec.get(ValueLayout.JAVA_LONG, 0) * NANOS_PER_SECOND
+                + timespec.get(ValueLayout.JAVA_LONG, ValueLayout.JAVA_LONG.byteSize());
     }
 
-    private int call(MemorySegment time) {
+    private int call(MemorySegment timespec) {
         try {
-            return (int) clockGettime.invokeExact(BOOT_TIME, time);
+            return (int) clockGettime.invokeExact(CLOCK_BOOTTIME, timespec);
         } catch (Throwable e) {
             // MethodHandle declares Throwable; a function of the C library throws nothing.
             throw new IllegalStateException("clock_gettime", e);
--- a/src/test/java/org/micabarrow/steps/StepsTest.java
+++ b/src/test/java/org/micabarrow/steps/StepsTest.java
@@ -25,8 +25,8 @@
 
         private void end() {
             switch (this) {
-                case EXCEPTION -> throw new IllegalStateException("a fault of the program");
-                case ERROR -> throw new StackOverflowError("a fault of the program");
+                case EXCEPTION -> throw new IllegalStateException("simulated failure");
+                case ERROR -> throw new StackOverflowError("simulated failure");
             }
         }
     }
@@ -39,7 +39,7 @@
             taken.countDown();
             ending.end();
         });
-        assertTrue(taken.await(LONGEST.toSeconds(), TimeUnit.SECONDS), "one fault costs one step");
+        assertTrue(taken.await(LONGEST.toSeconds(), TimeUnit.SECONDS), "a failure ends only one run");
         work.interrupt();
         assertTrue(work.join(LONGEST));
     }
--- a/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
+++ b/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
@@ -43,7 +43,7 @@
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
         keeper.regained(Topic.ENDPOINTS);
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("b", 2), record("a", 3, "")), 4);
-        assertFalse(known("a"), "another endpoint wrote before it went");
+        assertFalse(known("a"), "another endpoint wrote before the removal");
         assertTrue(known("b"));
     }
 
@@ -52,7 +52,7 @@
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
         keeper.regained(Topic.ENDPOINTS);
         keeper.apply(Topic.ENDPOINTS, List.of(record("b", 2, ""), endpoint("b", 3), record("a", 4, "")), 5);
-        assertTrue(known("a"), "the store was away for all");
+        assertTrue(known("a"), "the store was unreachable for all endpoints");
         assertTrue(known("b"));
     }
 
@@ -74,6 +74,6 @@
         keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
         keeper.regained(Topic.ENDPOINTS);
         keeper.apply(Topic.ENDPOINTS, List.of(record("a", 3, "")), 4);
-        assertFalse(known("a"), "the store took what the others write");
+        assertFalse(known("a"), "the store accepted the writes of the others");
     }
 }
--- a/src/test/java/org/micabarrow/views/LeavingDelayTest.java
+++ b/src/test/java/org/micabarrow/views/LeavingDelayTest.java
@@ -85,7 +85,7 @@
             while (keeper.view().endpoints().containsKey("a")) {
                 pass(rest);
                 rest = follower.once();
-                assertTrue(nowMillis < GONE_AT_MILLIS + 20_000, "it never learns of it");
+                assertTrue(nowMillis < GONE_AT_MILLIS + 20_000, "the entry never learns of the removal");
             }
             return (known ? knownAtMillis : nowMillis) - GONE_AT_MILLIS;
         }
@@ -197,7 +197,7 @@
     private static void assertWithinBound(Trouble trouble) {
         for (boolean firstPeerDead : new boolean[] {false, true}) {
             long worst = worstMillis(trouble, firstPeerDead);
-            assertTrue(worst <= BOUND_MILLIS, trouble + ", first peer dead " + firstPeerDead + ": " + worst + " ms");
+            assertTrue(worst <= BOUND_MILLIS, trouble + ", first peer down " + firstPeerDead + ": " + worst + " ms");
         }
     }
 
@@ -249,7 +249,7 @@
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
             return switch (++reads) {
-                case 1 -> Result.failure(Fault.of(Fault.Step.LOG, "store", Reason.OVERLOADED, "it is away"));
+                case 1 -> Result.failure(Fault.of(Fault.Step.LOG, "store", Reason.OVERLOADED, "unreachable"));
                 case 2 ->
                     Result.success(new Read.Records(new Batch(
                             List.of(Entry.record("a", 3, ""), Entry.record("b", 4, ""), Entry.endpoint("b", 5)), 6)));
@@ -277,7 +277,7 @@
         store.pass(follower.once());
         long regained = store.nowMillis;
         store.pass(follower.once());
-        assertTrue(keeper.view().endpoints().containsKey("a"), "it is doubted first");
+        assertTrue(keeper.view().endpoints().containsKey("a"), "the removal is pending at first");
         while (keeper.view().endpoints().containsKey("a")) {
             store.pass(follower.once());
         }
--- a/src/test/java/org/micabarrow/views/NamedVersionsTest.java
+++ b/src/test/java/org/micabarrow/views/NamedVersionsTest.java
@@ -85,7 +85,7 @@
                         .keeper.view().targets().get("m").stream()
                                 .map(View.Target::version)
                                 .toList(),
-                "an older one would seem good to answer until its bound is over");
+                "an older version would be allowed to serve until its bound has passed");
     }
 
     @Test
@@ -140,7 +140,7 @@
         operatorNames(2);
         store.down = true;
         Node fresh = new Node();
-        assertEquals(2, fresh.newest(), "a manifest must not wait for what only helps against late writes");
+        assertEquals(2, fresh.newest(), "a manifest must not be delayed by what only protects against late writes");
         store.down = false;
         fresh.versions.look();
         assertEquals(3, fresh.newest());
@@ -154,7 +154,7 @@
         assertEquals(
                 List.of(Topic.NAMED, Topic.OPERATOR, Topic.NAMED, Topic.OPERATOR),
                 store.readNewest,
-                "what was read on may have hidden a version");
+                "a record that was read since may have replaced a newer version");
     }
 
     @Test
@@ -224,7 +224,7 @@
         Node fresh = new Node();
         assertEquals(0, least(fresh));
         pass(2_700);
-        assertEquals(2, least(fresh), "8.1 s after the naming");
+        assertEquals(2, least(fresh), "8.1 s after the version was named");
     }
 
     @Test
@@ -244,7 +244,7 @@
         new Node().versions.look();
         pass(60_000);
         assertEquals(
-                0, least(new Node()), "a process that started late would have made the version look newer or older");
+                0, least(new Node()), "the time at which the version was named is unknown");
     }
 
     // -- effects that saved versions must not have
@@ -411,7 +411,7 @@
         operatorSets(2);
         Node node = new Node();
         node.lookUntilReadNoMore();
-        assertEquals(0, store.writes, "every process would write at each change of the manifest");
+        assertEquals(0, store.writes, "otherwise every process would write on each change of the manifest");
     }
 
     // -- deadlines of superseded targets
@@ -422,9 +422,9 @@
         fresh.replace(Topic.NAMED, List.of(record("version/m/3", 0, named("m", 3))), 1);
         pass(5_000);
         fresh.replace(Topic.OPERATOR, List.of(record("version/m", 0, named("m", 4))), 1);
-        assertEquals(4, fresh.view().newerNamed("m", 2).orElseThrow().version(), "version 3 is not to be fetched");
+        assertEquals(4, fresh.view().newerNamed("m", 2).orElseThrow().version(), "version 3 must not be fetched");
         pass(3_001);
-        assertEquals(3, fresh.view().leastVersion("m", 8_000, steady.get()), "8 s after version 3 was found");
+        assertEquals(3, fresh.view().leastVersion("m", 8_000, steady.get()), "8 s after version 3 was first read");
         pass(5_000);
         assertEquals(4, fresh.view().leastVersion("m", 8_000, steady.get()));
     }
--- a/src/test/java/org/micabarrow/views/NewsReaderTest.java
+++ b/src/test/java/org/micabarrow/views/NewsReaderTest.java
@@ -297,7 +297,7 @@
         now.addAndGet(TRUST_MILLIS);
         led.read(Topic.OPERATOR, 7, hold);
         long age = now.get() + waited.get() - asOf;
-        assertTrue(age <= boundMillis, "all was known " + age + " ms ago when the store answers");
+        assertTrue(age <= boundMillis, "the state was known " + age + " ms before the store responds");
     }
 
     /**
@@ -309,7 +309,7 @@
         List<Duration> allowed = new ArrayList<>();
         NewsReader.Peers slow = (peer, topic, from, within) -> {
             allowed.add(within);
-            return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the answer stopped"));
+            return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the response stopped"));
         };
         NewsReader led = new NewsReader(store, slow, new NewsReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
         led.told(PEER, new LastChanges(8, 0), now.get() - 1_000);
--- a/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
@@ -37,7 +37,7 @@
     void shouldKnowOfNoMomentWhenNothingWasConfirmed() {
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
         keeper.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis(), "records tell nothing of others");
+        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis(), "a record does not prove that there are no others");
     }
 
     @Test
@@ -72,7 +72,7 @@
         keeper.confirmOperator(90);
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
         keeper.apply(Topic.OPERATOR, List.of(manifest(3, 7)), 8);
-        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer one makes up for it");
+        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer manifest replaces the missing one");
     }
 
     @Test
@@ -134,9 +134,9 @@
         assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis());
         store.next(2, OptionalLong.empty(), manifest(2, 1));
         follower.once();
-        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "it broke off before the end");
+        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the read ended before the end of the topic");
         follower.once();
-        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the store did not answer");
+        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the store did not respond");
     }
 
     /**
@@ -206,7 +206,7 @@
         keeper.confirmOperator(90);
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
         keeper.apply(Topic.OPERATOR, List.of(manifest(3, 2)), 3);
-        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer one makes up for it");
+        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer manifest replaces the missing one");
     }
 
     /**
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -60,7 +60,7 @@
         public Result<Batch> newest(Topic topic) {
             if (brokenOnce) {
                 brokenOnce = false;
-                throw new IllegalStateException("a fault of the program");
+                throw new IllegalStateException("simulated failure");
             }
             return down ? failed() : Result.success(new Batch(List.of(manifest(4, 6)), 10));
         }
@@ -121,7 +121,7 @@
     @Test
     void shouldAskPeerWhileStoreIsDown() {
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next try");
+        assertTrue(follower.once() > 0, "it pauses before the next read");
         assertEquals(List.of(Topic.OPERATOR), asked);
         reader.down = false;
         follower.once();
@@ -134,7 +134,7 @@
         follower.once();
         reader.silentOnce = true;
         follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "the store may answer on a new connection");
+        assertEquals(List.of(10L, 10L), reader.readFrom, "the store may respond on a new connection");
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
         assertEquals(List.of(), asked);
     }
@@ -153,14 +153,14 @@
     void shouldReadOnceInThreeTurnsWhileStoreStaysAway() {
         follower.once();
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next try");
+        assertTrue(follower.once() > 0, "it pauses before the next read");
         assertEquals(List.of(10L, 10L), reader.readFrom);
         follower.once();
         follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three turns only a peer is asked");
+        assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three rounds only a peer is queried");
         follower.once();
-        assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "and once a turn in the third");
-        assertEquals(Collections.nCopies(4, Topic.OPERATOR), asked, "a peer is asked in each turn");
+        assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "in the third round the store is read once");
+        assertEquals(Collections.nCopies(4, Topic.OPERATOR), asked, "a peer is queried in each round");
     }
 
     /** An entry that was disconnected receives updates from agents before its next read of the store is due. */
@@ -194,6 +194,6 @@
         reader.expired = false;
         follower.once();
         follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "the third turn reads the newest again");
+        assertEquals(List.of(10L, 10L), reader.readFrom, "the third round reads the latest records again");
     }
 }
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -159,7 +159,7 @@
         endpoints(3, endpoint("a", 2));
         now.addAndGet(5_000);
         keeper.settleDoubts();
-        assertTrue(known("a"), "it came back");
+        assertTrue(known("a"), "its entry was written again");
     }
 
     @Test
@@ -219,14 +219,14 @@
             now.addAndGet(1_200);
             endpoints(offset + 1, started("a", offset, 5_000, "ready", 3));
         }
-        assertEquals(3, entry("a").models().get("m"), "a clock was set back, or one false entry told a start to come");
+        assertEquals(3, entry("a").models().get("m"), "a clock was set back, or a wrong entry had a start time in the future");
     }
 
     @Test
     void shouldNotUseEntryWithoutStartWhenEndpointToldItsStartBefore() {
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         endpoints(2, endpoint("a", 1));
-        assertFalse(known("a"), "another writer wrote it");
+        assertFalse(known("a"), "something else wrote the entry");
         endpoints(3, started("a", 2, 9_000, "ready", 1));
         assertTrue(known("a"));
     }
@@ -245,7 +245,7 @@
         Batch told = peer.since(Topic.ENDPOINTS, keeper.end(Topic.ENDPOINTS));
         keeper.apply(Topic.ENDPOINTS, told.records(), told.end());
         assertTrue(known("b"));
-        assertEquals(6, keeper.end(Topic.ENDPOINTS), "the record that drops it lies before the peer's first");
+        assertEquals(6, keeper.end(Topic.ENDPOINTS), "the tombstone precedes the first record of the peer");
     }
 
     @Test
@@ -282,7 +282,7 @@
         endpoints(3, written("a", 2, 5, "ready"));
         assertTrue(entry("a").leaving());
         endpoints(4, written("a", 3, 7, "ready"));
-        assertFalse(entry("a").leaving(), "what it wrote after that counts");
+        assertFalse(entry("a").leaving(), "a later entry takes effect");
     }
 
     @Test
@@ -311,7 +311,7 @@
         endpoints(4, record("a", 2, value), endpoint("c", 3));
         assertEquals(Set.of("b", "c"), keeper.view().endpoints().keySet());
         endpoints(5, endpoint("a", 4));
-        assertTrue(known("a"), "it wrote its entry again");
+        assertTrue(known("a"), "its entry was written again");
     }
 
     @Test
