--- a/src/main/java/org/micabarrow/views/EndpointEntries.java
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -19,18 +19,18 @@
  * Applies endpoint entries from the store to the list of endpoints, and handles entries that were written late, are
  * invalid, or expired during a store outage. Not thread-safe.
  */
-final class EndpointEntries {
+final class EndpointListUpdater {
 
-    private static final Logger LOG = LoggerFactory.getLogger(EndpointEntries.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
 
     private final RecordDecoder decoder;
-    private final DropDoubts doubts = new DropDoubts();
-    private final NewestEntries newestEntries = new NewestEntries();
+    private final PendingRemovals doubts = new PendingRemovals();
+    private final LateEntryFilter newestEntries = new LateEntryFilter();
 
     /** Keys with an invalid entry. An invalid entry is logged once per key, however often it is written. */
     private final Set<String> unusable = new HashSet<>();
 
-    EndpointEntries(RecordDecoder decoder) {
+    EndpointListUpdater(RecordDecoder decoder) {
         this.decoder = decoder;
     }
 
--- a/src/main/java/org/micabarrow/views/NewestEntries.java
+++ b/src/main/java/org/micabarrow/views/LateEntryFilter.java
@@ -11,7 +11,7 @@
  * entry in the store is then outdated. Without this check, an endpoint that had reported that it is draining would
  * appear active again, and one that had stopped would appear to be running. Not thread-safe.
  */
-final class NewestEntries {
+final class LateEntryFilter {
 
     /**
      * How long an entry takes precedence over older ones after it was read, in milliseconds: a write whose response was
--- a/src/main/java/org/micabarrow/views/Manifests.java
+++ b/src/main/java/org/micabarrow/views/ManifestTracker.java
@@ -13,9 +13,9 @@
  * manifest that is written late replaces the newest one in the topic, so that processes that start then do not see the
  * newest. Not thread-safe.
  */
-final class Manifests {
+final class ManifestTracker {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Manifests.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ManifestTracker.class);
 
     /** Stands for an unknown manifest version or offset. */
     private static final long NONE = -1;
--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/NewsReader.java
@@ -28,7 +28,7 @@
     private final Peers peers;
     private final Role role;
     private final LongSupplier steadyMillis;
-    private final ToldNews told;
+    private final PeerUpdates told;
 
     /** Whether the operator records known to this process come from the store itself. */
     private boolean direct;
@@ -98,7 +98,7 @@
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.role = Objects.requireNonNull(role, "role is null");
         this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        this.told = new ToldNews(role);
+        this.told = new PeerUpdates(role);
     }
 
     // -- updates from peers
@@ -225,7 +225,7 @@
     private synchronized <T> Result<T> fromStore(Topic topic, Result<T> answer) {
         if (topic == Topic.OPERATOR) {
             boolean answers = answer instanceof Result.Success<T>;
-            told.storeAnswers(answers);
+            told.setStoreResponds(answers);
             learnedFrom(answers);
         }
         return answer;
@@ -238,13 +238,13 @@
         return answer;
     }
 
-    private void learnedFrom(boolean store) {
-        if (direct != store) {
+    private void learnedFrom(boolean fromStore) {
+        if (direct != fromStore) {
             LOG.info(
                     "event=operator_news_from source={} storeAnswers={}",
-                    store ? "store" : "peers",
+                    fromStore ? "store" : "peers",
                     told.storeAnswers());
         }
-        direct = store;
+        direct = fromStore;
     }
 }
--- a/src/main/java/org/micabarrow/views/OperatorKnowledge.java
+++ b/src/main/java/org/micabarrow/views/OperatorFreshness.java
@@ -8,7 +8,7 @@
  * is certain only for the time before its last read of the end of the topic, or for the time stated by a peer in its
  * response. Thread-safe.
  */
-final class OperatorKnowledge {
+final class OperatorFreshness {
 
     /** Earlier than any time; a monotonic clock may start at any value. */
     private static final long NEVER = Long.MIN_VALUE;
--- a/src/main/java/org/micabarrow/views/OperatorLines.java
+++ b/src/main/java/org/micabarrow/views/OperatorLog.java
@@ -5,11 +5,11 @@
 import org.slf4j.LoggerFactory;
 
 /** Logs the effects of operator records, and why some records have no effect. */
-final class OperatorLines {
+final class OperatorLog {
 
-    private static final Logger LOG = LoggerFactory.getLogger(OperatorLines.class);
+    private static final Logger LOG = LoggerFactory.getLogger(OperatorLog.class);
 
-    private OperatorLines() {}
+    private OperatorLog() {}
 
     static void ofOthers(StoredRecord record) {
         LOG.debug("event=record_unused key={}", record.key());
--- a/src/main/java/org/micabarrow/views/OperatorBeliefs.java
+++ b/src/main/java/org/micabarrow/views/OperatorState.java
@@ -14,21 +14,21 @@
 import org.micabarrow.views.View.Learned;
 
 /** Applies operator records, and the records that processes saved about them, to the view. Not thread-safe. */
-final class OperatorBeliefs {
+final class OperatorState {
 
     private final RecordDecoder decoder;
     private final LongSupplier steadyMillis;
-    private final NamedTargets targets;
-    private final Manifests manifests = new Manifests();
+    private final WeightTargets targets;
+    private final ManifestTracker manifests = new ManifestTracker();
     private boolean loaded;
 
     /** Whether an invalid manifest followed the active one, so that the rules that apply now are unknown. */
     private boolean unusable;
 
-    OperatorBeliefs(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
+    OperatorState(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
         this.decoder = decoder;
         this.steadyMillis = steadyMillis;
-        this.targets = new NamedTargets(steadyMillis, unixMillis);
+        this.targets = new WeightTargets(steadyMillis, unixMillis);
     }
 
     /**
@@ -56,12 +56,12 @@
     /** Applies an operator record. */
     Change said(StoredRecord record, View view) {
         if (record.dropped()) {
-            OperatorLines.dropped(record);
+            OperatorLog.dropped(record);
             return new Change(view, false);
         }
         return switch (decoder.operator(record)) {
             case Result.Failure<OperatorRecord>(Fault fault) -> {
-                OperatorLines.refused(record, fault);
+                OperatorLog.refused(record, fault);
                 unusable |= decoder.isManifest(record.key());
                 yield new Change(view, false);
             }
@@ -76,7 +76,7 @@
     }
 
     private static Change unused(StoredRecord record, View view) {
-        OperatorLines.ofOthers(record);
+        OperatorLog.ofOthers(record);
         return new Change(view, false);
     }
 
@@ -94,7 +94,7 @@
         View.Target target = targets.byOperator(record, model, version, loaded);
         View after = withTarget(model, target, view, "store offset=" + record.offset());
         if (after == view && version < newest) {
-            OperatorLines.namedLate(record, model, version, newest);
+            OperatorLog.namedLate(record, model, version, newest);
         }
         return new Change(after, true);
     }
@@ -109,7 +109,7 @@
     private View withTarget(String model, View.Target target, View view, String source) {
         View after = view.withTarget(model, target);
         if (after != view) {
-            OperatorLines.named(model, target, steadyMillis.getAsLong() - target.learnedMillis(), source);
+            OperatorLog.named(model, target, steadyMillis.getAsLong() - target.learnedMillis(), source);
         }
         return after;
     }
--- a/src/main/java/org/micabarrow/views/ToldNews.java
+++ b/src/main/java/org/micabarrow/views/PeerUpdates.java
@@ -8,7 +8,7 @@
 import org.micabarrow.views.NewsReader.Role;
 
 /** Updates that peers sent about the store, and which of them are valid for how long. Not thread-safe. */
-final class ToldNews {
+final class PeerUpdates {
 
     /**
      * How long an agent relies on an update, in milliseconds. Nearby entries send some seven updates in this time, so
@@ -37,7 +37,7 @@
 
     private record Told(String peer, LastChanges changes, long asOfMillis, long atMillis) {}
 
-    ToldNews(Role role) {
+    PeerUpdates(Role role) {
         this.role = role;
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** Records whether the store responds to this process. */
-    void storeAnswers(boolean answers) {
+    void setStoreResponds(boolean answers) {
         storeAnswers = answers;
     }
 
--- a/src/main/java/org/micabarrow/views/DropDoubts.java
+++ b/src/main/java/org/micabarrow/views/PendingRemovals.java
@@ -16,7 +16,7 @@
  * process alone; the removal then takes effect at once, because an endpoint that is gone must get no more requests. Not
  * thread-safe.
  */
-final class DropDoubts {
+final class PendingRemovals {
 
     /**
      * How long after the store became reachable again a removal stays pending, in milliseconds: a running endpoint
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewKeeper.java
@@ -25,9 +25,9 @@
 
     private final LongSupplier steadyMillis;
     private final Map<Topic, TopicCopy> copies = new HashMap<>();
-    private final EndpointEntries entries;
-    private final OperatorBeliefs operator;
-    private final OperatorKnowledge knowledge = new OperatorKnowledge();
+    private final EndpointListUpdater entries;
+    private final OperatorState operator;
+    private final OperatorFreshness knowledge = new OperatorFreshness();
     private volatile LastChanges changes = new LastChanges(0, 0, 0);
     private volatile View view = View.empty();
     private volatile Consumer<List<StoredRecord>> crashNews = news -> {};
@@ -53,8 +53,8 @@
         Objects.requireNonNull(decoder, "decoder is null");
         this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
         this.operator =
-                new OperatorBeliefs(decoder, steadyMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
-        this.entries = new EndpointEntries(decoder);
+                new OperatorState(decoder, steadyMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
+        this.entries = new EndpointListUpdater(decoder);
         for (Topic topic : Topic.values()) {
             copies.put(topic, new TopicCopy());
         }
@@ -222,7 +222,7 @@
 
     /** Applies an operator record, and returns whether agents use it. */
     private boolean operatorSaid(StoredRecord record) {
-        OperatorBeliefs.Change change = operator.said(record, view);
+        OperatorState.Change change = operator.said(record, view);
         view = change.view();
         return change.forAgents();
     }
--- a/src/main/java/org/micabarrow/views/NamedTargets.java
+++ b/src/main/java/org/micabarrow/views/WeightTargets.java
@@ -13,7 +13,7 @@
  * Target weight versions as named by operators, and as saved in the store by processes together with the time of day at
  * which they learned of them. Not thread-safe.
  */
-final class NamedTargets {
+final class WeightTargets {
 
     private final LongSupplier steadyMillis;
     private final LongSupplier unixMillis;
@@ -24,7 +24,7 @@
     /** The records of those versions. The topic copy loses a record when an older version is written late. */
     private final Map<String, StoredRecord> records = new HashMap<>();
 
-    NamedTargets(LongSupplier steadyMillis, LongSupplier unixMillis) {
+    WeightTargets(LongSupplier steadyMillis, LongSupplier unixMillis) {
         this.steadyMillis = steadyMillis;
         this.unixMillis = unixMillis;
     }
--- a/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorFreshnessTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.state.Result;
 
 /** Tests up to which time a process knows all operator records. */
-class OperatorKnowledgeTest {
+class OperatorFreshnessTest {
 
     private static final Duration HOLD = Duration.ofMillis(10);
     private static final Duration REST = Duration.ofMillis(5);
--- a/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
+++ b/src/test/java/org/micabarrow/views/PartialOutageTest.java
@@ -19,7 +19,7 @@
  * pending. The cause was that an outage for all was not distinguished from one for this process alone, although two
  * other endpoints had written their entries just before, in the same batch.
  */
-class DropWhileAwayTest {
+class PartialOutageTest {
 
     private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
 
--- a/src/test/java/org/micabarrow/views/LeavingDelayTest.java
+++ b/src/test/java/org/micabarrow/views/RemovalDelayTest.java
@@ -21,7 +21,7 @@
  * Tests, with a simulated clock, how long an entry takes to learn that an endpoint is gone, from the store or from
  * peers when the store fails.
  */
-class LeavingDelayTest {
+class RemovalDelayTest {
 
     /** The time after which a draining endpoint must get no new requests, with its default value. */
     private static final long BOUND_MILLIS = 2_000;
@@ -281,7 +281,7 @@
         while (keeper.view().endpoints().containsKey("a")) {
             store.pass(follower.once());
         }
-        long most = DropDoubts.DOUBT_MILLIS + 2 * ROUND_TRIP_MILLIS;
+        long most = PendingRemovals.DOUBT_MILLIS + 2 * ROUND_TRIP_MILLIS;
         store.pass(0);
         assertTrue(store.knownAtMillis - regained <= most, "after " + (store.knownAtMillis - regained) + " ms");
     }
