--- a/src/main/java/org/micabarrow/clock/SteadyClock.java
+++ b/src/main/java/org/micabarrow/clock/SteadyClock.java
@@ -11,9 +11,9 @@
  */
 public final class SteadyClock {
 
-    private static final Optional<LongSupplier> BOOT = BootClock.nanos();
+    private static final Optional<LongSupplier> BOOT_CLOCK = BootClock.nanos();
 
-    private static final LongSupplier NANOS = BOOT.orElse(System::nanoTime);
+    private static final LongSupplier NANOS = BOOT_CLOCK.orElse(System::nanoTime);
 
     private SteadyClock() {}
 
@@ -32,6 +32,6 @@
      * @return false on a runtime that cannot read such a clock
      */
     public static boolean countsSuspensions() {
-        return BOOT.isPresent();
+        return BOOT_CLOCK.isPresent();
     }
 }
--- a/src/main/java/org/micabarrow/steps/OwnedThread.java
+++ b/src/main/java/org/micabarrow/steps/OwnedThread.java
@@ -22,7 +22,7 @@
      * The maximum time to wait for the thread to end. An interrupted call ends within some milliseconds; only work that
      * ignores interrupts takes longer, and it must not block the shutdown of the process.
      */
-    private static final Duration LONGEST_END = Duration.ofSeconds(2);
+    private static final Duration MAX_JOIN_WAIT = Duration.ofSeconds(2);
 
     private final Thread thread;
     private volatile boolean closing;
@@ -58,9 +58,9 @@
      *
      * @param duration the duration of the pause
      */
-    public void rest(Duration rest) {
+    public void rest(Duration duration) {
         try {
-            Thread.sleep(rest);
+            Thread.sleep(duration);
         } catch (InterruptedException e) {
             closing = true;
             Thread.currentThread().interrupt();
@@ -76,8 +76,8 @@
         }
         thread.interrupt();
         try {
-            if (!thread.join(LONGEST_END)) {
-                LOG.warn("event=thread_not_ended thread={} waitedMs={}", thread.getName(), LONGEST_END.toMillis());
+            if (!thread.join(MAX_JOIN_WAIT)) {
+                LOG.warn("event=thread_not_ended thread={} waitedMs={}", thread.getName(), MAX_JOIN_WAIT.toMillis());
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/org/micabarrow/steps/Steps.java
+++ b/src/main/java/org/micabarrow/steps/Steps.java
@@ -39,8 +39,8 @@
      * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, long restMillis, Step step) {
-        return start(name, () -> restMillis, step);
+    public static Thread start(String name, long pauseMillis, Step task) {
+        return start(name, () -> pauseMillis, task);
     }
 
     /**
@@ -51,11 +51,11 @@
      * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, LongSupplier restMillis, Step step) {
+    public static Thread start(String name, LongSupplier pauseMillis, Step task) {
         Objects.requireNonNull(name, "name is null");
-        Objects.requireNonNull(restMillis, "restMillis is null");
-        Objects.requireNonNull(step, "step is null");
-        return Thread.ofPlatform().name(name).daemon().start(() -> run(name, restMillis, step));
+        Objects.requireNonNull(pauseMillis, "pauseMillis is null");
+        Objects.requireNonNull(task, "task is null");
+        return Thread.ofPlatform().name(name).daemon().start(() -> runRepeatedly(name, pauseMillis, task));
     }
 
     /**
@@ -64,28 +64,28 @@
      * @param name the name of the task, for the log
      * @param task the task
      */
-    public static void guarded(String name, Runnable step) {
+    public static void guarded(String name, Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException | Error e) {
             LOG.error("event=step_failed work={}", name, e);
         }
     }
 
-    private static void run(String name, LongSupplier restMillis, Step step) {
+    private static void runRepeatedly(String name, LongSupplier pauseMillis, Step task) {
         try {
             while (true) {
-                guarded(name, step);
-                Thread.sleep(restMillis.getAsLong());
+                guarded(name, task);
+                Thread.sleep(pauseMillis.getAsLong());
             }
         } catch (InterruptedException e) {
             LOG.info("event=thread_stopped thread={}", name);
         }
     }
 
-    private static void guarded(String name, Step step) throws InterruptedException {
+    private static void guarded(String name, Step task) throws InterruptedException {
         try {
-            step.take();
+            task.take();
         } catch (RuntimeException | Error e) {
             LOG.error("event=step_failed work={}", name, e);
         }
--- a/src/main/java/org/micabarrow/views/EndpointListUpdater.java
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -24,11 +24,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
 
     private final RecordDecoder decoder;
-    private final PendingRemovals doubts = new PendingRemovals();
-    private final LateEntryFilter newestEntries = new LateEntryFilter();
+    private final PendingRemovals pendingRemovals = new PendingRemovals();
+    private final LateEntryFilter lateEntries = new LateEntryFilter();
 
     /** Keys with an invalid entry. An invalid entry is logged once per key, however often it is written. */
-    private final Set<String> unusable = new HashSet<>();
+    private final Set<String> invalidKeys = new HashSet<>();
 
     EndpointListUpdater(RecordDecoder decoder) {
         this.decoder = decoder;
@@ -37,70 +37,75 @@
     // -- store outages
 
     /** Records that the store is reachable again after an outage. */
-    void regained(long nowMillis) {
-        doubts.regained(nowMillis);
+    void onStoreReachable(long nowMillis) {
+        pendingRemovals.onStoreReachable(nowMillis);
     }
 
     /** Returns the list without the endpoints whose pending removal is due; empty if none is due. */
-    Optional<Map<String, EndpointEntry>> withoutOverdue(Map<String, EndpointEntry> endpoints, long nowMillis) {
-        List<String> overdue = doubts.takeOverdue(nowMillis);
-        if (overdue.isEmpty()) {
+    Optional<Map<String, EndpointEntry>> withoutDueRemovals(Map<String, EndpointEntry> endpoints, long nowMillis) {
+        List<String> due = pendingRemovals.removeDue(nowMillis);
+        if (due.isEmpty()) {
             return Optional.empty();
         }
-        Map<String, EndpointEntry> left = new HashMap<>(endpoints);
-        overdue.forEach(id -> {
-            left.remove(id);
+        Map<String, EndpointEntry> remaining = new HashMap<>(endpoints);
+        due.forEach(id -> {
+            remaining.remove(id);
             LOG.info("event=endpoint_gone endpoint={} after=doubt", id);
         });
-        return Optional.of(left);
+        return Optional.of(remaining);
     }
 
     /** Returns the given wait, shortened to the time until the first pending removal is due. */
-    Duration untilDoubtEnds(Duration wait, long nowMillis) {
-        OptionalLong end = doubts.firstEndMillis();
-        return end.isEmpty() ? wait : Duration.ofMillis(Math.clamp(end.getAsLong() - nowMillis, 0, wait.toMillis()));
+    Duration untilNextRemoval(Duration wait, long nowMillis) {
+        OptionalLong dueMillis = pendingRemovals.nextDueMillis();
+        return dueMillis.isEmpty()
+                ? wait
+                : Duration.ofMillis(Math.clamp(dueMillis.getAsLong() - nowMillis, 0, wait.toMillis()));
     }
 
     // -- records
 
     /** Prepares for a batch of records, each of which is passed to {@link #apply} afterwards. */
-    void read(List<StoredRecord> records, Map<String, EndpointEntry> endpoints, long nowMillis) {
-        Set<String> drops = records.stream()
+    void prepareBatch(List<StoredRecord> records, Map<String, EndpointEntry> endpoints, long nowMillis) {
+        Set<String> removedIds = records.stream()
                 .filter(StoredRecord::dropped)
                 .map(StoredRecord::key)
                 .filter(endpoints::containsKey)
                 .collect(Collectors.toSet());
-        doubts.read(drops, endpoints.size(), nowMillis);
+        pendingRemovals.prepareBatch(removedIds, endpoints.size(), nowMillis);
     }
 
     /** Applies a record to the given endpoints. Returns the line to log if anything changed. */
-    Optional<String> take(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
-        return record.dropped() ? dropped(record, endpoints, nowMillis) : written(record, endpoints, nowMillis);
+    Optional<String> apply(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+        return record.dropped()
+                ? applyTombstone(record, endpoints, nowMillis)
+                : applyEntry(record, endpoints, nowMillis);
     }
 
-    private Optional<String> dropped(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> applyTombstone(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
         String id = record.key();
-        EndpointEntry known = endpoints.get(id);
-        if (known != null && doubts.doubt(known, nowMillis)) {
+        EndpointEntry listed = endpoints.get(id);
+        if (listed != null && pendingRemovals.defer(listed, nowMillis)) {
             return Optional.of("event=endpoint_doubted endpoint=" + id + " offset=" + record.offset());
         }
-        doubts.forget(id);
-        unusable.remove(id);
+        pendingRemovals.cancel(id);
+        invalidKeys.remove(id);
         return endpoints.remove(id) == null
                 ? Optional.empty()
                 : Optional.of("event=endpoint_gone endpoint=" + id + " offset=" + record.offset());
     }
 
-    private Optional<String> written(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> applyEntry(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
         return switch (decoder.endpoint(record)) {
-            case Result.Failure<EndpointEntry>(Fault fault) -> refused(record, fault.message(), endpoints);
+            case Result.Failure<EndpointEntry>(Fault fault) -> removeInvalid(record, fault.message(), endpoints);
             case Result.Success<EndpointEntry>(EndpointEntry entry)
-            when newestEntries.lacking(entry) -> refused(record, "the start time of the endpoint is missing", endpoints);
+            when lateEntries.lacksStart(entry) ->
+                removeInvalid(record, "the start time of the endpoint is missing", endpoints);
             case Result.Success<EndpointEntry>(EndpointEntry entry)
-            when newestEntries.over(entry, nowMillis) ->
-                Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + started(entry)
+            when lateEntries.isSuperseded(entry, nowMillis) ->
+                Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + startedText(entry)
                         + " leaving=" + entry.leaving() + " offset=" + record.offset());
-            case Result.Success<EndpointEntry>(EndpointEntry entry) -> taken(record, entry, endpoints);
+            case Result.Success<EndpointEntry>(EndpointEntry entry) -> applyValid(record, entry, endpoints);
         };
     }
 
@@ -108,33 +113,34 @@
      * Removes an endpoint whose new entry is invalid. Its previous entry is outdated, and it is unknown whether the
      * endpoint is still running or draining.
      */
-    private Optional<String> refused(StoredRecord record, String why, Map<String, EndpointEntry> endpoints) {
+    private Optional<String> removeInvalid(StoredRecord record, String why, Map<String, EndpointEntry> endpoints) {
         String id = record.key();
-        doubts.forget(id);
-        boolean first = unusable.add(id);
-        boolean known = endpoints.remove(id) != null;
-        return first || known
-                ? Optional.of("event=entry_refused endpoint=" + record.shownKey() + " known=" + known + " offset="
+        pendingRemovals.cancel(id);
+        boolean firstTime = invalidKeys.add(id);
+        boolean listed = endpoints.remove(id) != null;
+        return firstTime || listed
+                ? Optional.of("event=entry_refused endpoint=" + record.shownKey() + " known=" + listed + " offset="
                         + record.offset() + " why=\"" + why + "\"")
                 : Optional.empty();
     }
 
-    private Optional<String> taken(StoredRecord record, EndpointEntry entry, Map<String, EndpointEntry> endpoints) {
-        doubts.forget(entry.id());
-        unusable.remove(entry.id());
-        EndpointEntry before = endpoints.put(entry.id(), entry);
-        if (before != null && entry.saysTheSameAs(before)) {
+    private Optional<String> applyValid(
+            StoredRecord record, EndpointEntry entry, Map<String, EndpointEntry> endpoints) {
+        pendingRemovals.cancel(entry.id());
+        invalidKeys.remove(entry.id());
+        EndpointEntry previous = endpoints.put(entry.id(), entry);
+        if (previous != null && entry.saysTheSameAs(previous)) {
             return Optional.empty();
         }
-        boolean again = before != null && !before.start().equals(entry.start());
-        String event = again ? "endpoint_restarted" : "endpoint_changed";
+        boolean restarted = previous != null && !previous.start().equals(entry.start());
+        String event = restarted ? "endpoint_restarted" : "endpoint_changed";
         return Optional.of("event=" + event + " endpoint=" + entry.id() + " address=" + entry.address() + " leaving="
                 + entry.leaving() + " models="
-                + StoredRecord.shown(entry.models().toString()) + " started=" + started(entry) + " offset="
+                + StoredRecord.shown(entry.models().toString()) + " started=" + startedText(entry) + " offset="
                 + record.offset());
     }
 
-    private static String started(EndpointEntry entry) {
+    private static String startedText(EndpointEntry entry) {
         return entry.startedMillis().isEmpty()
                 ? "-"
                 : String.valueOf(entry.startedMillis().getAsLong());
--- a/src/main/java/org/micabarrow/views/LastChanges.java
+++ b/src/main/java/org/micabarrow/views/LastChanges.java
@@ -37,16 +37,16 @@
         };
     }
 
-    LastChanges withOperator(List<StoredRecord> changing, List<StoredRecord> changingWeights) {
-        return new LastChanges(after(operator, changing), endpoints, after(weights, changingWeights));
+    LastChanges withOperator(List<StoredRecord> changed, List<StoredRecord> changedWeights) {
+        return new LastChanges(offsetAfter(operator, changed), endpoints, offsetAfter(weights, changedWeights));
     }
 
-    LastChanges withEndpoints(List<StoredRecord> changing) {
-        return new LastChanges(operator, after(endpoints, changing), weights);
+    LastChanges withEndpoints(List<StoredRecord> changed) {
+        return new LastChanges(operator, offsetAfter(endpoints, changed), weights);
     }
 
-    private static long after(long known, List<StoredRecord> changing) {
-        long last = changing.stream().mapToLong(StoredRecord::offset).max().orElse(-1);
+    private static long offsetAfter(long known, List<StoredRecord> changed) {
+        long last = changed.stream().mapToLong(StoredRecord::offset).max().orElse(-1);
         return Math.max(known, last + 1);
     }
 }
--- a/src/main/java/org/micabarrow/views/LateEntryFilter.java
+++ b/src/main/java/org/micabarrow/views/LateEntryFilter.java
@@ -18,22 +18,22 @@
      * lost may take effect up to 6 s later. The limit also bounds the effect of a clock that was set back, and of a
      * wrong entry with a start time in the future.
      */
-    private static final long HELD_MILLIS = 7_000;
+    private static final long PRECEDENCE_MILLIS = 7_000;
 
     /** Stands for the start time of an endpoint that does not report one. */
-    private static final long UNTOLD = -1;
+    private static final long UNKNOWN_START = -1;
 
     /** Holds as many entries as the topic copy holds keys. */
-    private final Map<String, Heard> newest = new HashMap<>();
+    private final Map<String, SeenEntry> newestById = new HashMap<>();
 
-    private record Heard(long startedMillis, OptionalLong writes, long atMillis) {
+    private record SeenEntry(long startedMillis, OptionalLong writeCount, long seenAtMillis) {
 
-        private boolean after(EndpointEntry entry, long started) {
+        private boolean isAfter(EndpointEntry entry, long started) {
             boolean sameStart = startedMillis == started
-                    && writes.isPresent()
+                    && writeCount.isPresent()
                     && entry.writes().isPresent();
             return startedMillis > started
-                    || sameStart && writes.getAsLong() > entry.writes().getAsLong();
+                    || sameStart && writeCount.getAsLong() > entry.writes().getAsLong();
         }
     }
 
@@ -41,22 +41,24 @@
      * Whether an entry has no start time although earlier entries of the endpoint had one, which means that something
      * else wrote it.
      */
-    boolean lacking(EndpointEntry entry) {
-        return entry.startedMillis().isEmpty() && toldStart(entry.id());
+    boolean lacksStart(EndpointEntry entry) {
+        return entry.startedMillis().isEmpty() && hasKnownStart(entry.id());
     }
 
-    private boolean toldStart(String id) {
-        return newest.containsKey(id) && newest.get(id).startedMillis() != UNTOLD;
+    private boolean hasKnownStart(String id) {
+        return newestById.containsKey(id) && newestById.get(id).startedMillis() != UNKNOWN_START;
     }
 
     /** Returns whether an entry is older than one that was read recently; otherwise records it as the newest. */
-    boolean over(EndpointEntry entry, long nowMillis) {
-        long started = entry.startedMillis().orElse(UNTOLD);
-        Heard heard = newest.get(entry.id());
-        if (heard != null && heard.after(entry, started) && nowMillis - heard.atMillis() <= HELD_MILLIS) {
+    boolean isSuperseded(EndpointEntry entry, long nowMillis) {
+        long started = entry.startedMillis().orElse(UNKNOWN_START);
+        SeenEntry newest = newestById.get(entry.id());
+        if (newest != null
+                && newest.isAfter(entry, started)
+                && nowMillis - newest.seenAtMillis() <= PRECEDENCE_MILLIS) {
             return true;
         }
-        newest.put(entry.id(), new Heard(started, entry.writes(), nowMillis));
+        newestById.put(entry.id(), new SeenEntry(started, entry.writes(), nowMillis));
         return false;
     }
 }
--- a/src/main/java/org/micabarrow/views/LeavingBound.java
+++ b/src/main/java/org/micabarrow/views/LeavingBound.java
@@ -23,7 +23,7 @@
      * The pause between two reads, as a fraction of the bound. Endpoints write their entries often, and the pause lets
      * one read return many of them.
      */
-    private static final double REST_PART = 0.25;
+    private static final double PAUSE_FRACTION = 0.25;
 
     /** Time reserved for round trips and processing. */
     private static final Duration RESERVE = Duration.ofMillis(100);
@@ -32,7 +32,7 @@
      * The minimum time for which a read is held. Without it, a store in which nothing changes would be read without a
      * pause.
      */
-    private static final Duration LEAST_HOLD = Duration.ofMillis(100);
+    private static final Duration MIN_HOLD = Duration.ofMillis(100);
 
     private LeavingBound() {}
 
@@ -47,8 +47,9 @@
      */
     public static StoreFollower.Pace pace(Duration bound) {
         Objects.requireNonNull(bound, "bound is null");
-        Duration rest = Duration.ofMillis(Math.round(bound.toMillis() * REST_PART));
-        Duration hold = bound.minus(rest).minus(STORE_ANSWER).minus(PEER_ANSWER).minus(RESERVE);
-        return new StoreFollower.Pace(hold.compareTo(LEAST_HOLD) < 0 ? LEAST_HOLD : hold, rest);
+        Duration pause = Duration.ofMillis(Math.round(bound.toMillis() * PAUSE_FRACTION));
+        Duration hold =
+                bound.minus(pause).minus(STORE_ANSWER).minus(PEER_ANSWER).minus(RESERVE);
+        return new StoreFollower.Pace(hold.compareTo(MIN_HOLD) < 0 ? MIN_HOLD : hold, pause);
     }
 }
--- a/src/main/java/org/micabarrow/views/ManifestTracker.java
+++ b/src/main/java/org/micabarrow/views/ManifestTracker.java
@@ -20,16 +20,16 @@
     /** Stands for an unknown manifest version or offset. */
     private static final long NONE = -1;
 
-    private long inForce = NONE;
+    private long activeVersion = NONE;
 
     /** The record of the active manifest. The topic copy loses it when an older manifest is written late. */
-    private Optional<StoredRecord> record = Optional.empty();
+    private Optional<StoredRecord> activeRecord = Optional.empty();
 
     /** The position of the newest known manifest, whether or not this process has it. */
-    private Optional<ManifestPlace> newest = Optional.empty();
+    private Optional<ManifestPlace> newestPosition = Optional.empty();
 
-    private long kept = NONE;
-    private long keptOffset = NONE;
+    private long savedVersion = NONE;
+    private long savedOffset = NONE;
 
     // -- operator records
 
@@ -37,48 +37,52 @@
      * Accepts a manifest and returns whether it is now active. The version never decreases: a write whose response was
      * lost may take effect seconds later, after that of a newer manifest.
      */
-    boolean take(StoredRecord from, RouteManifest manifest) {
+    boolean accept(StoredRecord record, RouteManifest manifest) {
         long version = manifest.version();
-        if (version < inForce) {
-            LOG.warn("event=manifest_written_late version={} offset={} kept={}", version, from.offset(), inForce);
+        if (version < activeVersion) {
+            LOG.warn(
+                    "event=manifest_written_late version={} offset={} kept={}",
+                    version,
+                    record.offset(),
+                    activeVersion);
             return false;
         }
-        LOG.info("event=manifest_in_force version={} offset={} before={}", version, from.offset(), inForce);
-        inForce = version;
-        record = Optional.of(from);
-        stands(new ManifestPlace(version, from.offset()));
+        LOG.info("event=manifest_in_force version={} offset={} before={}", version, record.offset(), activeVersion);
+        activeVersion = version;
+        activeRecord = Optional.of(record);
+        recordPosition(new ManifestPlace(version, record.offset()));
         return true;
     }
 
     /** Records the position of a manifest. */
-    void stands(ManifestPlace place) {
-        if (newestVersion() <= place.version()) {
-            newest = Optional.of(place);
+    void recordPosition(ManifestPlace position) {
+        if (newestVersion() <= position.version()) {
+            newestPosition = Optional.of(position);
         }
     }
 
     /** The position of the newest known manifest; empty if none is known. */
-    Optional<ManifestPlace> newest() {
-        return newest;
+    Optional<ManifestPlace> newestPosition() {
+        return newestPosition;
     }
 
     private long newestVersion() {
-        return newest.map(ManifestPlace::version).orElse(NONE);
+        return newestPosition.map(ManifestPlace::version).orElse(NONE);
     }
 
     /** The record of the active manifest, if its offset is at or after the given one. */
-    Optional<StoredRecord> newestRecord(long offset) {
-        return record.filter(one -> one.offset() >= offset);
+    Optional<StoredRecord> activeRecordFrom(long offset) {
+        return activeRecord.filter(item -> item.offset() >= offset);
     }
 
     // -- records saved by processes
 
     /** Applies manifest positions read from the store. */
-    void takeKept(List<OperatorRecord> said) {
-        for (OperatorRecord one : said) {
-            if (one instanceof OperatorRecord.ManifestKept(long version, long offset) && version > kept) {
-                kept = version;
-                keptOffset = offset;
+    void applySaved(List<OperatorRecord> saved) {
+        for (OperatorRecord item : saved) {
+            if (item instanceof OperatorRecord.ManifestKept(long version, long offset) && version > savedVersion) {
+                savedVersion = version;
+                savedOffset = offset;
             }
         }
     }
@@ -87,16 +91,20 @@
      * The offset of a manifest known to be newer than the active one; empty if there is none. A manifest that a peer
      * reported and that is beyond the records read so far is not missing: this process does not need it.
      */
-    OptionalLong lacking(long readTo) {
-        boolean passedOver = kept <= newestVersion() && keptOffset >= readTo;
-        return kept > inForce && !passedOver ? OptionalLong.of(keptOffset) : OptionalLong.empty();
+    OptionalLong missingOffset(long readTo) {
+        boolean notNeeded = savedVersion <= newestVersion() && savedOffset >= readTo;
+        return savedVersion > activeVersion && !notNeeded ? OptionalLong.of(savedOffset) : OptionalLong.empty();
     }
 
     /** The newest manifest, if it is not known to be saved in the store under its own key. */
-    Optional<Unkept> unkept(TopicCopy lying) {
-        return newest.filter(place ->
-                        lying.record(VersionKeys.ofManifest(place.version())).isEmpty())
-                .map(place -> new Unkept.Manifest(
-                        place.version(), place.offset(), VersionKeys.outdatedManifests(lying.keys(), place.version())));
+    Optional<Unkept> unsaved(TopicCopy savedCopy) {
+        return newestPosition
+                .filter(position -> savedCopy
+                        .record(VersionKeys.ofManifest(position.version()))
+                        .isEmpty())
+                .map(position -> new Unkept.Manifest(
+                        position.version(),
+                        position.offset(),
+                        VersionKeys.outdatedManifests(savedCopy.keys(), position.version())));
     }
 }
--- a/src/main/java/org/micabarrow/views/NamedVersions.java
+++ b/src/main/java/org/micabarrow/views/NamedVersions.java
@@ -30,29 +30,29 @@
      * The pause between two checks, in milliseconds: a version is saved half a second after it becomes known, and an
      * unresponsive store is tried twice a second.
      */
-    private static final long LOOK_MILLIS = 500;
+    private static final long CHECK_INTERVAL_MILLIS = 500;
 
     /**
      * The number of the last check after startup at which the saved versions are read again: a write may take effect up
      * to 6 s late.
      */
-    private static final long LAST_LOOK_AFTER_START = 16;
+    private static final long LAST_STARTUP_CHECK = 16;
 
     /**
      * How many checks a backup waits for the primary writers: 5 s. A primary may be disconnected or gone and still be
      * listed.
      */
-    private static final long LOOKS_FOR_OTHERS = 10;
+    private static final long BACKUP_DELAY_CHECKS = 10;
 
     private final TopicReader reader;
     private final VersionWriter writer;
-    private final ViewKeeper keeper;
-    private final Supplier<Duty> duty;
-    private final Runnable askPeer;
-    private final AtomicBoolean recalled = new AtomicBoolean();
-    private long looks;
-    private long looksMissing;
-    private long looksLacking;
+    private final ViewKeeper views;
+    private final Supplier<Duty> role;
+    private final Runnable requestFromPeer;
+    private final AtomicBoolean restored = new AtomicBoolean();
+    private long checks;
+    private long checksWithUnsaved;
+    private long checksWithoutManifest;
 
     /** Whether a process saves the versions that it knows. Every write costs calls to the store. */
     public enum Duty {
@@ -77,7 +77,7 @@
          * @param item the version or manifest position to save
          * @return the records as stored in the topic, or why they may not have been stored
          */
-        Result<List<StoredRecord>> write(Unkept unkept);
+        Result<List<StoredRecord>> write(Unkept item);
     }
 
     /**
@@ -88,8 +88,8 @@
      * @param views knows which versions were named
      * @param primary whether this process is a primary writer; otherwise it is a backup
      */
-    public NamedVersions(TopicReader reader, VersionWriter writer, ViewKeeper keeper, BooleanSupplier writes) {
-        this(reader, writer, keeper, () -> writes.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
+    public NamedVersions(TopicReader reader, VersionWriter writer, ViewKeeper views, BooleanSupplier primary) {
+        this(reader, writer, views, () -> primary.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
     }
 
     /**
@@ -102,12 +102,12 @@
      * @param requestFromPeer requests operator records from a peer, starting at {@link ViewMaintainer#peerReadOffset}
      */
     public NamedVersions(
-            TopicReader reader, VersionWriter writer, ViewKeeper keeper, Supplier<Duty> duty, Runnable askPeer) {
+            TopicReader reader, VersionWriter writer, ViewKeeper views, Supplier<Duty> role, Runnable requestFromPeer) {
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.writer = Objects.requireNonNull(writer, "writer is null");
-        this.keeper = Objects.requireNonNull(keeper, "keeper is null");
-        this.duty = Objects.requireNonNull(duty, "duty is null");
-        this.askPeer = Objects.requireNonNull(askPeer, "askPeer is null");
+        this.views = Objects.requireNonNull(views, "views is null");
+        this.role = Objects.requireNonNull(role, "role is null");
+        this.requestFromPeer = Objects.requireNonNull(requestFromPeer, "requestFromPeer is null");
     }
 
     // -- reading
@@ -121,19 +121,20 @@
         if (topic != Topic.OPERATOR) {
             return reader.newest(topic);
         }
-        recalled.set(false);
-        recall();
-        return reader.newest(topic).map(this::withHiddenManifest).map(this::asFarAsRecalled);
+        restored.set(false);
+        restore();
+        return reader.newest(topic).map(this::withReplacedManifest).map(this::withTimeIfRestored);
     }
 
     /** Adds the newest manifest if it is missing from the latest records because an older one was written after it. */
-    private Batch withHiddenManifest(Batch batch) {
-        OptionalLong kept = keeper.lackingManifest();
-        if (kept.isEmpty() || batch.records().stream().anyMatch(record -> record.offset() == kept.getAsLong())) {
+    private Batch withReplacedManifest(Batch batch) {
+        OptionalLong missingOffset = views.missingManifestOffset();
+        if (missingOffset.isEmpty()
+                || batch.records().stream().anyMatch(record -> record.offset() == missingOffset.getAsLong())) {
             return batch;
         }
         List<StoredRecord> records = new ArrayList<>(batch.records());
-        records.addAll(hidden(kept.getAsLong()));
+        records.addAll(readManifest(missingOffset.getAsLong()));
         return new Batch(records, batch.end(), batch.asOfMillis());
     }
 
@@ -141,16 +142,16 @@
      * Returns the manifest at an offset from the store's history, or requests it from a peer if it is no longer in the
      * history.
      */
-    private List<StoredRecord> hidden(long offset) {
-        List<StoredRecord> found = history(offset);
-        if (found.isEmpty()) {
-            askPeer.run();
+    private List<StoredRecord> readManifest(long offset) {
+        List<StoredRecord> records = readHistory(offset);
+        if (records.isEmpty()) {
+            requestFromPeer.run();
         }
-        return found;
+        return records;
     }
 
-    private List<StoredRecord> history(long offset) {
-        return switch (reader.history(Topic.OPERATOR, offset)) {
+    private List<StoredRecord> readHistory(long offset) {
+        return switch (reader.readHistory(Topic.OPERATOR, offset)) {
             case Result.Success<Read>(Read.Records(Batch batch)) ->
                 batch.records().stream()
                         .filter(record -> record.offset() == offset)
@@ -165,39 +166,39 @@
 
     @Override
     public Result<Read> read(Topic topic, long from, Duration wait) {
-        return reader.read(topic, from, wait).map(this::asFarAsRecalled);
+        return reader.read(topic, from, wait).map(this::withTimeIfRestored);
     }
 
     @Override
-    public Result<Read> history(Topic topic, long from) {
-        return reader.history(topic, from);
+    public Result<Read> readHistory(Topic topic, long from) {
+        return reader.readHistory(topic, from);
     }
 
     /**
      * Removes the timestamp up to which all records are known while the saved items have not been read: a newer
      * manifest may have been replaced by an older one.
      */
-    private Read asFarAsRecalled(Read read) {
+    private Read withTimeIfRestored(Read read) {
         return switch (read) {
-            case Read.Records(Batch batch) -> new Read.Records(asFarAsRecalled(batch));
+            case Read.Records(Batch batch) -> new Read.Records(withTimeIfRestored(batch));
             case Read.Expired expired -> expired;
         };
     }
 
-    private Batch asFarAsRecalled(Batch batch) {
-        return recalled.get() ? batch : new Batch(batch.records(), batch.end());
+    private Batch withTimeIfRestored(Batch batch) {
+        return restored.get() ? batch : new Batch(batch.records(), batch.end());
     }
 
     @Override
-    public boolean peersTell(Topic topic) {
-        return reader.peersTell(topic);
+    public boolean hasPeerUpdates(Topic topic) {
+        return reader.hasPeerUpdates(topic);
     }
 
-    private void recall() {
+    private void restore() {
         switch (reader.newest(Topic.NAMED)) {
             case Result.Success<Batch>(Batch batch) -> {
-                keeper.replace(Topic.NAMED, batch.records(), batch.end());
-                recalled.set(true);
+                views.replace(Topic.NAMED, batch.records(), batch.end());
+                restored.set(true);
             }
             case Result.Failure<Batch>(Fault fault) -> LOG.warn("event=versions_not_recalled why=\"{}\"", fault);
         }
@@ -207,35 +208,36 @@
 
     /** Starts periodic checks on a separate thread, which run until the process ends. */
     public void start() {
-        Steps.start("named-versions", LOOK_MILLIS, this::look);
+        Steps.start("named-versions", CHECK_INTERVAL_MILLIS, this::check);
     }
 
     /** Restores the saved versions when due, and saves those that are not known to be in the store. */
-    void look() {
-        if (!keeper.knowsOperator()) {
+    void check() {
+        if (!views.isOperatorLoaded()) {
             return;
         }
-        looks++;
-        boolean anyUnkept =
-                !keeper.unkept().isEmpty() || keeper.unkeptManifest().isPresent();
-        Duty now = anyUnkept ? duty.get() : Duty.NONE;
-        boolean missing = now != Duty.NONE && !keeper.unkept().isEmpty();
-        looksMissing = missing ? looksMissing + 1 : 0;
-        if (!recalled.get() || soonAfterStart() || looksMissing == LOOKS_FOR_OTHERS) {
-            recall();
+        checks++;
+        boolean anyUnsaved =
+                !views.unsavedVersions().isEmpty() || views.unsavedManifest().isPresent();
+        Duty activeRole = anyUnsaved ? role.get() : Duty.NONE;
+        boolean versionsUnsaved =
+                activeRole != Duty.NONE && !views.unsavedVersions().isEmpty();
+        checksWithUnsaved = versionsUnsaved ? checksWithUnsaved + 1 : 0;
+        if (!restored.get() || restoreDueAfterStartup() || checksWithUnsaved == BACKUP_DELAY_CHECKS) {
+            restore();
         }
-        if (recalled.get()) {
-            keep(now);
+        if (restored.get()) {
+            save(activeRole);
         }
-        regainManifest();
+        readMissingManifest();
     }
 
-    private void keep(Duty now) {
-        if (now == Duty.WRITES || now == Duty.STANDS_IN && looksMissing > LOOKS_FOR_OTHERS) {
-            keeper.unkept().forEach(this::write);
+    private void save(Duty activeRole) {
+        if (activeRole == Duty.WRITES || activeRole == Duty.STANDS_IN && checksWithUnsaved > BACKUP_DELAY_CHECKS) {
+            views.unsavedVersions().forEach(this::write);
         }
-        if (now == Duty.WRITES) {
-            keeper.unkeptManifest().ifPresent(this::write);
+        if (activeRole == Duty.WRITES) {
+            views.unsavedManifest().ifPresent(this::write);
         }
     }
 
@@ -244,12 +246,12 @@
      * missing, then at the second, the fourth and so on, because it may be lost together with all processes that had
      * it.
      */
-    private void regainManifest() {
-        OptionalLong lacking = keeper.lackingManifest();
-        looksLacking = lacking.isPresent() ? looksLacking + 1 : 0;
-        if (lacking.isPresent() && Long.bitCount(looksLacking) == 1) {
-            LOG.warn("event=manifest_lacking offset={} looks={}", lacking.getAsLong(), looksLacking);
-            keeper.apply(Topic.OPERATOR, hidden(lacking.getAsLong()), 0);
+    private void readMissingManifest() {
+        OptionalLong missingOffset = views.missingManifestOffset();
+        checksWithoutManifest = missingOffset.isPresent() ? checksWithoutManifest + 1 : 0;
+        if (missingOffset.isPresent() && Long.bitCount(checksWithoutManifest) == 1) {
+            LOG.warn("event=manifest_lacking offset={} looks={}", missingOffset.getAsLong(), checksWithoutManifest);
+            views.apply(Topic.OPERATOR, readManifest(missingOffset.getAsLong()), 0);
         }
     }
 
@@ -258,20 +260,20 @@
      * has read the saved versions at startup and before it reads the operator's record, which a late write has replaced
      * in the meantime. So they are read again 0.5, 2 and 8 s after startup.
      */
-    private boolean soonAfterStart() {
-        return looks <= LAST_LOOK_AFTER_START
-                && Long.bitCount(looks) == 1
-                && Long.numberOfTrailingZeros(looks) % 2 == 0;
+    private boolean restoreDueAfterStartup() {
+        return checks <= LAST_STARTUP_CHECK
+                && Long.bitCount(checks) == 1
+                && Long.numberOfTrailingZeros(checks) % 2 == 0;
     }
 
-    private void write(Unkept unkept) {
-        switch (writer.write(unkept)) {
+    private void write(Unkept item) {
+        switch (writer.write(item)) {
             case Result.Success<List<StoredRecord>>(List<StoredRecord> records) -> {
-                keeper.apply(Topic.NAMED, records, 0);
-                LOG.info("event=version_kept key={}", unkept.key());
+                views.apply(Topic.NAMED, records, 0);
+                LOG.info("event=version_kept key={}", item.key());
             }
             case Result.Failure<List<StoredRecord>>(Fault fault) ->
-                LOG.warn("event=version_not_kept key={} why=\"{}\"", unkept.key(), fault);
+                LOG.warn("event=version_not_kept key={} why=\"{}\"", item.key(), fault);
         }
     }
 }
--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/NewsReader.java
@@ -22,16 +22,16 @@
     private static final Logger LOG = LoggerFactory.getLogger(NewsReader.class);
 
     /** How long a response to an agent may take while data keeps arriving: a large manifest over a slow link. */
-    private static final Duration WHOLE_ANSWER = Duration.ofSeconds(10);
+    private static final Duration AGENT_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
 
     private final TopicReader store;
     private final Peers peers;
     private final Role role;
-    private final LongSupplier steadyMillis;
-    private final PeerUpdates told;
+    private final LongSupplier monotonicMillis;
+    private final PeerUpdates updates;
 
     /** Whether the operator records known to this process come from the store itself. */
-    private boolean direct;
+    private boolean readsStore;
 
     /** Requests records from peers. */
     @FunctionalInterface
@@ -46,7 +46,7 @@
          * @param timeout how long the whole response may take
          * @return the records, and the offset to continue from
          */
-        Result<Batch> ask(String peer, Topic topic, long from, Duration within);
+        Result<Batch> read(String peer, Topic topic, long from, Duration timeout);
     }
 
     /** Determines which peers a process relies on, and for which records. */
@@ -63,7 +63,7 @@
          * @param maxAgeMillis the maximum age of a peer's knowledge, in milliseconds; beyond it this process reads the
          *     store
          */
-        record Entry(String self, long trustMillis) implements Role {
+        record Entry(String self, long maxAgeMillis) implements Role {
 
             /** Validates the address. */
             public Entry {
@@ -73,16 +73,16 @@
     }
 
     /** What is available to read. */
-    private sealed interface News {
+    private sealed interface Availability {
 
         /** No peer has sent a recent update. */
-        record Unknown() implements News {}
+        record NoUpdates() implements Availability {}
 
         /** The peers know nothing newer. */
-        record Nothing() implements News {}
+        record NothingNewer() implements Availability {}
 
         /** A peer has newer records. */
-        record At(String peer) implements News {}
+        record AvailableAt(String peer) implements Availability {}
     }
 
     /**
@@ -93,12 +93,12 @@
      * @param role determines the peers to rely on
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public NewsReader(TopicReader store, Peers peers, Role role, LongSupplier steadyMillis) {
+    public NewsReader(TopicReader store, Peers peers, Role role, LongSupplier monotonicMillis) {
         this.store = Objects.requireNonNull(store, "store is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.role = Objects.requireNonNull(role, "role is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        this.told = new PeerUpdates(role);
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        this.updates = new PeerUpdates(role);
     }
 
     // -- updates from peers
@@ -111,7 +111,7 @@
      * @param asOfMillis the time on the monotonic clock up to which the peer knows all operator records
      */
     public synchronized void told(String peer, LastChanges changes, long asOfMillis) {
-        if (told.take(peer, changes, asOfMillis, steadyMillis.getAsLong())) {
+        if (updates.add(peer, changes, asOfMillis, monotonicMillis.getAsLong())) {
             notifyAll();
         }
     }
@@ -123,50 +123,50 @@
      * @return false before the first read, while the process relies on a peer, and while the store does not respond
      */
     public synchronized boolean direct() {
-        return direct;
+        return readsStore;
     }
 
     @Override
-    public synchronized boolean peersTell(Topic topic) {
-        return told.peersTell(steadyMillis.getAsLong());
+    public synchronized boolean hasPeerUpdates(Topic topic) {
+        return updates.hasValidUpdate(monotonicMillis.getAsLong());
     }
 
-    private synchronized News await(Topic topic, long from, long untilMillis) throws InterruptedException {
+    private synchronized Availability awaitNewer(Topic topic, long from, long untilMillis) throws InterruptedException {
         while (true) {
-            long now = steadyMillis.getAsLong();
-            if (!told.peersTell(now)) {
-                return new News.Unknown();
+            long now = monotonicMillis.getAsLong();
+            if (!updates.hasValidUpdate(now)) {
+                return new Availability.NoUpdates();
             }
-            Optional<String> ahead = told.ahead(topic, from, now);
-            if (ahead.isPresent()) {
-                return new News.At(ahead.get());
+            Optional<String> newerPeer = updates.newestPeer(topic, from, now);
+            if (newerPeer.isPresent()) {
+                return new Availability.AvailableAt(newerPeer.get());
             }
             if (now >= untilMillis) {
-                return new News.Nothing();
+                return new Availability.NothingNewer();
             }
-            wait(Math.clamp(told.endOfTrust(now) - now, 1, untilMillis - now));
+            wait(Math.clamp(updates.lastExpiryMillis(now) - now, 1, untilMillis - now));
         }
     }
 
-    private synchronized void distrust(String peer) {
-        told.forget(peer);
+    private synchronized void ignore(String peer) {
+        updates.remove(peer);
     }
 
     // -- reading
 
     @Override
     public Result<Batch> newest(Topic topic) {
-        return fromStore(topic, store.newest(topic));
+        return recordStoreResult(topic, store.newest(topic));
     }
 
     @Override
     public Result<Read> read(Topic topic, long from, Duration wait) {
         try {
-            return switch (await(topic, from, steadyMillis.getAsLong() + wait.toMillis())) {
-                case News.Unknown ignored -> readStore(topic, from, wait);
-                case News.Nothing ignored ->
-                    byPeer(topic, Result.success(new Read.Records(new Batch(List.of(), from))));
-                case News.At(String peer) -> fromPeer(peer, topic, from);
+            return switch (awaitNewer(topic, from, monotonicMillis.getAsLong() + wait.toMillis())) {
+                case Availability.NoUpdates ignored -> readStore(topic, from, wait);
+                case Availability.NothingNewer ignored ->
+                    recordPeerResult(topic, Result.success(new Read.Records(new Batch(List.of(), from))));
+                case Availability.AvailableAt(String peer) -> readPeer(peer, topic, from);
             };
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -175,26 +175,26 @@
     }
 
     @Override
-    public Result<Read> history(Topic topic, long from) {
+    public Result<Read> readHistory(Topic topic, long from) {
         Optional<String> peer = peerBeyond(topic, from);
-        return peer.isPresent() ? fromPeer(peer.get(), topic, from) : readStore(topic, from, Duration.ZERO);
+        return peer.isPresent() ? readPeer(peer.get(), topic, from) : readStore(topic, from, Duration.ZERO);
     }
 
     private synchronized Optional<String> peerBeyond(Topic topic, long from) {
-        return told.anyBeyond(topic, from, steadyMillis.getAsLong());
+        return updates.anyPeerBeyond(topic, from, monotonicMillis.getAsLong());
     }
 
     /**
      * Reads from a peer, or from the store if the peer does not return the records that it announced: it may have
      * restarted, or lack earlier records.
      */
-    private Result<Read> fromPeer(String peer, Topic topic, long from) {
-        Result<Batch> batch = peers.ask(peer, topic, from, within(peer));
-        if (batch.toOptional().filter(one -> one.end() > from).isPresent()) {
-            return byPeer(topic, batch.map(Read.Records::new));
+    private Result<Read> readPeer(String peer, Topic topic, long from) {
+        Result<Batch> batch = peers.read(peer, topic, from, responseTimeout(peer));
+        if (batch.toOptional().filter(received -> received.end() > from).isPresent()) {
+            return recordPeerResult(topic, batch.map(Read.Records::new));
         }
         LOG.info("event=news_not_given topic={} from={} peer={} next=store", topic, from, peer);
-        distrust(peer);
+        ignore(peer);
         return readStore(topic, from, Duration.ZERO);
     }
 
@@ -203,48 +203,49 @@
      * response that arrives slowly over a saturated link would otherwise keep the entry from reading the store for ten
      * seconds.
      */
-    private synchronized Duration within(String peer) {
+    private synchronized Duration responseTimeout(String peer) {
         return switch (role) {
-            case Role.Agent ignored -> WHOLE_ANSWER;
-            case Role.Entry ignored -> Duration.ofMillis(Math.max(1, told.trustLeft(peer, steadyMillis.getAsLong())));
+            case Role.Agent ignored -> AGENT_RESPONSE_TIMEOUT;
+            case Role.Entry ignored ->
+                Duration.ofMillis(Math.max(1, updates.remainingValidityMillis(peer, monotonicMillis.getAsLong())));
         };
     }
 
     private Result<Read> readStore(Topic topic, long from, Duration wait) {
-        return fromStore(topic, store.read(topic, from, ownHold(topic, wait)));
+        return recordStoreResult(topic, store.read(topic, from, storeHold(topic, wait)));
     }
 
     /**
      * Returns how long the store may hold a read. The first read after relying on peers is not held: the peers'
      * knowledge is old by then, and adding a hold would exceed the time within which a manifest must be active.
      */
-    private synchronized Duration ownHold(Topic topic, Duration wait) {
-        return topic == Topic.OPERATOR && !direct ? Duration.ZERO : wait;
+    private synchronized Duration storeHold(Topic topic, Duration wait) {
+        return topic == Topic.OPERATOR && !readsStore ? Duration.ZERO : wait;
     }
 
-    private synchronized <T> Result<T> fromStore(Topic topic, Result<T> answer) {
+    private synchronized <T> Result<T> recordStoreResult(Topic topic, Result<T> result) {
         if (topic == Topic.OPERATOR) {
-            boolean answers = answer instanceof Result.Success<T>;
-            told.setStoreResponds(answers);
-            learnedFrom(answers);
+            boolean responded = result instanceof Result.Success<T>;
+            updates.setStoreResponds(responded);
+            setSource(responded);
         }
-        return answer;
+        return result;
     }
 
-    private synchronized Result<Read> byPeer(Topic topic, Result<Read> answer) {
+    private synchronized Result<Read> recordPeerResult(Topic topic, Result<Read> result) {
         if (topic == Topic.OPERATOR) {
-            learnedFrom(false);
+            setSource(false);
         }
-        return answer;
+        return result;
     }
 
-    private void learnedFrom(boolean fromStore) {
-        if (direct != fromStore) {
+    private void setSource(boolean fromStore) {
+        if (readsStore != fromStore) {
             LOG.info(
                     "event=operator_news_from source={} storeAnswers={}",
                     fromStore ? "store" : "peers",
-                    told.storeAnswers());
+                    updates.storeResponds());
         }
-        direct = fromStore;
+        readsStore = fromStore;
     }
 }
--- a/src/main/java/org/micabarrow/views/OperatorFreshness.java
+++ b/src/main/java/org/micabarrow/views/OperatorFreshness.java
@@ -14,7 +14,7 @@
     private static final long NEVER = Long.MIN_VALUE;
 
     private final AtomicLong asOfMillis = new AtomicLong(NEVER);
-    private volatile boolean manifestLacking;
+    private volatile boolean manifestMissing;
 
     /**
      * Records that everything written up to a time has been applied. An earlier time than the known one has no effect.
@@ -27,13 +27,13 @@
      * Sets whether a manifest is known to be newer than the active one and was replaced by an older one that was
      * written late.
      */
-    void manifestLacking(boolean lacking) {
-        manifestLacking = lacking;
+    void setManifestMissing(boolean missing) {
+        manifestMissing = missing;
     }
 
     /** The latest such time; empty if there is none, and while a manifest is missing, regardless of what was read. */
     OptionalLong asOf() {
         long millis = asOfMillis.get();
-        return manifestLacking || millis == NEVER ? OptionalLong.empty() : OptionalLong.of(millis);
+        return manifestMissing || millis == NEVER ? OptionalLong.empty() : OptionalLong.of(millis);
     }
 }
--- a/src/main/java/org/micabarrow/views/OperatorLog.java
+++ b/src/main/java/org/micabarrow/views/OperatorLog.java
@@ -11,19 +11,19 @@
 
     private OperatorLog() {}
 
-    static void ofOthers(StoredRecord record) {
+    static void unusedRecord(StoredRecord record) {
         LOG.debug("event=record_unused key={}", record.key());
     }
 
-    static void dropped(StoredRecord record) {
+    static void ignoredDeletion(StoredRecord record) {
         LOG.warn("event=operator_record_dropped key={} offset={} kept=last", record.key(), record.offset());
     }
 
-    static void refused(StoredRecord record, Fault fault) {
+    static void invalidRecord(StoredRecord record, Fault fault) {
         LOG.error("event=record_refused key={} offset={} why=\"{}\"", record.shownKey(), record.offset(), fault);
     }
 
-    static void named(String model, View.Target target, long millisAgo, String source) {
+    static void targetNamed(String model, View.Target target, long millisAgo, String source) {
         LOG.info(
                 "event=weights_named model={} version={} seen={} msAgo={} from={}",
                 model,
@@ -33,7 +33,7 @@
                 source);
     }
 
-    static void namedLate(StoredRecord record, String model, long version, long newest) {
+    static void outdatedTargetNamed(StoredRecord record, String model, long version, long newest) {
         LOG.warn(
                 "event=weights_named_late model={} version={} offset={} newest={}",
                 model,
--- a/src/main/java/org/micabarrow/views/OperatorState.java
+++ b/src/main/java/org/micabarrow/views/OperatorState.java
@@ -11,24 +11,24 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder.OperatorRecord;
-import org.micabarrow.views.View.Learned;
+import org.micabarrow.views.View.TargetSource;
 
 /** Applies operator records, and the records that processes saved about them, to the view. Not thread-safe. */
 final class OperatorState {
 
     private final RecordDecoder decoder;
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
     private final WeightTargets targets;
     private final ManifestTracker manifests = new ManifestTracker();
     private boolean loaded;
 
     /** Whether an invalid manifest followed the active one, so that the rules that apply now are unknown. */
-    private boolean unusable;
+    private boolean manifestInvalid;
 
-    OperatorState(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
+    OperatorState(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
         this.decoder = decoder;
-        this.steadyMillis = steadyMillis;
-        this.targets = new WeightTargets(steadyMillis, unixMillis);
+        this.monotonicMillis = monotonicMillis;
+        this.targets = new WeightTargets(monotonicMillis, unixMillis);
     }
 
     /**
@@ -37,12 +37,12 @@
      * @param view the resulting view
      * @param relevantToAgents whether agents use the record
      */
-    record Change(View view, boolean forAgents) {}
+    record Change(View view, boolean relevantToAgents) {}
 
     /**
      * Marks that all operator records have been read once: from now on, this process observes when a version is named.
      */
-    void loaded() {
+    void markLoaded() {
         loaded = true;
     }
 
@@ -54,62 +54,62 @@
     // -- operator records
 
     /** Applies an operator record. */
-    Change said(StoredRecord record, View view) {
+    Change apply(StoredRecord record, View view) {
         if (record.dropped()) {
-            OperatorLog.dropped(record);
+            OperatorLog.ignoredDeletion(record);
             return new Change(view, false);
         }
         return switch (decoder.operator(record)) {
             case Result.Failure<OperatorRecord>(Fault fault) -> {
-                OperatorLog.refused(record, fault);
-                unusable |= decoder.isManifest(record.key());
+                OperatorLog.invalidRecord(record, fault);
+                manifestInvalid |= decoder.isManifest(record.key());
                 yield new Change(view, false);
             }
             case Result.Success<OperatorRecord>(OperatorRecord.ManifestSet(RouteManifest manifest)) ->
-                manifestSet(record, manifest, view);
+                applyManifest(record, manifest, view);
             case Result.Success<OperatorRecord>(
                     OperatorRecord.WeightsNamed(String model, long version, OptionalLong ignored)) ->
-                weightsNamed(record, model, version, view);
-            case Result.Success<OperatorRecord>(OperatorRecord.ManifestKept ignored) -> unused(record, view);
-            case Result.Success<OperatorRecord>(OperatorRecord.Unused ignored) -> unused(record, view);
+                applyWeights(record, model, version, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.ManifestKept ignored) -> ignore(record, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.Unused ignored) -> ignore(record, view);
         };
     }
 
-    private static Change unused(StoredRecord record, View view) {
-        OperatorLog.ofOthers(record);
+    private static Change ignore(StoredRecord record, View view) {
+        OperatorLog.unusedRecord(record);
         return new Change(view, false);
     }
 
-    private Change manifestSet(StoredRecord record, RouteManifest manifest, View view) {
-        if (!manifests.take(record, manifest)) {
+    private Change applyManifest(StoredRecord record, RouteManifest manifest, View view) {
+        if (!manifests.accept(record, manifest)) {
             return new Change(view, false);
         }
-        unusable = false;
+        manifestInvalid = false;
         boolean sameServices = view.manifest().filter(manifest::sameServices).isPresent();
         return new Change(view.withManifest(manifest, record.offset()), !sameServices);
     }
 
-    private Change weightsNamed(StoredRecord record, String model, long version, View view) {
+    private Change applyWeights(StoredRecord record, String model, long version, View view) {
         long newest = view.newestTarget(model).map(View.Target::version).orElse(0L);
-        View.Target target = targets.byOperator(record, model, version, loaded);
+        View.Target target = targets.recordNamed(record, model, version, loaded);
         View after = withTarget(model, target, view, "store offset=" + record.offset());
         if (after == view && version < newest) {
-            OperatorLog.namedLate(record, model, version, newest);
+            OperatorLog.outdatedTargetNamed(record, model, version, newest);
         }
         return new Change(after, true);
     }
 
     /** Adds a weight version that a peer reported. */
-    View wanted(String model, long version, View view) {
-        Learned learned = loaded ? Learned.SEEN_NAMED : Learned.TOLD_BY_PEER;
-        return withTarget(model, new View.Target(version, steadyMillis.getAsLong(), learned), view, "peer");
+    View addPeerTarget(String model, long version, View view) {
+        TargetSource source = loaded ? TargetSource.OBSERVED : TargetSource.REPORTED_BY_PEER;
+        return withTarget(model, new View.Target(version, monotonicMillis.getAsLong(), source), view, "peer");
     }
 
     /** Returns the view with a target added, or the same view if the target is not newer. The source is only logged. */
     private View withTarget(String model, View.Target target, View view, String source) {
         View after = view.withTarget(model, target);
         if (after != view) {
-            OperatorLog.named(model, target, steadyMillis.getAsLong() - target.learnedMillis(), source);
+            OperatorLog.targetNamed(model, target, monotonicMillis.getAsLong() - target.learnedMillis(), source);
         }
         return after;
     }
@@ -117,46 +117,46 @@
     // -- records saved by processes
 
     /** Applies records that processes saved. */
-    View kept(List<StoredRecord> records, View view) {
-        List<OperatorRecord> said = records.stream()
+    View applySaved(List<StoredRecord> records, View view) {
+        List<OperatorRecord> saved = records.stream()
                 .filter(record -> !record.dropped())
                 .map(decoder::operator)
-                .flatMap(one -> one.toOptional().stream())
+                .flatMap(result -> result.toOptional().stream())
                 .toList();
-        manifests.takeKept(said);
+        manifests.applySaved(saved);
         View after = view;
-        for (var newest : targets.kept(said).entrySet()) {
+        for (var newest : targets.newestSaved(saved).entrySet()) {
             after = withTarget(newest.getKey(), newest.getValue(), after, "kept");
         }
         return after;
     }
 
     /** The newest versions that are not known to be saved in the store under their own keys. */
-    List<Unkept> unkept(TopicCopy lying) {
-        return targets.unkept(lying);
+    List<Unkept> unsavedVersions(TopicCopy savedCopy) {
+        return targets.unsaved(savedCopy);
     }
 
     // -- manifests, see ManifestTracker
 
-    OptionalLong lackingManifest(long readTo) {
-        return manifests.lacking(readTo);
+    OptionalLong missingManifestOffset(long readTo) {
+        return manifests.missingOffset(readTo);
     }
 
     /** Whether this process lacks the manifest that should be active, or cannot use it. */
-    boolean misses(long readTo) {
-        return unusable || manifests.lacking(readTo).isPresent();
+    boolean lacksManifest(long readTo) {
+        return manifestInvalid || manifests.missingOffset(readTo).isPresent();
     }
 
-    void manifestStands(ManifestPlace place) {
-        manifests.stands(place);
+    void recordManifestPosition(ManifestPlace position) {
+        manifests.recordPosition(position);
     }
 
-    Optional<ManifestPlace> newestManifest() {
-        return manifests.newest();
+    Optional<ManifestPlace> newestManifestPosition() {
+        return manifests.newestPosition();
     }
 
-    Optional<Unkept> unkeptManifest(TopicCopy lying) {
-        return manifests.unkept(lying);
+    Optional<Unkept> unsavedManifest(TopicCopy savedCopy) {
+        return manifests.unsaved(savedCopy);
     }
 
     // -- peers
@@ -166,9 +166,9 @@
      * if an older one was written after them. The records are in order of offset: otherwise the reader would apply the
      * older ones and skip the newer ones.
      */
-    List<StoredRecord> withHidden(Collection<StoredRecord> records, long offset) {
+    List<StoredRecord> withReplaced(Collection<StoredRecord> records, long offset) {
         Stream<StoredRecord> newest =
-                Stream.concat(manifests.newestRecord(offset).stream(), targets.newestRecords(offset).stream());
+                Stream.concat(manifests.activeRecordFrom(offset).stream(), targets.newestRecords(offset).stream());
         return Stream.concat(records.stream(), newest)
                 .distinct()
                 .sorted(Comparator.comparingLong(StoredRecord::offset))
--- a/src/main/java/org/micabarrow/views/PeerUpdates.java
+++ b/src/main/java/org/micabarrow/views/PeerUpdates.java
@@ -14,78 +14,79 @@
      * How long an agent relies on an update, in milliseconds. Nearby entries send some seven updates in this time, so
      * that a few may be lost. A peer that lost its connection to the store sends no updates.
      */
-    private static final long TOLD_MILLIS = 1_000;
+    private static final long AGENT_UPDATE_VALIDITY_MILLIS = 1_000;
 
     /**
      * How long an entry relies on an update about the entry that reads the store for the region, in milliseconds.
      * Agents send some three updates in this time. They continue to name a reader that has ended for the same time;
      * twice this time and one read of the store must fit into two seconds.
      */
-    private static final long READER_TOLD_MILLIS = 500;
+    private static final long ENTRY_UPDATE_VALIDITY_MILLIS = 500;
 
     /**
      * The maximum age of an entry's knowledge on which agents rely, in milliseconds: a weight version must be in use
      * within about eight seconds, and copying it takes three to five of them.
      */
-    private static final long AGENT_TRUST_MILLIS = 3_000;
+    private static final long AGENT_MAX_AGE_MILLIS = 3_000;
 
     private final Role role;
-    private final Map<String, Told> told = new HashMap<>();
+    private final Map<String, Update> updates = new HashMap<>();
 
     /** Whether the store responded to this process at the last read. */
-    private boolean storeAnswers = true;
+    private boolean storeResponds = true;
 
-    private record Told(String peer, LastChanges changes, long asOfMillis, long atMillis) {}
+    private record Update(String peer, LastChanges changes, long asOfMillis, long receivedAtMillis) {}
 
     PeerUpdates(Role role) {
         this.role = role;
     }
 
     /** Records an update from a peer. Returns whether it differs from the previous one. */
-    boolean take(String peer, LastChanges changes, long asOfMillis, long nowMillis) {
-        Told before = told.put(peer, new Told(peer, changes, asOfMillis, nowMillis));
-        return before == null || !before.changes().equals(changes);
+    boolean add(String peer, LastChanges changes, long asOfMillis, long nowMillis) {
+        Update previous = updates.put(peer, new Update(peer, changes, asOfMillis, nowMillis));
+        return previous == null || !previous.changes().equals(changes);
     }
 
     /** Ignores a peer until it sends another update. */
-    void forget(String peer) {
-        told.remove(peer);
+    void remove(String peer) {
+        updates.remove(peer);
     }
 
     /** Records whether the store responds to this process. */
-    void setStoreResponds(boolean answers) {
-        storeAnswers = answers;
+    void setStoreResponds(boolean responds) {
+        storeResponds = responds;
     }
 
     /** Whether the store responded to this process at the last read. */
-    boolean storeAnswers() {
-        return storeAnswers;
+    boolean storeResponds() {
+        return storeResponds;
     }
 
     // -- validity
 
     /** Whether any update is valid now. */
-    boolean peersTell(long nowMillis) {
-        told.values().removeIf(one -> nowMillis - one.atMillis() >= toldMillis());
-        return counting(nowMillis).findAny().isPresent();
+    boolean hasValidUpdate(long nowMillis) {
+        updates.values().removeIf(update -> nowMillis - update.receivedAtMillis() >= validityMillis());
+        return validUpdates(nowMillis).findAny().isPresent();
     }
 
-    private Stream<Told> counting(long nowMillis) {
-        return told.values().stream().filter(one -> counts(one, nowMillis));
+    private Stream<Update> validUpdates(long nowMillis) {
+        return updates.values().stream().filter(update -> isValid(update, nowMillis));
     }
 
-    private boolean counts(Told one, long nowMillis) {
-        boolean known = nowMillis - one.asOfMillis() < trustMillis();
+    private boolean isValid(Update update, long nowMillis) {
+        boolean recent = nowMillis - update.asOfMillis() < maxAgeMillis();
         return switch (role) {
-            case Role.Agent ignored -> known;
-            case Role.Entry entry -> known && (one.peer().compareTo(entry.self()) < 0 || !storeAnswers);
+            case Role.Agent ignored -> recent;
+            case Role.Entry entry -> recent && (update.peer().compareTo(entry.self()) < 0 || !storeResponds);
         };
     }
 
     /** The time at which the last valid update expires, unless another one arrives. */
-    long endOfTrust(long nowMillis) {
-        return counting(nowMillis)
-                .mapToLong(one -> Math.min(one.atMillis() + toldMillis(), one.asOfMillis() + trustMillis()))
+    long lastExpiryMillis(long nowMillis) {
+        return validUpdates(nowMillis)
+                .mapToLong(update ->
+                        Math.min(update.receivedAtMillis() + validityMillis(), update.asOfMillis() + maxAgeMillis()))
                 .max()
                 .orElse(nowMillis);
     }
@@ -93,45 +94,45 @@
     /**
      * How long a peer's knowledge remains recent enough to rely on, in milliseconds; 0 for a peer without an update.
      */
-    long trustLeft(String peer, long nowMillis) {
-        Told one = told.get(peer);
-        return one == null ? 0 : one.asOfMillis() + trustMillis() - nowMillis;
+    long remainingValidityMillis(String peer, long nowMillis) {
+        Update update = updates.get(peer);
+        return update == null ? 0 : update.asOfMillis() + maxAgeMillis() - nowMillis;
     }
 
-    private long toldMillis() {
+    private long validityMillis() {
         return switch (role) {
-            case Role.Agent ignored -> TOLD_MILLIS;
-            case Role.Entry ignored -> READER_TOLD_MILLIS;
+            case Role.Agent ignored -> AGENT_UPDATE_VALIDITY_MILLIS;
+            case Role.Entry ignored -> ENTRY_UPDATE_VALIDITY_MILLIS;
         };
     }
 
-    private long trustMillis() {
+    private long maxAgeMillis() {
         return switch (role) {
-            case Role.Agent ignored -> AGENT_TRUST_MILLIS;
-            case Role.Entry entry -> entry.trustMillis();
+            case Role.Agent ignored -> AGENT_MAX_AGE_MILLIS;
+            case Role.Entry entry -> entry.maxAgeMillis();
         };
     }
 
     // -- contents
 
     /** The peer with the newest records that this process needs beyond an offset. */
-    Optional<String> ahead(Topic topic, long from, long nowMillis) {
-        return counting(nowMillis)
-                .filter(one -> needed(one.changes(), topic) > from)
-                .max(Comparator.comparingLong(one -> needed(one.changes(), topic)))
-                .map(Told::peer);
+    Optional<String> newestPeer(Topic topic, long from, long nowMillis) {
+        return validUpdates(nowMillis)
+                .filter(update -> neededOffset(update.changes(), topic) > from)
+                .max(Comparator.comparingLong(update -> neededOffset(update.changes(), topic)))
+                .map(Update::peer);
     }
 
     /** A peer that knows of a change beyond an offset, whether or not this process needs it. */
-    Optional<String> anyBeyond(Topic topic, long from, long nowMillis) {
-        return counting(nowMillis)
-                .filter(one -> one.changes().of(topic) > from)
-                .map(Told::peer)
+    Optional<String> anyPeerBeyond(Topic topic, long from, long nowMillis) {
+        return validUpdates(nowMillis)
+                .filter(update -> update.changes().of(topic) > from)
+                .map(Update::peer)
                 .findFirst();
     }
 
     /** The offset of the last change that this process needs. */
-    private long needed(LastChanges changes, Topic topic) {
+    private long neededOffset(LastChanges changes, Topic topic) {
         return topic == Topic.OPERATOR && role instanceof Role.Agent ? changes.weights() : changes.of(topic);
     }
 }
--- a/src/main/java/org/micabarrow/views/PendingRemovals.java
+++ b/src/main/java/org/micabarrow/views/PendingRemovals.java
@@ -22,17 +22,17 @@
      * How long after the store became reachable again a removal stays pending, in milliseconds: a running endpoint
      * writes its entry again within two seconds of that moment.
      */
-    static final long DOUBT_MILLIS = 2_300;
+    static final long REMOVAL_DELAY_MILLIS = 2_300;
 
-    private final Map<String, Long> doubtedUntil = new HashMap<>();
-    private final Set<String> dropped = new HashSet<>();
-    private int listed;
-    private long regainedMillis = Long.MIN_VALUE / 2;
+    private final Map<String, Long> dueAtMillis = new HashMap<>();
+    private final Set<String> removed = new HashSet<>();
+    private int listedCount;
+    private long reachableSinceMillis = Long.MIN_VALUE / 2;
 
     /** Records that the store is reachable again after an outage. */
-    void regained(long nowMillis) {
-        regainedMillis = nowMillis;
-        dropped.clear();
+    void onStoreReachable(long nowMillis) {
+        reachableSinceMillis = nowMillis;
+        removed.clear();
     }
 
     /**
@@ -42,52 +42,52 @@
      * @param listedBefore how many endpoints were listed before this batch
      * @param nowMillis the time on the monotonic clock
      */
-    void read(Set<String> drops, int listedNow, long nowMillis) {
-        if (nowMillis >= regainedMillis + DOUBT_MILLIS) {
+    void prepareBatch(Set<String> removedIds, int listedBefore, long nowMillis) {
+        if (nowMillis >= reachableSinceMillis + REMOVAL_DELAY_MILLIS) {
             return;
         }
-        if (dropped.isEmpty()) {
-            listed = listedNow;
+        if (removed.isEmpty()) {
+            listedCount = listedBefore;
         }
-        dropped.addAll(drops);
+        removed.addAll(removedIds);
     }
 
-    private boolean awayForAll() {
-        return 2 * dropped.size() > listed;
+    private boolean storeWasDownForAll() {
+        return 2 * removed.size() > listedCount;
     }
 
     /**
      * Defers the removal of an endpoint if the store may have been unreachable for all endpoints. Returns whether it
      * was deferred.
      */
-    boolean doubt(EndpointEntry known, long nowMillis) {
-        long until = regainedMillis + DOUBT_MILLIS;
-        if (known.leaving() || nowMillis >= until || !awayForAll()) {
+    boolean defer(EndpointEntry entry, long nowMillis) {
+        long dueMillis = reachableSinceMillis + REMOVAL_DELAY_MILLIS;
+        if (entry.leaving() || nowMillis >= dueMillis || !storeWasDownForAll()) {
             return false;
         }
-        doubtedUntil.put(known.id(), until);
+        dueAtMillis.put(entry.id(), dueMillis);
         return true;
     }
 
     /** Cancels the pending removal of an endpoint, if there is one. */
-    void forget(String id) {
-        doubtedUntil.remove(id);
+    void cancel(String id) {
+        dueAtMillis.remove(id);
     }
 
     /** The earliest time at which a pending removal takes effect; empty if none is pending. */
-    OptionalLong firstEndMillis() {
-        return doubtedUntil.values().stream().mapToLong(Long::longValue).min();
+    OptionalLong nextDueMillis() {
+        return dueAtMillis.values().stream().mapToLong(Long::longValue).min();
     }
 
     /** Removes and returns the pending removals that are due. */
-    List<String> takeOverdue(long nowMillis) {
-        List<String> overdue = new ArrayList<>();
-        doubtedUntil.forEach((id, until) -> {
-            if (nowMillis >= until) {
-                overdue.add(id);
+    List<String> removeDue(long nowMillis) {
+        List<String> due = new ArrayList<>();
+        dueAtMillis.forEach((id, dueMillis) -> {
+            if (nowMillis >= dueMillis) {
+                due.add(id);
             }
         });
-        overdue.forEach(doubtedUntil::remove);
-        return overdue;
+        due.forEach(dueAtMillis::remove);
+        return due;
     }
 }
--- a/src/main/java/org/micabarrow/views/StoreFollower.java
+++ b/src/main/java/org/micabarrow/views/StoreFollower.java
@@ -21,7 +21,7 @@
      * The pause after a failed read, in milliseconds. With a request to a peer in between, a change reaches this
      * process well within the two seconds that the platform allows by default.
      */
-    private static final long AGAIN_MILLIS = 300;
+    private static final long RETRY_MILLIS = 300;
 
     /**
      * While the store is unreachable, it is read only once in this many rounds, that is every 0.9 s. Peers are queried
@@ -29,16 +29,16 @@
      * be connected again. If it were read in every round, 20 processes would send 130 requests a second to a store that
      * refuses them.
      */
-    private static final int ROUNDS_A_READ = 3;
+    private static final int ROUNDS_PER_READ = 3;
 
     private final Topic topic;
     private final TopicReader reader;
-    private final ViewKeeper keeper;
-    private final Consumer<Topic> askPeer;
-    private final Pace pace;
+    private final ViewKeeper views;
+    private final Consumer<Topic> requestFromPeer;
+    private final Pace timing;
     private volatile boolean loaded;
     private volatile boolean reachable = true;
-    private volatile boolean tried;
+    private volatile boolean initialized;
     private int roundsWithoutRead;
 
     /**
@@ -46,7 +46,7 @@
      * up to the time at which it was sent, which may be a whole hold ago. The next read is therefore not held, or the
      * age of the proof could reach two holds in quiet times.
      */
-    private boolean foundWhileHeld;
+    private boolean heldReadFoundRecords;
 
     /**
      * The timing of reads.
@@ -54,7 +54,7 @@
      * @param hold how long the store may hold a read that finds no records
      * @param pause the pause after a read that returned records, so that topics with many writes are read in batches
      */
-    public record Pace(Duration hold, Duration rest) {}
+    public record Pace(Duration hold, Duration pause) {}
 
     /**
      * Creates a follower.
@@ -65,12 +65,13 @@
      * @param requestFromPeer requests records of a topic from a peer when the store cannot be read
      * @param timing the timing of reads
      */
-    public StoreFollower(Topic topic, TopicReader reader, ViewKeeper keeper, Consumer<Topic> askPeer, Pace pace) {
+    public StoreFollower(
+            Topic topic, TopicReader reader, ViewKeeper views, Consumer<Topic> requestFromPeer, Pace timing) {
         this.topic = Objects.requireNonNull(topic, "topic is null");
         this.reader = Objects.requireNonNull(reader, "reader is null");
-        this.keeper = Objects.requireNonNull(keeper, "keeper is null");
-        this.askPeer = Objects.requireNonNull(askPeer, "askPeer is null");
-        this.pace = Objects.requireNonNull(pace, "pace is null");
+        this.views = Objects.requireNonNull(views, "views is null");
+        this.requestFromPeer = Objects.requireNonNull(requestFromPeer, "requestFromPeer is null");
+        this.timing = Objects.requireNonNull(timing, "timing is null");
     }
 
     /**
@@ -89,7 +90,7 @@
      * @return true from then on
      */
     public boolean hasTried() {
-        return tried;
+        return initialized;
     }
 
     /** Follows the topic on a separate thread, which runs until the process ends. */
@@ -100,7 +101,7 @@
     private void follow() {
         try {
             while (true) {
-                Thread.sleep(onceWhatever());
+                Thread.sleep(runGuarded());
             }
         } catch (InterruptedException e) {
             LOG.info("event=follower_stopped topic={}", topic);
@@ -111,12 +112,12 @@
      * Reads once. An unexpected exception fails a single read and does not end the thread, which would leave the view
      * outdated.
      */
-    private long onceWhatever() {
+    private long runGuarded() {
         try {
             return once();
         } catch (RuntimeException e) {
             LOG.error("event=read_failed topic={}", topic, e);
-            return AGAIN_MILLIS;
+            return RETRY_MILLIS;
         }
     }
 
@@ -126,69 +127,69 @@
      * @return how long to wait before the next read, in milliseconds
      */
     public long once() {
-        keeper.settleDoubts();
+        views.removeDueEndpoints();
         // An entry that was disconnected reads at once when peers send updates again: waiting for its turn would take
         // up to 1.9 s of the 3 s allowed for a manifest.
-        if (!reachable && loaded && !reader.peersTell(topic) && ++roundsWithoutRead < ROUNDS_A_READ) {
-            askPeer.accept(topic);
-            return AGAIN_MILLIS;
+        if (!reachable && loaded && !reader.hasPeerUpdates(topic) && ++roundsWithoutRead < ROUNDS_PER_READ) {
+            requestFromPeer.accept(topic);
+            return RETRY_MILLIS;
         }
         roundsWithoutRead = 0;
-        Result<Long> rest = loaded ? readOn() : load();
-        return switch (rest) {
+        Result<Long> pause = loaded ? readNext() : load();
+        return switch (pause) {
             case Result.Success<Long>(Long millis) -> {
-                tried = true;
+                initialized = true;
                 yield millis;
             }
             case Result.Failure<Long>(Fault fault) -> {
-                lost(fault);
-                askPeer.accept(topic);
-                tried = true;
-                yield AGAIN_MILLIS;
+                onStoreLost(fault);
+                requestFromPeer.accept(topic);
+                initialized = true;
+                yield RETRY_MILLIS;
             }
         };
     }
 
     private Result<Long> load() {
         return reader.newest(topic).map(batch -> {
-            regained();
-            keeper.replace(topic, batch.records(), batch.end());
+            onStoreReachable();
+            views.replace(topic, batch.records(), batch.end());
             confirm(batch);
             loaded = true;
             return 0L;
         });
     }
 
-    private Result<Long> readOn() {
-        boolean held = reachable && !foundWhileHeld;
-        return (reachable ? readAgainIfLost(held ? untilDoubtEnds(pace.hold()) : Duration.ZERO) : read(Duration.ZERO))
+    private Result<Long> readNext() {
+        boolean held = reachable && !heldReadFoundRecords;
+        return (reachable ? readWithRetry(held ? untilNextRemoval(timing.hold()) : Duration.ZERO) : read(Duration.ZERO))
                 .map(read -> {
-                    regained();
-                    return take(read, held);
+                    onStoreReachable();
+                    return apply(read, held);
                 });
     }
 
     /** Shortens a hold or pause so that it ends when the first pending removal is due. */
-    private Duration untilDoubtEnds(Duration wait) {
-        return topic == Topic.ENDPOINTS ? keeper.untilDoubtEnds(wait) : wait;
+    private Duration untilNextRemoval(Duration wait) {
+        return topic == Topic.ENDPOINTS ? views.untilNextRemoval(wait) : wait;
     }
 
     private Result<TopicReader.Read> read(Duration wait) {
-        return reader.read(topic, keeper.end(topic), wait);
+        return reader.read(topic, views.end(topic), wait);
     }
 
     /**
      * Reads again at once if no response arrived: an open connection may be reset or stop responding for good while the
      * store itself is available on a new connection. This needs no pause, and no removal becomes pending.
      */
-    private Result<TopicReader.Read> readAgainIfLost(Duration wait) {
+    private Result<TopicReader.Read> readWithRetry(Duration wait) {
         Result<TopicReader.Read> first = read(wait);
-        if (first instanceof Result.Failure<TopicReader.Read>(Fault fault) && ofConnection(fault)) {
+        if (first instanceof Result.Failure<TopicReader.Read>(Fault fault) && isConnectionFault(fault)) {
             LOG.info("event=store_read_again topic={} why=\"{}\"", topic, fault);
             if (topic == Topic.ENDPOINTS) {
                 // If the store itself is unresponsive, a peer responds sooner; waiting for another timeout would exceed
                 // the bound.
-                askPeer.accept(topic);
+                requestFromPeer.accept(topic);
             }
             return read(Duration.ZERO);
         }
@@ -196,24 +197,24 @@
     }
 
     /** Whether a fault may be caused by the connection alone, which was reset or stopped responding. */
-    private static boolean ofConnection(Fault fault) {
+    private static boolean isConnectionFault(Fault fault) {
         return fault.reason() == Reason.TIMEOUT || fault.reason() == Reason.UNREACHABLE;
     }
 
-    private long take(TopicReader.Read read, boolean held) {
-        foundWhileHeld = false;
+    private long apply(TopicReader.Read read, boolean held) {
+        heldReadFoundRecords = false;
         return switch (read) {
             case TopicReader.Read.Records(TopicReader.Batch batch) -> {
-                keeper.apply(topic, batch.records(), batch.end());
+                views.apply(topic, batch.records(), batch.end());
                 confirm(batch);
-                foundWhileHeld =
+                heldReadFoundRecords =
                         topic == Topic.OPERATOR && held && !batch.records().isEmpty();
-                yield batch.records().isEmpty() || foundWhileHeld
+                yield batch.records().isEmpty() || heldReadFoundRecords
                         ? 0L
-                        : untilDoubtEnds(pace.rest()).toMillis();
+                        : untilNextRemoval(timing.pause()).toMillis();
             }
             case TopicReader.Read.Expired ignored -> {
-                LOG.info("event=history_expired topic={} from={}", topic, keeper.end(topic));
+                LOG.info("event=history_expired topic={} from={}", topic, views.end(topic));
                 loaded = false;
                 yield 0L;
             }
@@ -222,21 +223,21 @@
 
     private void confirm(TopicReader.Batch batch) {
         if (topic == Topic.OPERATOR) {
-            batch.asOfMillis().ifPresent(keeper::confirmOperator);
+            batch.asOfMillis().ifPresent(views::confirmOperator);
         }
     }
 
-    private void lost(Fault fault) {
+    private void onStoreLost(Fault fault) {
         if (reachable) {
             LOG.warn("event=store_lost topic={} why=\"{}\"", topic, fault);
         }
         reachable = false;
     }
 
-    private void regained() {
+    private void onStoreReachable() {
         if (!reachable) {
-            LOG.info("event=store_regained topic={} end={}", topic, keeper.end(topic));
-            keeper.regained(topic);
+            LOG.info("event=store_regained topic={} end={}", topic, views.end(topic));
+            views.onStoreReachable(topic);
         }
         reachable = true;
     }
--- a/src/main/java/org/micabarrow/views/StoredRecord.java
+++ b/src/main/java/org/micabarrow/views/StoredRecord.java
@@ -12,7 +12,7 @@
 public record StoredRecord(String key, long offset, byte[] value) {
 
     /** The maximum number of characters of foreign text in a log line: a key may have up to 255. */
-    private static final int SHOWN_CHARS = 120;
+    private static final int MAX_LOGGED_CHARS = 120;
 
     /** Validates the components. */
     public StoredRecord {
@@ -45,7 +45,7 @@
      * @return the text, truncated, with control characters and quotes replaced
      */
     public static String shown(String text) {
-        String line = text.replaceAll("[^ -~]", "?").replace('"', '\'');
-        return line.length() <= SHOWN_CHARS ? line : line.substring(0, SHOWN_CHARS) + "...";
+        String safe = text.replaceAll("[^ -~]", "?").replace('"', '\'');
+        return safe.length() <= MAX_LOGGED_CHARS ? safe : safe.substring(0, MAX_LOGGED_CHARS) + "...";
     }
 }
--- a/src/main/java/org/micabarrow/views/TopicCopy.java
+++ b/src/main/java/org/micabarrow/views/TopicCopy.java
@@ -18,13 +18,13 @@
  */
 public final class TopicCopy {
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY = {};
 
-    private final Map<String, StoredRecord> newest = new HashMap<>();
+    private final Map<String, StoredRecord> latest = new HashMap<>();
     private long end;
 
     /** Every record from this offset on was read, or received from a peer that had read it. */
-    private long gaplessFrom;
+    private long contiguousFrom;
 
     /**
      * Applies records that were read from the topic or received from a peer.
@@ -34,15 +34,15 @@
      * @return the records that were new
      */
     public List<StoredRecord> apply(Collection<StoredRecord> records, long readTo) {
-        List<StoredRecord> news = new ArrayList<>();
+        List<StoredRecord> accepted = new ArrayList<>();
         for (StoredRecord record : records) {
-            if (takes(record)) {
-                newest.put(record.key(), record);
-                news.add(record);
+            if (isNewer(record)) {
+                latest.put(record.key(), record);
+                accepted.add(record);
             }
         }
         end = Math.max(end, readTo);
-        return news;
+        return accepted;
     }
 
     /**
@@ -53,25 +53,25 @@
      * @param endBeforeRead the end of the topic before the first of them was read
      * @return the records that were new
      */
-    public List<StoredRecord> replace(Collection<StoredRecord> records, long takenAt) {
+    public List<StoredRecord> replace(Collection<StoredRecord> records, long endBeforeRead) {
         Set<String> present = new HashSet<>();
         records.forEach(record -> present.add(record.key()));
-        List<StoredRecord> all = new ArrayList<>(records);
-        for (StoredRecord held : List.copyOf(newest.values())) {
-            if (!held.dropped() && !present.contains(held.key()) && held.offset() < takenAt) {
-                all.add(new StoredRecord(held.key(), takenAt - 1, NOTHING));
+        List<StoredRecord> updates = new ArrayList<>(records);
+        for (StoredRecord current : List.copyOf(latest.values())) {
+            if (!current.dropped() && !present.contains(current.key()) && current.offset() < endBeforeRead) {
+                updates.add(new StoredRecord(current.key(), endBeforeRead - 1, EMPTY));
             }
         }
-        if (takenAt > end) {
-            gaplessFrom = takenAt;
+        if (endBeforeRead > end) {
+            contiguousFrom = endBeforeRead;
         }
-        return apply(all, takenAt);
+        return apply(updates, endBeforeRead);
     }
 
-    private boolean takes(StoredRecord record) {
-        StoredRecord held =
-                newest.get(Objects.requireNonNull(record, "record is null").key());
-        return held == null || record.offset() > held.offset();
+    private boolean isNewer(StoredRecord record) {
+        StoredRecord current =
+                latest.get(Objects.requireNonNull(record, "record is null").key());
+        return current == null || record.offset() > current.offset();
     }
 
     // -- queries
@@ -92,8 +92,8 @@
      * @param offset the offset
      * @return the end of this copy, or the offset itself if records between the two were not read here
      */
-    public long endFor(long offset) {
-        return offset >= gaplessFrom ? end : offset;
+    public long continueFrom(long offset) {
+        return offset >= contiguousFrom ? end : offset;
     }
 
     /**
@@ -103,7 +103,7 @@
      * @return the record, empty if the key is unknown or was deleted
      */
     public Optional<StoredRecord> record(String key) {
-        return Optional.ofNullable(newest.get(key)).filter(held -> !held.dropped());
+        return Optional.ofNullable(latest.get(key)).filter(current -> !current.dropped());
     }
 
     /**
@@ -112,8 +112,8 @@
      * @return the keys
      */
     public Set<String> keys() {
-        return newest.values().stream()
-                .filter(held -> !held.dropped())
+        return latest.values().stream()
+                .filter(current -> !current.dropped())
                 .map(StoredRecord::key)
                 .collect(Collectors.toUnmodifiableSet());
     }
@@ -125,6 +125,8 @@
      * @return the records
      */
     public List<StoredRecord> since(long offset) {
-        return newest.values().stream().filter(held -> held.offset() >= offset).toList();
+        return latest.values().stream()
+                .filter(current -> current.offset() >= offset)
+                .toList();
     }
 }
--- a/src/main/java/org/micabarrow/views/TopicReader.java
+++ b/src/main/java/org/micabarrow/views/TopicReader.java
@@ -75,7 +75,7 @@
      * @param from the offset
      * @return the records
      */
-    default Result<Read> history(Topic topic, long from) {
+    default Result<Read> readHistory(Topic topic, long from) {
         return read(topic, from, Duration.ZERO);
     }
 
@@ -85,7 +85,7 @@
      * @param topic the topic
      * @return false for a reader that always reads the store
      */
-    default boolean peersTell(Topic topic) {
+    default boolean hasPeerUpdates(Topic topic) {
         return false;
     }
 }
--- a/src/main/java/org/micabarrow/views/VersionKeys.java
+++ b/src/main/java/org/micabarrow/views/VersionKeys.java
@@ -16,13 +16,13 @@
     /** The prefix of keys of manifest positions. */
     public static final String MANIFESTS = "manifest/";
 
-    private static final char BEFORE_VERSION = '/';
+    private static final char SEPARATOR = '/';
 
     /**
      * How many versions of a model before the newest are retained: there are never more in transit at once, and a
      * version that is written late is older than one of these.
      */
-    private static final int KEPT = 8;
+    private static final int RETAINED_VERSIONS = 8;
 
     private VersionKeys() {}
 
@@ -34,7 +34,7 @@
      * @return the key
      */
     public static String of(String model, long version) {
-        return VERSIONS + model + BEFORE_VERSION + version;
+        return VERSIONS + model + SEPARATOR + version;
     }
 
     /**
@@ -64,11 +64,11 @@
      * @param newest its newest version
      * @return the keys of versions that are too old to be retained
      */
-    static List<String> outdated(Collection<String> keys, String model, long newest) {
-        String prefix = VERSIONS + model + BEFORE_VERSION;
+    static List<String> outdatedVersions(Collection<String> keys, String model, long newest) {
+        String prefix = VERSIONS + model + SEPARATOR;
         return keys.stream()
                 .filter(key -> key.startsWith(prefix))
-                .filter(key -> version(key.substring(prefix.length())).orElse(newest) < newest - KEPT)
+                .filter(key -> version(key.substring(prefix.length())).orElse(newest) < newest - RETAINED_VERSIONS)
                 .sorted()
                 .toList();
     }
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -25,10 +25,10 @@
         long manifestOffset,
         Map<String, EndpointEntry> endpoints,
         Map<String, List<Target>> targets,
-        Map<String, Target> found) {
+        Map<String, Target> supersededTargets) {
 
     /** The maximum number of targets that are remembered per model: there are never more in transit at once. */
-    private static final int TARGETS_KEPT = 8;
+    private static final int MAX_TARGETS = 8;
 
     /**
      * A weight version that endpoints should load.
@@ -37,7 +37,7 @@
      * @param learnedAtMillis when this process learned of it, on its monotonic clock
      * @param source how this process learned of it
      */
-    public record Target(long version, long learnedMillis, Learned learned) {
+    public record Target(long version, long learnedMillis, TargetSource source) {
 
         /**
          * Whether this process observed that the version was named, as opposed to reading at startup that it was
@@ -46,22 +46,22 @@
          * @return whether it did
          */
         public boolean seenNamed() {
-            return learned == Learned.SEEN_NAMED;
+            return source == TargetSource.OBSERVED;
         }
     }
 
     /** How a process learned of a target. */
-    public enum Learned {
+    public enum TargetSource {
         /** The process was running when the version was named. */
-        SEEN_NAMED,
+        OBSERVED,
         /**
          * The version was already named when the process first read it, and the time at which it was named is known.
          */
-        TOLD_WHEN,
+        FOUND_WITH_TIME,
         /** A peer reported it before this process had read the operator records. */
-        TOLD_BY_PEER,
+        REPORTED_BY_PEER,
         /** The version was already named when the process first read it, at an unknown time. */
-        FOUND
+        FOUND_WITHOUT_TIME
     }
 
     /**
@@ -85,7 +85,7 @@
         Objects.requireNonNull(manifest, "manifest is null");
         endpoints = Map.copyOf(endpoints);
         targets = Map.copyOf(targets);
-        found = Map.copyOf(found);
+        supersededTargets = Map.copyOf(supersededTargets);
     }
 
     /**
@@ -106,8 +106,8 @@
      * @return the target, empty if none was named
      */
     public Optional<Target> newestTarget(String model) {
-        List<Target> named = named(model);
-        return named.isEmpty() ? Optional.empty() : Optional.of(named.getLast());
+        List<Target> existing = targetsOf(model);
+        return existing.isEmpty() ? Optional.empty() : Optional.of(existing.getLast());
     }
 
     /**
@@ -120,7 +120,7 @@
      * @return the version, 0 if any may serve
      */
     public long leastVersion(String model, long boundMillis, long nowMillis) {
-        return Stream.concat(named(model).stream(), Optional.ofNullable(found.get(model)).stream())
+        return Stream.concat(targetsOf(model).stream(), Optional.ofNullable(supersededTargets.get(model)).stream())
                 .filter(target -> nowMillis - target.learnedMillis() > boundMillis)
                 .mapToLong(Target::version)
                 .max()
@@ -135,7 +135,7 @@
      * @return the first target named after it; empty if none is newer
      */
     public Optional<Target> newerNamed(String model, long version) {
-        return named(model).stream()
+        return targetsOf(model).stream()
                 .filter(target -> target.version() > version)
                 .findFirst();
     }
@@ -152,18 +152,18 @@
                 .toList();
     }
 
-    private List<Target> named(String model) {
+    private List<Target> targetsOf(String model) {
         return targets.getOrDefault(model, List.of());
     }
 
     // -- derived views
 
     View withManifest(RouteManifest newManifest, long offset) {
-        return new View(Optional.of(newManifest), offset, endpoints, targets, found);
+        return new View(Optional.of(newManifest), offset, endpoints, targets, supersededTargets);
     }
 
     View withEndpoints(Map<String, EndpointEntry> newEndpoints) {
-        return new View(manifest, manifestOffset, newEndpoints, targets, found);
+        return new View(manifest, manifestOffset, newEndpoints, targets, supersededTargets);
     }
 
     /**
@@ -177,21 +177,21 @@
      * @return the new view; this one if the version is not newer than the known ones
      */
     View withTarget(String model, Target target) {
-        List<Target> named = named(model);
-        if (!named.isEmpty() && named.getLast().version() >= target.version()) {
+        List<Target> existing = targetsOf(model);
+        if (!existing.isEmpty() && existing.getLast().version() >= target.version()) {
             return this;
         }
-        List<Target> more = new ArrayList<>(named);
-        Map<String, Target> replaced = new HashMap<>(found);
-        if (target.learned() == Learned.FOUND) {
-            more.stream()
-                    .filter(one -> one.learned() == Learned.FOUND)
-                    .forEach(one -> replaced.putIfAbsent(model, one));
-            more.removeIf(one -> one.learned() == Learned.FOUND);
+        List<Target> updated = new ArrayList<>(existing);
+        Map<String, Target> superseded = new HashMap<>(supersededTargets);
+        if (target.source() == TargetSource.FOUND_WITHOUT_TIME) {
+            updated.stream()
+                    .filter(knownTarget -> knownTarget.source() == TargetSource.FOUND_WITHOUT_TIME)
+                    .forEach(knownTarget -> superseded.putIfAbsent(model, knownTarget));
+            updated.removeIf(knownTarget -> knownTarget.source() == TargetSource.FOUND_WITHOUT_TIME);
         }
-        more.add(target);
-        Map<String, List<Target>> all = new HashMap<>(targets);
-        all.put(model, List.copyOf(more.subList(Math.max(0, more.size() - TARGETS_KEPT), more.size())));
-        return new View(manifest, manifestOffset, endpoints, all, replaced);
+        updated.add(target);
+        Map<String, List<Target>> allTargets = new HashMap<>(targets);
+        allTargets.put(model, List.copyOf(updated.subList(Math.max(0, updated.size() - MAX_TARGETS), updated.size())));
+        return new View(manifest, manifestOffset, endpoints, allTargets, superseded);
     }
 }
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewKeeper.java
@@ -23,14 +23,14 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ViewKeeper.class);
 
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
     private final Map<Topic, TopicCopy> copies = new HashMap<>();
-    private final EndpointListUpdater entries;
-    private final OperatorState operator;
-    private final OperatorFreshness knowledge = new OperatorFreshness();
+    private final EndpointListUpdater endpointList;
+    private final OperatorState operatorState;
+    private final OperatorFreshness freshness = new OperatorFreshness();
     private volatile LastChanges changes = new LastChanges(0, 0, 0);
     private volatile View view = View.empty();
-    private volatile Consumer<List<StoredRecord>> crashNews = news -> {};
+    private volatile Consumer<List<StoredRecord>> crashListener = newRecords -> {};
 
     /**
      * Creates an instance without any records.
@@ -38,8 +38,8 @@
      * @param decoder decodes records
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis) {
-        this(decoder, steadyMillis, System::currentTimeMillis);
+    public ViewKeeper(RecordDecoder decoder, LongSupplier monotonicMillis) {
+        this(decoder, monotonicMillis, System::currentTimeMillis);
     }
 
     /**
@@ -49,12 +49,12 @@
      * @param monotonicMillis a monotonic clock, in milliseconds
      * @param unixMillis the time of day, in milliseconds, which may be off by some seconds
      */
-    ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
+    ViewKeeper(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
         Objects.requireNonNull(decoder, "decoder is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        this.operator =
-                new OperatorState(decoder, steadyMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
-        this.entries = new EndpointListUpdater(decoder);
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        this.operatorState =
+                new OperatorState(decoder, monotonicMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
+        this.endpointList = new EndpointListUpdater(decoder);
         for (Topic topic : Topic.values()) {
             copies.put(topic, new TopicCopy());
         }
@@ -83,8 +83,8 @@
      *
      * @param listener receives the records; it is called under the lock of this object and must not block
      */
-    public void onCrashNews(Consumer<List<StoredRecord>> learns) {
-        crashNews = Objects.requireNonNull(learns, "learns is null");
+    public void onCrashNews(Consumer<List<StoredRecord>> listener) {
+        crashListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     // -- records
@@ -97,9 +97,9 @@
      * @param readTo the offset up to which the topic is now known
      */
     public synchronized void apply(Topic topic, Collection<StoredRecord> records, long readTo) {
-        takeLacking(topic, records);
+        applyMissingManifest(topic, records);
         publish(topic, copies.get(topic).apply(records, readTo));
-        knowledge.manifestLacking(operator.misses(end(Topic.OPERATOR)));
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
     }
 
     /**
@@ -109,13 +109,13 @@
      * @param records the records
      * @param endBeforeRead the end of the topic before the first of them was read
      */
-    public synchronized void replace(Topic topic, Collection<StoredRecord> records, long takenAt) {
-        takeLacking(topic, records);
-        publish(topic, copies.get(topic).replace(records, takenAt));
+    public synchronized void replace(Topic topic, Collection<StoredRecord> records, long endBeforeRead) {
+        applyMissingManifest(topic, records);
+        publish(topic, copies.get(topic).replace(records, endBeforeRead));
         if (topic == Topic.OPERATOR) {
-            operator.loaded();
+            operatorState.markLoaded();
         }
-        knowledge.manifestLacking(operator.misses(end(Topic.OPERATOR)));
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
     }
 
     /**
@@ -124,7 +124,7 @@
      * @param asOfMillis the time on the monotonic clock; an earlier time than the known one has no effect
      */
     public void confirmOperator(long asOfMillis) {
-        knowledge.confirm(asOfMillis);
+        freshness.confirm(asOfMillis);
     }
 
     /**
@@ -133,7 +133,7 @@
      * @return the time on the monotonic clock; empty if there is none, and while a manifest is known to be missing
      */
     public OptionalLong operatorAsOfMillis() {
-        return knowledge.asOf();
+        return freshness.asOf();
     }
 
     /**
@@ -159,8 +159,9 @@
         TopicCopy copy = copies.get(topic);
         List<StoredRecord> records = copy.since(offset);
         return topic == Topic.OPERATOR
-                ? new TopicReader.Batch(operator.withHidden(records, offset), copy.endFor(offset), operatorAsOfMillis())
-                : new TopicReader.Batch(records, copy.endFor(offset));
+                ? new TopicReader.Batch(
+                        operatorState.withReplaced(records, offset), copy.continueFrom(offset), operatorAsOfMillis())
+                : new TopicReader.Batch(records, copy.continueFrom(offset));
     }
 
     /**
@@ -172,7 +173,7 @@
      */
     public synchronized long askFrom(Topic topic) {
         long end = end(topic);
-        return topic == Topic.OPERATOR ? Math.min(end, lackingManifest().orElse(end)) : end;
+        return topic == Topic.OPERATOR ? Math.min(end, missingManifestOffset().orElse(end)) : end;
     }
 
     /**
@@ -180,16 +181,17 @@
      *
      * @param topic the topic
      */
-    public synchronized void regained(Topic topic) {
+    public synchronized void onStoreReachable(Topic topic) {
         if (topic == Topic.ENDPOINTS) {
-            entries.regained(steadyMillis.getAsLong());
+            endpointList.onStoreReachable(monotonicMillis.getAsLong());
         }
     }
 
     /** Removes the endpoints whose pending removal is due. */
-    public synchronized void settleDoubts() {
-        entries.withoutOverdue(view.endpoints(), steadyMillis.getAsLong())
-                .ifPresent(left -> view = view.withEndpoints(left));
+    public synchronized void removeDueEndpoints() {
+        endpointList
+                .withoutDueRemovals(view.endpoints(), monotonicMillis.getAsLong())
+                .ifPresent(remaining -> view = view.withEndpoints(remaining));
     }
 
     /**
@@ -198,43 +200,43 @@
      * @param wait the wait
      * @return the wait, or the time until the first pending removal is due if that is less
      */
-    synchronized Duration untilDoubtEnds(Duration wait) {
-        return entries.untilDoubtEnds(wait, steadyMillis.getAsLong());
+    synchronized Duration untilNextRemoval(Duration wait) {
+        return endpointList.untilNextRemoval(wait, monotonicMillis.getAsLong());
     }
 
     // -- updates of the view
 
-    private void publish(Topic topic, List<StoredRecord> news) {
-        if (news.isEmpty()) {
+    private void publish(Topic topic, List<StoredRecord> newRecords) {
+        if (newRecords.isEmpty()) {
             return;
         }
         switch (topic) {
             case OPERATOR -> {
-                List<StoredRecord> forAgents =
-                        news.stream().filter(this::operatorSaid).toList();
-                changes = changes.withOperator(news, forAgents);
+                List<StoredRecord> agentRecords =
+                        newRecords.stream().filter(this::applyOperatorRecord).toList();
+                changes = changes.withOperator(newRecords, agentRecords);
             }
-            case ENDPOINTS -> endpointsSaid(news);
-            case NAMED -> view = operator.kept(news, view);
-            case CRASHES -> crashNews.accept(news);
+            case ENDPOINTS -> applyEndpointRecords(newRecords);
+            case NAMED -> view = operatorState.applySaved(newRecords, view);
+            case CRASHES -> crashListener.accept(newRecords);
         }
     }
 
     /** Applies an operator record, and returns whether agents use it. */
-    private boolean operatorSaid(StoredRecord record) {
-        OperatorState.Change change = operator.said(record, view);
+    private boolean applyOperatorRecord(StoredRecord record) {
+        OperatorState.Change change = operatorState.apply(record, view);
         view = change.view();
-        return change.forAgents();
+        return change.relevantToAgents();
     }
 
     /**
      * Applies a missing manifest, which the topic copy ignores because it holds an older one with a greater offset.
      * This happens before the other records are applied, so that the older one is never active, not even briefly.
      */
-    private void takeLacking(Topic topic, Collection<StoredRecord> records) {
-        OptionalLong lacking = topic == Topic.OPERATOR ? lackingManifest() : OptionalLong.empty();
-        lacking.ifPresent(offset ->
-                records.stream().filter(record -> record.offset() == offset).forEach(this::operatorSaid));
+    private void applyMissingManifest(Topic topic, Collection<StoredRecord> records) {
+        OptionalLong missingOffset = topic == Topic.OPERATOR ? missingManifestOffset() : OptionalLong.empty();
+        missingOffset.ifPresent(offset ->
+                records.stream().filter(record -> record.offset() == offset).forEach(this::applyOperatorRecord));
     }
 
     /**
@@ -244,14 +246,14 @@
      * @param version the version; has no effect if a newer one is known
      */
     public synchronized void want(String model, long version) {
-        view = operator.wanted(model, version, view);
+        view = operatorState.addPeerTarget(model, version, view);
     }
 
     // -- records saved by processes
 
     /** The offset of a manifest known to be newer than the active one; empty if there is none. */
-    synchronized OptionalLong lackingManifest() {
-        return operator.lackingManifest(end(Topic.OPERATOR));
+    synchronized OptionalLong missingManifestOffset() {
+        return operatorState.missingManifestOffset(end(Topic.OPERATOR));
     }
 
     /**
@@ -260,8 +262,8 @@
      *
      * @param position the position
      */
-    public synchronized void manifestStands(ManifestPlace place) {
-        operator.manifestStands(place);
+    public synchronized void manifestStands(ManifestPlace position) {
+        operatorState.recordManifestPosition(position);
     }
 
     /**
@@ -270,40 +272,40 @@
      * @return the position, empty if none is known
      */
     public synchronized Optional<ManifestPlace> newestManifest() {
-        return operator.newestManifest();
+        return operatorState.newestManifestPosition();
     }
 
     /** The newest manifest, if it is not known to be saved. */
-    synchronized Optional<Unkept> unkeptManifest() {
-        return operator.unkeptManifest(copies.get(Topic.NAMED));
+    synchronized Optional<Unkept> unsavedManifest() {
+        return operatorState.unsavedManifest(copies.get(Topic.NAMED));
     }
 
     /** Whether the operator records have been read. */
-    synchronized boolean knowsOperator() {
-        return operator.isLoaded();
+    synchronized boolean isOperatorLoaded() {
+        return operatorState.isLoaded();
     }
 
     /** The newest versions that are not known to be saved in the store under their own keys. */
-    synchronized List<Unkept> unkept() {
-        return operator.unkept(copies.get(Topic.NAMED));
+    synchronized List<Unkept> unsavedVersions() {
+        return operatorState.unsavedVersions(copies.get(Topic.NAMED));
     }
 
     // -- endpoints
 
-    private void endpointsSaid(List<StoredRecord> news) {
+    private void applyEndpointRecords(List<StoredRecord> newRecords) {
         Map<String, EndpointEntry> endpoints = new HashMap<>(view.endpoints());
-        List<StoredRecord> changing = new ArrayList<>();
-        List<String> lines = new ArrayList<>();
-        long now = steadyMillis.getAsLong();
-        entries.read(news, endpoints, now);
-        news.forEach(record -> entries.take(record, endpoints, now).ifPresent(line -> {
-            changing.add(record);
-            lines.add(line);
+        List<StoredRecord> changedRecords = new ArrayList<>();
+        List<String> logLines = new ArrayList<>();
+        long now = monotonicMillis.getAsLong();
+        endpointList.prepareBatch(newRecords, endpoints, now);
+        newRecords.forEach(record -> endpointList.apply(record, endpoints, now).ifPresent(line -> {
+            changedRecords.add(record);
+            logLines.add(line);
         }));
-        if (!changing.isEmpty()) {
+        if (!changedRecords.isEmpty()) {
             view = view.withEndpoints(endpoints);
-            changes = changes.withEndpoints(changing);
-            lines.forEach(LOG::info);
+            changes = changes.withEndpoints(changedRecords);
+            logLines.forEach(LOG::info);
         }
     }
 }
--- a/src/test/java/org/micabarrow/steps/StepsTest.java
+++ b/src/test/java/org/micabarrow/steps/StepsTest.java
@@ -13,17 +13,17 @@
 class StepsTest {
 
     /** Only limits the time that a hanging test takes. */
-    private static final Duration LONGEST = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     /** More than one run, each of which fails. */
-    private static final int STEPS = 3;
+    private static final int RUNS = 3;
 
     /** How a run fails. */
-    private enum Ending {
+    private enum Failure {
         EXCEPTION,
         ERROR;
 
-        private void end() {
+        private void fail() {
             switch (this) {
                 case EXCEPTION -> throw new IllegalStateException("simulated failure");
                 case ERROR -> throw new StackOverflowError("simulated failure");
@@ -33,22 +33,22 @@
 
     @ParameterizedTest
     @EnumSource
-    void shouldGoOnWhenStepsFail(Ending ending) throws Exception {
-        CountDownLatch taken = new CountDownLatch(STEPS);
+    void shouldContinueWhenRunsFail(Failure failure) throws Exception {
+        CountDownLatch runs = new CountDownLatch(RUNS);
         Thread work = Steps.start("steps-test", 1, () -> {
-            taken.countDown();
-            ending.end();
+            runs.countDown();
+            failure.fail();
         });
-        assertTrue(taken.await(LONGEST.toSeconds(), TimeUnit.SECONDS), "a failure ends only one run");
+        assertTrue(runs.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "a failure ends only one run");
         work.interrupt();
-        assertTrue(work.join(LONGEST));
+        assertTrue(work.join(TIMEOUT));
     }
 
     @Test
-    void shouldEndWhenInterruptedWithinStep() throws Exception {
+    void shouldEndWhenInterruptedDuringRun() throws Exception {
         Thread work = Steps.start("steps-test", 1, () -> {
             throw new InterruptedException("the thread is to end");
         });
-        assertTrue(work.join(LONGEST));
+        assertTrue(work.join(TIMEOUT));
     }
 }
--- a/src/test/java/org/micabarrow/views/FakeKeyedStore.java
+++ b/src/test/java/org/micabarrow/views/FakeKeyedStore.java
@@ -13,12 +13,12 @@
 final class FakeKeyedStore implements TopicReader, NamedVersions.VersionWriter {
 
     final Map<Topic, List<StoredRecord>> topics = new LinkedHashMap<>();
-    final List<Topic> readNewest = new ArrayList<>();
+    final List<Topic> latestReads = new ArrayList<>();
     boolean down;
-    boolean losesAnswers;
-    boolean refusesWrites;
-    boolean historyGone;
-    int writes;
+    boolean loseResponses;
+    boolean refuseWrites;
+    boolean historyExpired;
+    int writeCount;
 
     synchronized long append(Topic topic, String key, String value) {
         List<StoredRecord> records = topics.computeIfAbsent(topic, name -> new ArrayList<>());
@@ -28,20 +28,20 @@
 
     @Override
     public Result<Batch> newest(Topic topic) {
-        readNewest.add(topic);
+        latestReads.add(topic);
         if (down && topic == Topic.NAMED) {
-            return failed();
+            return failure();
         }
         List<StoredRecord> all = topics.getOrDefault(topic, List.of());
-        Map<String, StoredRecord> newest = new LinkedHashMap<>();
-        all.forEach(record -> newest.put(record.key(), record));
-        newest.values().removeIf(StoredRecord::dropped);
-        return Result.success(new Batch(List.copyOf(newest.values()), all.size()));
+        Map<String, StoredRecord> latest = new LinkedHashMap<>();
+        all.forEach(record -> latest.put(record.key(), record));
+        latest.values().removeIf(StoredRecord::dropped);
+        return Result.success(new Batch(List.copyOf(latest.values()), all.size()));
     }
 
     @Override
     public Result<Read> read(Topic topic, long from, Duration wait) {
-        if (historyGone) {
+        if (historyExpired) {
             return Result.success(new Read.Expired());
         }
         List<StoredRecord> all = topics.getOrDefault(topic, List.of());
@@ -50,26 +50,26 @@
     }
 
     @Override
-    public Result<List<StoredRecord>> write(Unkept unkept) {
-        writes++;
-        if (down || refusesWrites) {
-            return failed();
+    public Result<List<StoredRecord>> write(Unkept item) {
+        writeCount++;
+        if (down || refuseWrites) {
+            return failure();
         }
-        List<StoredRecord> written = new ArrayList<>();
-        long offset = append(Topic.NAMED, unkept.key(), kept(unkept));
-        written.add(topics.get(Topic.NAMED).get((int) offset));
-        for (String outdated : unkept.outdated()) {
-            written.add(topics.get(Topic.NAMED).get((int) append(Topic.NAMED, outdated, "")));
+        List<StoredRecord> saved = new ArrayList<>();
+        long offset = append(Topic.NAMED, item.key(), json(item));
+        saved.add(topics.get(Topic.NAMED).get((int) offset));
+        for (String outdated : item.outdated()) {
+            saved.add(topics.get(Topic.NAMED).get((int) append(Topic.NAMED, outdated, "")));
         }
-        return losesAnswers ? failed() : Result.success(written);
+        return loseResponses ? failure() : Result.success(saved);
     }
 
-    private static <T> Result<T> failed() {
+    private static <T> Result<T> failure() {
         return Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.TIMEOUT, "no answer"));
     }
 
-    private static String kept(Unkept unkept) {
-        return switch (unkept) {
+    private static String json(Unkept item) {
+        return switch (item) {
             case Unkept.Weights weights -> {
                 String named = weights.namedMillis().isPresent()
                         ? ",\"namedMillis\":" + weights.namedMillis().getAsLong()
--- a/src/test/java/org/micabarrow/views/NewsReaderTest.java
+++ b/src/test/java/org/micabarrow/views/NewsReaderTest.java
@@ -29,25 +29,25 @@
 
     private static final Duration HOLD = Duration.ofMillis(50);
     private static final String PEER = "10.0.0.1:8000";
-    private static final String OTHER = "10.0.0.2:8000";
+    private static final String OTHER_PEER = "10.0.0.2:8000";
     private static final StoredRecord RECORD = new StoredRecord("config", 7, "{}".getBytes(StandardCharsets.UTF_8));
 
     private final AtomicLong now = new AtomicLong(1_000);
-    private final List<String> asked = new ArrayList<>();
-    private Result<Batch> told = Result.success(new Batch(List.of(RECORD), 8));
+    private final List<String> requests = new ArrayList<>();
+    private Result<Batch> peerResponse = Result.success(new Batch(List.of(RECORD), 8));
 
     private boolean storeDown;
 
     private final TopicReader store = new TopicReader() {
         @Override
         public Result<Batch> newest(Topic topic) {
-            asked.add("newest");
+            requests.add("newest");
             return Result.success(new Batch(List.of(), 7));
         }
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
-            asked.add("store");
+            requests.add("store");
             if (storeDown) {
                 return Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.TIMEOUT, "no answer"));
             }
@@ -57,9 +57,9 @@
 
     private final NewsReader reader = new NewsReader(
             store,
-            (peer, topic, from, within) -> {
-                asked.add(peer);
-                return told;
+            (peer, topic, from, timeout) -> {
+                requests.add(peer);
+                return peerResponse;
             },
             new NewsReader.Role.Agent(),
             now::get);
@@ -74,59 +74,59 @@
     }
 
     @Test
-    void shouldReadStoreWhenNobodyTells() {
+    void shouldReadStoreWhenNoUpdatesArrive() {
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldAskNobodyWhenThereIsNoNews() {
+    void shouldSendNoRequestWhenNothingIsNewer() {
         reader.told(PEER, new LastChanges(7, 90), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void shouldAskPeerThatKnowsMost() {
-        reader.told(OTHER, new LastChanges(8, 0), now.get());
+    void shouldReadFromPeerWithNewestRecords() {
+        reader.told(OTHER_PEER, new LastChanges(8, 0), now.get());
         reader.told(PEER, new LastChanges(9, 0), now.get());
         assertEquals(new Batch(List.of(RECORD), 8), read(7));
-        assertEquals(List.of(PEER), asked);
+        assertEquals(List.of(PEER), requests);
     }
 
     @Test
-    void shouldReadStoreWhenPeersFellSilent() {
+    void shouldReadStoreWhenUpdatesHaveExpired() {
         reader.told(PEER, new LastChanges(7, 0), now.get());
         now.addAndGet(1_000);
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldReadStoreWhenPeerDoesNotAnswer() {
-        told = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
+    void shouldReadStoreWhenPeerDoesNotRespond() {
+        peerResponse = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
         reader.told(PEER, new LastChanges(8, 0), now.get());
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
     /** The peer has not read all earlier records and returns the requested offset as the offset to continue from. */
     @Test
-    void shouldReadStoreWhenPeerKnowsOnlyPart() {
-        told = Result.success(new Batch(List.of(), 7));
+    void shouldReadStoreWhenPeerLacksEarlierRecords() {
+        peerResponse = Result.success(new Batch(List.of(), 7));
         reader.told(PEER, new LastChanges(8, 0), now.get());
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
     @Test
-    void shouldNotAskPeerAgainWhenItDidNotGiveWhatItTold() {
-        told = Result.success(new Batch(List.of(), 7));
+    void shouldNotRequestAgainWhenPeerDidNotReturnAnnouncedRecords() {
+        peerResponse = Result.success(new Batch(List.of(), 7));
         reader.told(PEER, new LastChanges(8, 0), now.get());
-        reader.told(OTHER, new LastChanges(7, 0), now.get());
+        reader.told(OTHER_PEER, new LastChanges(7, 0), now.get());
         read(7);
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
     /**
@@ -134,31 +134,31 @@
      * first.
      */
     @Test
-    void shouldGoByWhatPeerToldLast() {
+    void shouldUseLastUpdateOfPeer() {
         reader.told(PEER, new LastChanges(8, 0), now.get());
         reader.told(PEER, new LastChanges(0, 0), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void shouldTellTopicsApart() {
-        told = Result.success(new Batch(List.of(), 90));
+    void shouldTrackTopicsSeparately() {
+        peerResponse = Result.success(new Batch(List.of(), 90));
         reader.told(PEER, new LastChanges(7, 90), now.get());
         reader.read(Topic.ENDPOINTS, 80, Duration.ZERO);
-        assertEquals(List.of(PEER), asked);
+        assertEquals(List.of(PEER), requests);
     }
 
     @Test
-    void shouldReadStoreAtStartAndForVersionsThatAreKept() {
+    void shouldReadLatestRecordsFromStore() {
         reader.told(PEER, new LastChanges(8, 8), now.get());
         reader.newest(Topic.OPERATOR);
         reader.newest(Topic.NAMED);
-        assertEquals(List.of("newest", "newest"), asked);
+        assertEquals(List.of("newest", "newest"), requests);
     }
 
     @Test
-    void shouldReadAtOnceWhenNewsIsToldWhileItWaits() throws Exception {
+    void shouldReadAtOnceWhenUpdateArrivesDuringWait() throws Exception {
         reader.told(PEER, new LastChanges(7, 0), now.get());
         CompletableFuture<Read> waiting = CompletableFuture.supplyAsync(() ->
                 reader.read(Topic.OPERATOR, 7, Duration.ofDays(1)).toOptional().orElseThrow());
@@ -167,16 +167,16 @@
     }
 
     @Test
-    void shouldEndWaitWhenItsTimeIsOver() {
-        NewsReader onRealTime = new NewsReader(
+    void shouldEndWaitWhenItTimesOut() {
+        NewsReader realTimeReader = new NewsReader(
                 store,
-                (peer, topic, from, within) -> told,
+                (peer, topic, from, timeout) -> peerResponse,
                 new NewsReader.Role.Agent(),
                 () -> System.nanoTime() / 1_000_000);
-        onRealTime.told(PEER, new LastChanges(7, 0), now.get());
+        realTimeReader.told(PEER, new LastChanges(7, 0), now.get());
         assertEquals(
                 new Read.Records(new Batch(List.of(), 7)),
-                onRealTime.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
+                realTimeReader.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
     }
 
     // -- agents
@@ -186,55 +186,58 @@
      * region.
      */
     @Test
-    void shouldNotReadManifestWhenItChangesNothingThatAgentsActOn() {
+    void shouldNotReadManifestWhenItChangesNothingThatAgentsUse() {
         reader.told(PEER, new LastChanges(9, 0, 7), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
     /** The latest record of a model alone may name an older version that was written late. */
     @Test
-    void shouldReadAllThatWasPassedOverWhenNobodyTells() {
+    void shouldReadSkippedRecordsWhenUpdatesHaveExpired() {
         reader.told(PEER, new LastChanges(9, 0, 7), now.get());
         now.addAndGet(1_000);
         read(7);
         read(9);
-        assertEquals(List.of("store", "store"), asked);
+        assertEquals(List.of("store", "store"), requests);
     }
 
     // -- entries
 
     private static final String SELF = "10.0.0.1:9000";
-    private static final long TRUST_MILLIS = 1_500;
+    private static final long MAX_AGE_MILLIS = 1_500;
 
-    private final NewsReader entry = new NewsReader(
+    private final NewsReader entryReader = new NewsReader(
             store,
-            (peer, topic, from, within) -> {
-                asked.add(peer);
-                return told;
+            (peer, topic, from, timeout) -> {
+                requests.add(peer);
+                return peerResponse;
             },
-            new NewsReader.Role.Entry(SELF, TRUST_MILLIS),
+            new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS),
             now::get);
 
     private Read readByEntry(long from) {
-        return entry.read(Topic.OPERATOR, from, Duration.ZERO).toOptional().orElseThrow();
+        return entryReader
+                .read(Topic.OPERATOR, from, Duration.ZERO)
+                .toOptional()
+                .orElseThrow();
     }
 
     @Test
-    void shouldGoByReaderOfRegionWhenItComesBefore() {
-        entry.told(PEER, new LastChanges(8, 0, 0), now.get());
+    void shouldReadFromReaderOfRegionWhenItsAddressSortsFirst() {
+        entryReader.told(PEER, new LastChanges(8, 0, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
-        assertEquals(List.of(PEER), asked);
-        assertFalse(entry.direct());
+        assertEquals(List.of(PEER), requests);
+        assertFalse(entryReader.direct());
     }
 
     /** Two entries that relied on each other would both learn nothing. */
     @Test
-    void shouldReadStoreWhenReaderOfRegionComesAfter() {
-        entry.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+    void shouldReadStoreWhenAddressOfReaderSortsLater() {
+        entryReader.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
-        assertTrue(entry.direct());
+        assertEquals(List.of("store"), requests);
+        assertTrue(entryReader.direct());
     }
 
     /**
@@ -242,30 +245,30 @@
      * responding.
      */
     @Test
-    void shouldReadStoreWhenWhatReaderKnowsIsOld() {
-        entry.told(PEER, new LastChanges(7, 0), now.get() - TRUST_MILLIS);
+    void shouldReadStoreWhenKnowledgeOfReaderIsTooOld() {
+        entryReader.told(PEER, new LastChanges(7, 0), now.get() - MAX_AGE_MILLIS);
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldReadStoreWhenReaderTellsNoMore() {
-        entry.told(PEER, new LastChanges(7, 0), now.get());
+    void shouldReadStoreWhenReaderStopsSendingUpdates() {
+        entryReader.told(PEER, new LastChanges(7, 0), now.get());
         readByEntry(7);
         now.addAndGet(1_000);
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     /** An entry that the store refuses learns of changes from any entry that the store accepts. */
     @Test
-    void shouldGoByAnyReaderWhenStoreDoesNotAnswer() {
+    void shouldReadFromAnyReaderWhenStoreDoesNotRespond() {
         storeDown = true;
-        entry.read(Topic.OPERATOR, 7, Duration.ZERO);
-        entry.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+        entryReader.read(Topic.OPERATOR, 7, Duration.ZERO);
+        entryReader.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
-        assertEquals(List.of("store", "10.0.0.2:8000"), asked);
-        assertFalse(entry.direct());
+        assertEquals(List.of("store", "10.0.0.2:8000"), requests);
+        assertFalse(entryReader.direct());
     }
 
     /**
@@ -274,7 +277,7 @@
      * store responds all the time.
      */
     @Test
-    void shouldKnowWithinBoundWhenReaderOfRegionFellSilentInQuietTimes() {
+    void shouldReadWithinBoundWhenReaderOfRegionStopsResponding() {
         long boundMillis = 2_000;
         Duration hold = Duration.ofMillis(1_000);
         AtomicLong waited = new AtomicLong();
@@ -290,12 +293,15 @@
                 return Result.success(new Read.Records(new Batch(List.of(), from)));
             }
         };
-        NewsReader led = new NewsReader(
-                quiet, (peer, topic, from, within) -> told, new NewsReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
+        NewsReader follower = new NewsReader(
+                quiet,
+                (peer, topic, from, timeout) -> peerResponse,
+                new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS),
+                now::get);
         long asOf = now.get();
-        led.told(PEER, new LastChanges(7, 0), asOf);
-        now.addAndGet(TRUST_MILLIS);
-        led.read(Topic.OPERATOR, 7, hold);
+        follower.told(PEER, new LastChanges(7, 0), asOf);
+        now.addAndGet(MAX_AGE_MILLIS);
+        follower.read(Topic.OPERATOR, 7, hold);
         long age = now.get() + waited.get() - asOf;
         assertTrue(age <= boundMillis, "the state was known " + age + " ms before the store responds");
     }
@@ -305,17 +311,17 @@
      * response is limited to the time for which the reader's update is valid; then the store is read.
      */
     @Test
-    void shouldReadStoreWhenReaderOfRegionDoesNotEndItsAnswerWhileItsWordCounts() {
-        List<Duration> allowed = new ArrayList<>();
-        NewsReader.Peers slow = (peer, topic, from, within) -> {
-            allowed.add(within);
+    void shouldReadStoreWhenResponseOfReaderOutlastsItsUpdate() {
+        List<Duration> timeouts = new ArrayList<>();
+        NewsReader.Peers slow = (peer, topic, from, timeout) -> {
+            timeouts.add(timeout);
             return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the response stopped"));
         };
-        NewsReader led = new NewsReader(store, slow, new NewsReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
-        led.told(PEER, new LastChanges(8, 0), now.get() - 1_000);
-        led.read(Topic.OPERATOR, 7, HOLD);
-        assertEquals(List.of(Duration.ofMillis(TRUST_MILLIS - 1_000)), allowed);
-        assertEquals(List.of("store"), asked);
+        NewsReader follower = new NewsReader(store, slow, new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS), now::get);
+        follower.told(PEER, new LastChanges(8, 0), now.get() - 1_000);
+        follower.read(Topic.OPERATOR, 7, HOLD);
+        assertEquals(List.of(Duration.ofMillis(MAX_AGE_MILLIS - 1_000)), timeouts);
+        assertEquals(List.of("store"), requests);
     }
 
     /**
@@ -323,10 +329,10 @@
      * a weight version named since.
      */
     @Test
-    void shouldReadStoreByAgentWhenWhatEntriesKnowIsOld() {
+    void shouldReadStoreAsAgentWhenKnowledgeOfEntriesIsTooOld() {
         reader.told(PEER, new LastChanges(7, 0), now.get() - 10_000);
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     /**
@@ -335,8 +341,8 @@
      * positions that manifest 3 is at offset 2, which is not a change according to these updates.
      */
     @Test
-    void shouldFindHiddenManifestByAgentWhenEntriesTellThatServicesChangedBeforeIt() {
-        ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+    void shouldReadReplacedManifestAsAgentWhenServicesChangedBeforeIt() {
+        ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
         StoredRecord third = new StoredRecord("config", 2, manifest(3));
         TopicReader history = new TopicReader() {
             @Override
@@ -355,13 +361,13 @@
         };
         NewsReader agent = new NewsReader(
                 history,
-                (peer, topic, from, within) -> Result.success(new Batch(List.of(third), 4)),
+                (peer, topic, from, timeout) -> Result.success(new Batch(List.of(third), 4)),
                 new NewsReader.Role.Agent(),
                 now::get);
-        NamedVersions versions = new NamedVersions(
-                agent, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
+        NamedVersions persistence = new NamedVersions(
+                agent, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
         agent.told(PEER, new LastChanges(4, 0, 2), now.get());
-        Batch newest = versions.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        Batch newest = persistence.newest(Topic.OPERATOR).toOptional().orElseThrow();
         assertTrue(newest.records().contains(third), "found: " + newest.records());
     }
 
--- a/src/test/java/org/micabarrow/views/OperatorFreshnessTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorFreshnessTest.java
@@ -16,9 +16,9 @@
 class OperatorFreshnessTest {
 
     private static final Duration HOLD = Duration.ofMillis(10);
-    private static final Duration REST = Duration.ofMillis(5);
+    private static final Duration PAUSE = Duration.ofMillis(5);
 
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
 
     private static StoredRecord manifest(long version, long offset) {
         String json = "{\"version\":" + version + ",\"routes\":[],\"services\":[]}";
@@ -26,7 +26,7 @@
     }
 
     /** A saved manifest position. */
-    private static StoredRecord kept(long version, long offset) {
+    private static StoredRecord savedPosition(long version, long offset) {
         String json = "{\"version\":" + version + ",\"offset\":" + offset + "}";
         return new StoredRecord(VersionKeys.ofManifest(version), 0, json.getBytes(StandardCharsets.UTF_8));
     }
@@ -34,19 +34,20 @@
     // -- confirmed times
 
     @Test
-    void shouldKnowOfNoMomentWhenNothingWasConfirmed() {
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
-        keeper.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis(), "a record does not prove that there are no others");
+    void shouldHaveNoTimeWhenNothingWasConfirmed() {
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
+        views.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
+        assertEquals(
+                OptionalLong.empty(), views.operatorAsOfMillis(), "a record does not prove that there are no others");
     }
 
     @Test
-    void shouldKeepLatestMomentWhenEarlierOneIsConfirmedAfterIt() {
-        keeper.confirmOperator(-7);
-        assertEquals(OptionalLong.of(-7), keeper.operatorAsOfMillis());
-        keeper.confirmOperator(90);
-        keeper.confirmOperator(40);
-        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis());
+    void shouldKeepLatestTimeWhenEarlierOneIsConfirmedLater() {
+        views.confirmOperator(-7);
+        assertEquals(OptionalLong.of(-7), views.operatorAsOfMillis());
+        views.confirmOperator(90);
+        views.confirmOperator(40);
+        assertEquals(OptionalLong.of(90), views.operatorAsOfMillis());
     }
 
     /**
@@ -54,39 +55,39 @@
      * manifest is not.
      */
     @Test
-    void shouldKnowOfNoMomentWhileManifestIsLacking() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
-        keeper.confirmOperator(90);
-        keeper.apply(Topic.NAMED, List.of(kept(2, 5)), 1);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
-        keeper.confirmOperator(95);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
-        keeper.apply(Topic.OPERATOR, List.of(manifest(2, 5)), 0);
-        assertEquals(OptionalLong.of(95), keeper.operatorAsOfMillis());
+    void shouldHaveNoTimeWhileManifestIsMissing() {
+        views.apply(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
+        views.confirmOperator(90);
+        views.apply(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
+        views.confirmOperator(95);
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
+        views.apply(Topic.OPERATOR, List.of(manifest(2, 5)), 0);
+        assertEquals(OptionalLong.of(95), views.operatorAsOfMillis());
     }
 
     @Test
-    void shouldKnowOfNoMomentWhenLackingManifestIsToldAtTheStart() {
-        keeper.replace(Topic.NAMED, List.of(kept(2, 5)), 1);
-        keeper.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
-        keeper.confirmOperator(90);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
-        keeper.apply(Topic.OPERATOR, List.of(manifest(3, 7)), 8);
-        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer manifest replaces the missing one");
+    void shouldHaveNoTimeWhenMissingManifestIsKnownAtStartup() {
+        views.replace(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
+        views.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
+        views.confirmOperator(90);
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
+        views.apply(Topic.OPERATOR, List.of(manifest(3, 7)), 8);
+        assertEquals(OptionalLong.of(90), views.operatorAsOfMillis(), "a newer manifest replaces the missing one");
     }
 
     @Test
-    void shouldTellOthersUpToWhichMomentOnlyOfOperatorsRecords() {
-        keeper.confirmOperator(90);
-        assertEquals(OptionalLong.of(90), keeper.since(Topic.OPERATOR, 0).asOfMillis());
-        assertEquals(OptionalLong.empty(), keeper.since(Topic.ENDPOINTS, 0).asOfMillis());
-        assertEquals(OptionalLong.empty(), keeper.since(Topic.NAMED, 0).asOfMillis());
+    void shouldReturnTimeToPeersForOperatorRecordsOnly() {
+        views.confirmOperator(90);
+        assertEquals(OptionalLong.of(90), views.since(Topic.OPERATOR, 0).asOfMillis());
+        assertEquals(OptionalLong.empty(), views.since(Topic.ENDPOINTS, 0).asOfMillis());
+        assertEquals(OptionalLong.empty(), views.since(Topic.NAMED, 0).asOfMillis());
     }
 
     // -- following the store
 
     /** A store with predefined responses; it does not respond when none are left. */
-    private static final class LaidOut implements TopicReader {
+    private static final class ScriptedStore implements TopicReader {
 
         private final List<Result<Read>> reads = new ArrayList<>();
         private final List<Duration> waits = new ArrayList<>();
@@ -106,37 +107,37 @@
                     : reads.removeFirst();
         }
 
-        private void next(long end, OptionalLong asOf, StoredRecord... records) {
+        private void addResponse(long end, OptionalLong asOf, StoredRecord... records) {
             reads.add(Result.success(new Read.Records(new Batch(List.of(records), end, asOf))));
         }
     }
 
-    private final LaidOut store = new LaidOut();
+    private final ScriptedStore store = new ScriptedStore();
 
     private StoreFollower follower(Topic topic) {
         NamedVersions versions = new NamedVersions(
-                store, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
-        return new StoreFollower(topic, versions, keeper, asked -> {}, new StoreFollower.Pace(HOLD, REST));
+                store, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
+        return new StoreFollower(topic, versions, views, queried -> {}, new StoreFollower.Pace(HOLD, PAUSE));
     }
 
     @Test
-    void shouldKnowAllUntilNewestWereAskedFor() {
+    void shouldConfirmTimeOfReadWhenLatestRecordsAreRead() {
         follower(Topic.OPERATOR).once();
-        assertEquals(OptionalLong.of(100), keeper.operatorAsOfMillis());
+        assertEquals(OptionalLong.of(100), views.operatorAsOfMillis());
     }
 
     @Test
-    void shouldKnowWhatEachReadTells() {
+    void shouldConfirmTimeOfEachRead() {
         StoreFollower follower = follower(Topic.OPERATOR);
         follower.once();
-        store.next(1, OptionalLong.of(110));
+        store.addResponse(1, OptionalLong.of(110));
         follower.once();
-        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis());
-        store.next(2, OptionalLong.empty(), manifest(2, 1));
+        assertEquals(OptionalLong.of(110), views.operatorAsOfMillis());
+        store.addResponse(2, OptionalLong.empty(), manifest(2, 1));
         follower.once();
-        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the read ended before the end of the topic");
+        assertEquals(OptionalLong.of(110), views.operatorAsOfMillis(), "the read ended before the end of the topic");
         follower.once();
-        assertEquals(OptionalLong.of(110), keeper.operatorAsOfMillis(), "the store did not respond");
+        assertEquals(OptionalLong.of(110), views.operatorAsOfMillis(), "the store did not respond");
     }
 
     /**
@@ -144,45 +145,45 @@
      * read.
      */
     @Test
-    void shouldReadOnceMoreAtOnceWithoutWaitWhenRecordsCame() {
+    void shouldReadAgainAtOnceWithoutHoldWhenRecordsArrived() {
         StoreFollower follower = follower(Topic.OPERATOR);
         follower.once();
-        store.next(2, OptionalLong.of(110), manifest(2, 1));
+        store.addResponse(2, OptionalLong.of(110), manifest(2, 1));
         assertEquals(0, follower.once(), "at once");
-        store.next(2, OptionalLong.of(120));
+        store.addResponse(2, OptionalLong.of(120));
         assertEquals(0, follower.once());
-        assertEquals(OptionalLong.of(120), keeper.operatorAsOfMillis());
-        store.next(2, OptionalLong.of(130));
+        assertEquals(OptionalLong.of(120), views.operatorAsOfMillis());
+        store.addResponse(2, OptionalLong.of(130));
         follower.once();
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD), store.waits);
     }
 
     /** While records arrive continuously, every second read is held; it also returns at once. */
     @Test
-    void shouldHoldReadAgainWhenRecordsCameInReadThatWasNotHeld() {
+    void shouldHoldNextReadWhenRecordsArrivedInReadWithoutHold() {
         StoreFollower follower = follower(Topic.OPERATOR);
         follower.once();
         for (int offset = 1; offset <= 4; offset++) {
-            store.next(offset + 1, OptionalLong.of(100 + offset), manifest(offset + 1, offset));
+            store.addResponse(offset + 1, OptionalLong.of(100 + offset), manifest(offset + 1, offset));
         }
         assertEquals(0, follower.once());
-        assertEquals(REST.toMillis(), follower.once());
+        assertEquals(PAUSE.toMillis(), follower.once());
         assertEquals(0, follower.once());
-        assertEquals(REST.toMillis(), follower.once());
+        assertEquals(PAUSE.toMillis(), follower.once());
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD, Duration.ZERO), store.waits);
     }
 
     /** Endpoints write their entries repeatedly; no request is refused because of their age. */
     @Test
-    void shouldNeitherReadOnceMoreNorConfirmWhenEndpointsWrote() {
+    void shouldNeitherReadAgainNorConfirmWhenEndpointsWrote() {
         StoreFollower follower = follower(Topic.ENDPOINTS);
         follower.once();
-        store.next(1, OptionalLong.of(110), new StoredRecord("a", 0, new byte[0]));
-        assertEquals(REST.toMillis(), follower.once());
-        store.next(1, OptionalLong.of(120));
+        store.addResponse(1, OptionalLong.of(110), new StoredRecord("a", 0, new byte[0]));
+        assertEquals(PAUSE.toMillis(), follower.once());
+        store.addResponse(1, OptionalLong.of(120));
         follower.once();
         assertEquals(List.of(HOLD, HOLD), store.waits);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
 
     /**
@@ -190,44 +191,44 @@
      * were read.
      */
     @Test
-    void shouldKeepMomentWhenHiddenManifestIsAdded() {
-        keeper.apply(Topic.NAMED, List.of(kept(2, 5)), 1);
-        store.next(6, OptionalLong.of(90), manifest(2, 5));
+    void shouldKeepTimeWhenReplacedManifestIsAdded() {
+        views.apply(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
+        store.addResponse(6, OptionalLong.of(90), manifest(2, 5));
         follower(Topic.OPERATOR).once();
-        assertEquals(2, keeper.view().manifest().orElseThrow().version());
-        assertEquals(OptionalLong.of(100), keeper.operatorAsOfMillis());
+        assertEquals(2, views.view().manifest().orElseThrow().version());
+        assertEquals(OptionalLong.of(100), views.operatorAsOfMillis());
     }
 
     /** An invalid manifest is active for operators, but what it allows is unknown here. */
     @Test
-    void shouldKnowOfNoMomentWhileNewestManifestCannotBeUsed() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
-        keeper.apply(Topic.OPERATOR, List.of(new StoredRecord("config", 1, "{".getBytes(StandardCharsets.UTF_8))), 2);
-        keeper.confirmOperator(90);
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
-        keeper.apply(Topic.OPERATOR, List.of(manifest(3, 2)), 3);
-        assertEquals(OptionalLong.of(90), keeper.operatorAsOfMillis(), "a newer manifest replaces the missing one");
+    void shouldHaveNoTimeWhileNewestManifestIsInvalid() {
+        views.apply(Topic.OPERATOR, List.of(manifest(1, 0)), 1);
+        views.apply(Topic.OPERATOR, List.of(new StoredRecord("config", 1, "{".getBytes(StandardCharsets.UTF_8))), 2);
+        views.confirmOperator(90);
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
+        views.apply(Topic.OPERATOR, List.of(manifest(3, 2)), 3);
+        assertEquals(OptionalLong.of(90), views.operatorAsOfMillis(), "a newer manifest replaces the missing one");
     }
 
     /**
-     * A process that started after an older manifest was written late was told the position of the newest one before
+     * A process that started after an older manifest was written late learned the position of the newest one from a peer before
      * that position was saved, and has not received the manifest: the manifest is missing although its position is
      * known.
      */
     @Test
-    void shouldLackManifestWhenPeerToldItsPlaceOnly() {
-        keeper.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
-        keeper.confirmOperator(90);
-        keeper.manifestStands(new ManifestPlace(2, 5));
-        keeper.apply(Topic.NAMED, List.of(kept(2, 5)), 1);
-        assertEquals(OptionalLong.of(5), keeper.lackingManifest());
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
+    void shouldLackManifestWhenPeerReportedOnlyItsPosition() {
+        views.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
+        views.confirmOperator(90);
+        views.manifestStands(new ManifestPlace(2, 5));
+        views.apply(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
+        assertEquals(OptionalLong.of(5), views.missingManifestOffset());
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
 
     /** A manifest may have been replaced by an older one that was written late, which only the saved items reveal. */
     @Test
-    void shouldKnowOfNoMomentWhileWhatIsKeptCouldNotBeRead() {
-        TopicReader withoutKept = new TopicReader() {
+    void shouldHaveNoTimeWhileSavedItemsAreUnreadable() {
+        TopicReader withoutSaved = new TopicReader() {
             @Override
             public Result<Batch> newest(Topic topic) {
                 return topic == Topic.NAMED
@@ -241,9 +242,9 @@
             }
         };
         NamedVersions versions = new NamedVersions(
-                withoutKept, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
-        new StoreFollower(Topic.OPERATOR, versions, keeper, asked -> {}, new StoreFollower.Pace(HOLD, REST)).once();
-        assertEquals(1, keeper.view().manifest().orElseThrow().version());
-        assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
+                withoutSaved, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
+        new StoreFollower(Topic.OPERATOR, versions, views, topic -> {}, new StoreFollower.Pace(HOLD, PAUSE)).once();
+        assertEquals(1, views.view().manifest().orElseThrow().version());
+        assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
 }
--- a/src/test/java/org/micabarrow/views/PartialOutageTest.java
+++ b/src/test/java/org/micabarrow/views/PartialOutageTest.java
@@ -21,7 +21,7 @@
  */
 class PartialOutageTest {
 
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
+    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
 
     private static StoredRecord record(String id, long offset, String value) {
         return new StoredRecord(id, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -34,46 +34,46 @@
                 "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\"}");
     }
 
-    private boolean known(String id) {
-        return keeper.view().endpoints().containsKey(id);
+    private boolean isListed(String id) {
+        return views.view().endpoints().containsKey(id);
     }
 
     @Test
-    void shouldBelieveDropWhenOnlyThisProcessWasAway() {
-        keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
-        keeper.regained(Topic.ENDPOINTS);
-        keeper.apply(Topic.ENDPOINTS, List.of(endpoint("b", 2), record("a", 3, "")), 4);
-        assertFalse(known("a"), "another endpoint wrote before the removal");
-        assertTrue(known("b"));
+    void shouldRemoveEndpointWhenStoreWasUnreachableForThisProcessOnly() {
+        views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
+        views.onStoreReachable(Topic.ENDPOINTS);
+        views.apply(Topic.ENDPOINTS, List.of(endpoint("b", 2), record("a", 3, "")), 4);
+        assertFalse(isListed("a"), "another endpoint wrote before the removal");
+        assertTrue(isListed("b"));
     }
 
     @Test
-    void shouldDoubtDropWhenOthersOnlyCameBackAfterTheirOwn() {
-        keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
-        keeper.regained(Topic.ENDPOINTS);
-        keeper.apply(Topic.ENDPOINTS, List.of(record("b", 2, ""), endpoint("b", 3), record("a", 4, "")), 5);
-        assertTrue(known("a"), "the store was unreachable for all endpoints");
-        assertTrue(known("b"));
+    void shouldDeferRemovalWhenOthersWroteOnlyAfterTheirOwnRemoval() {
+        views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1)), 2);
+        views.onStoreReachable(Topic.ENDPOINTS);
+        views.apply(Topic.ENDPOINTS, List.of(record("b", 2, ""), endpoint("b", 3), record("a", 4, "")), 5);
+        assertTrue(isListed("a"), "the store was unreachable for all endpoints");
+        assertTrue(isListed("b"));
     }
 
     /**
      * Writes made between this process's last read and the outage arrive in the same batch as the removals after it.
      */
     @Test
-    void shouldDoubtDropsOfAllWhenSomeWroteBeforeTheStoreWasAway() {
-        keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
-        keeper.regained(Topic.ENDPOINTS);
-        List<StoredRecord> lapsed =
+    void shouldDeferRemovalsOfAllWhenSomeWroteBeforeOutage() {
+        views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
+        views.onStoreReachable(Topic.ENDPOINTS);
+        List<StoredRecord> expired =
                 List.of(endpoint("b", 3), record("a", 4, ""), record("b", 5, ""), record("c", 6, ""));
-        keeper.apply(Topic.ENDPOINTS, lapsed, 7);
-        List.of("a", "b", "c").forEach(id -> assertTrue(known(id), id));
+        views.apply(Topic.ENDPOINTS, expired, 7);
+        List.of("a", "b", "c").forEach(id -> assertTrue(isListed(id), id));
     }
 
     @Test
-    void shouldBelieveDropWhenMostEntriesHaveNotLapsed() {
-        keeper.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
-        keeper.regained(Topic.ENDPOINTS);
-        keeper.apply(Topic.ENDPOINTS, List.of(record("a", 3, "")), 4);
-        assertFalse(known("a"), "the store accepted the writes of the others");
+    void shouldRemoveEndpointWhenMostEntriesHaveNotExpired() {
+        views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), 3);
+        views.onStoreReachable(Topic.ENDPOINTS);
+        views.apply(Topic.ENDPOINTS, List.of(record("a", 3, "")), 4);
+        assertFalse(isListed("a"), "the store accepted the writes of the others");
     }
 }
--- a/src/test/java/org/micabarrow/views/RemovalDelayTest.java
+++ b/src/test/java/org/micabarrow/views/RemovalDelayTest.java
@@ -29,74 +29,74 @@
     private static final long ROUND_TRIP_MILLIS = 10;
 
     /** How often another endpoint writes its entry. */
-    private static final long WRITTEN_EVERY_MILLIS = 400;
+    private static final long WRITE_INTERVAL_MILLIS = 400;
 
-    private static final long GONE_AT_MILLIS = 25 * WRITTEN_EVERY_MILLIS;
+    private static final long REMOVED_AT_MILLIS = 25 * WRITE_INTERVAL_MILLIS;
 
     /** The step between the tested start times of a failure, which is much shorter than any timeout. */
     private static final long STEP_MILLIS = 70;
 
     /** What keeps an entry from reading the store. */
-    private enum Trouble {
+    private enum Failure {
         NONE,
         /** Open connections stop responding; new connections work. */
-        SILENT_CONNECTION,
+        UNRESPONSIVE_CONNECTION,
         /** The store refuses requests of this process at once, and serves other processes. */
         REFUSED,
         /** The store does not respond to this process, and serves other processes. */
-        SILENT_STORE,
+        UNRESPONSIVE_STORE,
         /** Each response takes half a second. */
         SLOW
     }
 
     /** An entry with a store and peers whose responses take time on a shared clock. */
-    private static final class Entry implements TopicReader {
+    private static final class SimulatedEntry implements TopicReader {
 
         /** The offset of the first record after the list of endpoints. */
-        private static final long LISTED = 3;
+        private static final long FIRST_OFFSET = 3;
 
-        private final Trouble trouble;
-        private final long troubleAtMillis;
-        private final boolean firstPeerDead;
-        private final ViewKeeper keeper;
+        private final Failure failure;
+        private final long failsAtMillis;
+        private final boolean firstPeerDown;
+        private final ViewKeeper views;
         private final StoreFollower follower;
         private long nowMillis;
-        private boolean known;
-        private long knownAtMillis;
-        private boolean newConnection;
+        private boolean removed;
+        private long removedAtMillis;
+        private boolean reconnected;
 
-        private Entry(Trouble trouble, long startedMillis, long troubleAtMillis, boolean firstPeerDead) {
-            this.trouble = trouble;
+        private SimulatedEntry(Failure failure, long startedMillis, long failsAtMillis, boolean firstPeerDown) {
+            this.failure = failure;
             this.nowMillis = startedMillis;
-            this.troubleAtMillis = troubleAtMillis;
-            this.firstPeerDead = firstPeerDead;
-            this.keeper = new ViewKeeper(new StoreRecords(), () -> nowMillis);
+            this.failsAtMillis = failsAtMillis;
+            this.firstPeerDown = firstPeerDown;
+            this.views = new ViewKeeper(new StoreRecords(), () -> nowMillis);
             this.follower = new StoreFollower(
                     Topic.ENDPOINTS,
                     this,
-                    keeper,
-                    topic -> askPeers(),
+                    views,
+                    topic -> queryPeers(),
                     LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
         }
 
         /** The time between the removal of the endpoint's entry and its removal from the view. */
         private long delayMillis() {
-            long rest = follower.once();
-            while (keeper.view().endpoints().containsKey("a")) {
-                pass(rest);
-                rest = follower.once();
-                assertTrue(nowMillis < GONE_AT_MILLIS + 20_000, "the entry never learns of the removal");
+            long pause = follower.once();
+            while (views.view().endpoints().containsKey("a")) {
+                advance(pause);
+                pause = follower.once();
+                assertTrue(nowMillis < REMOVED_AT_MILLIS + 20_000, "the entry never learns of the removal");
             }
-            return (known ? knownAtMillis : nowMillis) - GONE_AT_MILLIS;
+            return (removed ? removedAtMillis : nowMillis) - REMOVED_AT_MILLIS;
         }
 
         /** Advances the clock. Anything in the view at this point was known before the clock advances. */
-        private void pass(long millis) {
-            if (!known
-                    && nowMillis >= GONE_AT_MILLIS
-                    && !keeper.view().endpoints().containsKey("a")) {
-                known = true;
-                knownAtMillis = nowMillis;
+        private void advance(long millis) {
+            if (!removed
+                    && nowMillis >= REMOVED_AT_MILLIS
+                    && !views.view().endpoints().containsKey("a")) {
+                removed = true;
+                removedAtMillis = nowMillis;
             }
             nowMillis += millis;
         }
@@ -111,139 +111,145 @@
             return record(id, offset, text);
         }
 
-        private boolean troubled() {
-            return nowMillis >= troubleAtMillis;
+        private boolean isFailing() {
+            return nowMillis >= failsAtMillis;
         }
 
         /**
          * The records that the store has at a given time, from an offset on: entries of another endpoint, and one
          * removal.
          */
-        private static Batch from(long offset, long atMillis) {
+        private static Batch recordsFrom(long offset, long atMillis) {
             List<StoredRecord> records = new ArrayList<>();
-            for (long next = offset; writtenMillis(next) <= atMillis; next++) {
-                records.add(writtenMillis(next) == GONE_AT_MILLIS ? record("a", next, "") : endpoint("b", next));
+            for (long next = offset; writtenAtMillis(next) <= atMillis; next++) {
+                records.add(writtenAtMillis(next) == REMOVED_AT_MILLIS ? record("a", next, "") : endpoint("b", next));
             }
             return new Batch(records, offset + records.size());
         }
 
-        private static long writtenMillis(long offset) {
-            return (offset - LISTED) * WRITTEN_EVERY_MILLIS;
+        private static long writtenAtMillis(long offset) {
+            return (offset - FIRST_OFFSET) * WRITE_INTERVAL_MILLIS;
         }
 
-        private <T> Result<T> failed(Reason reason, long afterMillis) {
-            pass(afterMillis);
-            return Result.failure(Fault.of(Fault.Step.LOG, "store", reason, trouble.toString()));
+        private <T> Result<T> failure(Reason reason, long afterMillis) {
+            advance(afterMillis);
+            return Result.failure(Fault.of(Fault.Step.LOG, "store", reason, failure.toString()));
         }
 
         @Override
         public Result<Batch> newest(Topic topic) {
-            pass(ROUND_TRIP_MILLIS);
-            return Result.success(new Batch(List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), LISTED));
+            advance(ROUND_TRIP_MILLIS);
+            return Result.success(
+                    new Batch(List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), FIRST_OFFSET));
         }
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
-            long silence = wait.plus(LeavingBound.STORE_ANSWER).toMillis();
-            long answered = answeredMillis(from, wait);
-            boolean begins = troubleAtMillis > nowMillis && troubleAtMillis <= answered;
-            if (begins || troubled()) {
-                switch (trouble) {
-                    case SILENT_CONNECTION -> {
-                        if (!newConnection) {
-                            newConnection = true;
-                            return failed(Reason.TIMEOUT, silence);
+            long timeout = wait.plus(LeavingBound.STORE_ANSWER).toMillis();
+            long respondsAt = respondsAtMillis(from, wait);
+            boolean failsDuringRead = failsAtMillis > nowMillis && failsAtMillis <= respondsAt;
+            if (failsDuringRead || isFailing()) {
+                switch (failure) {
+                    case UNRESPONSIVE_CONNECTION -> {
+                        if (!reconnected) {
+                            reconnected = true;
+                            return failure(Reason.TIMEOUT, timeout);
                         }
                     }
-                    case SILENT_STORE -> {
-                        return failed(Reason.TIMEOUT, silence);
+                    case UNRESPONSIVE_STORE -> {
+                        return failure(Reason.TIMEOUT, timeout);
                     }
                     case REFUSED -> {
-                        return failed(Reason.OVERLOADED, Math.max(0, troubleAtMillis - nowMillis) + ROUND_TRIP_MILLIS);
+                        return failure(Reason.OVERLOADED, Math.max(0, failsAtMillis - nowMillis) + ROUND_TRIP_MILLIS);
                     }
-                    case SLOW -> answered += 500;
+                    case SLOW -> respondsAt += 500;
                     case NONE -> {}
                 }
             }
-            pass(answered - nowMillis);
-            return Result.success(new Read.Records(from(from, nowMillis)));
+            advance(respondsAt - nowMillis);
+            return Result.success(new Read.Records(recordsFrom(from, nowMillis)));
         }
 
         /** When the store responds to a read that is sent now: with the next record, or at the end of the hold. */
-        private long answeredMillis(long from, Duration wait) {
-            long held = Math.clamp(writtenMillis(from), nowMillis, nowMillis + wait.toMillis());
-            return held + ROUND_TRIP_MILLIS;
+        private long respondsAtMillis(long from, Duration wait) {
+            long heldUntil = Math.clamp(writtenAtMillis(from), nowMillis, nowMillis + wait.toMillis());
+            return heldUntil + ROUND_TRIP_MILLIS;
         }
 
-        private void askPeers() {
-            pass((firstPeerDead ? LeavingBound.PEER_ANSWER.toMillis() : 0) + ROUND_TRIP_MILLIS);
-            Batch batch = from(keeper.end(Topic.ENDPOINTS), nowMillis);
-            keeper.apply(Topic.ENDPOINTS, batch.records(), batch.end());
+        private void queryPeers() {
+            advance((firstPeerDown ? LeavingBound.PEER_ANSWER.toMillis() : 0) + ROUND_TRIP_MILLIS);
+            Batch batch = recordsFrom(views.end(Topic.ENDPOINTS), nowMillis);
+            views.apply(Topic.ENDPOINTS, batch.records(), batch.end());
         }
     }
 
-    private static long worstMillis(Trouble trouble, boolean firstPeerDead) {
-        return moments(0, 1_500)
-                .flatMap(started -> moments(GONE_AT_MILLIS - 3_000, GONE_AT_MILLIS + 1_000)
-                        .map(at -> new Entry(trouble, started, at, firstPeerDead).delayMillis()))
+    private static long maxDelayMillis(Failure failure, boolean firstPeerDown) {
+        return times(0, 1_500)
+                .flatMap(started -> times(REMOVED_AT_MILLIS - 3_000, REMOVED_AT_MILLIS + 1_000)
+                        .map(at -> new SimulatedEntry(failure, started, at, firstPeerDown).delayMillis()))
                 .max()
                 .orElseThrow();
     }
 
-    private static LongStream moments(long first, long last) {
-        return LongStream.iterate(first, moment -> moment <= last, moment -> moment + STEP_MILLIS);
+    private static LongStream times(long first, long last) {
+        return LongStream.iterate(first, time -> time <= last, time -> time + STEP_MILLIS);
     }
 
-    private static void assertWithinBound(Trouble trouble) {
-        for (boolean firstPeerDead : new boolean[] {false, true}) {
-            long worst = worstMillis(trouble, firstPeerDead);
-            assertTrue(worst <= BOUND_MILLIS, trouble + ", first peer down " + firstPeerDead + ": " + worst + " ms");
+    private static void assertWithinBound(Failure failure) {
+        for (boolean firstPeerDown : new boolean[] {false, true}) {
+            long maxDelay = maxDelayMillis(failure, firstPeerDown);
+            assertTrue(
+                    maxDelay <= BOUND_MILLIS, failure + ", first peer down " + firstPeerDown + ": " + maxDelay + " ms");
         }
     }
 
     @Test
-    void shouldKnowWithinBoundWhenStoreIsWell() {
-        assertWithinBound(Trouble.NONE);
+    void shouldLearnOfRemovalWithinBoundWhenStoreResponds() {
+        assertWithinBound(Failure.NONE);
     }
 
     @Test
-    void shouldKnowWithinBoundWhenStoreRefusesThisProcess() {
-        assertWithinBound(Trouble.REFUSED);
+    void shouldLearnOfRemovalWithinBoundWhenStoreRefusesThisProcess() {
+        assertWithinBound(Failure.REFUSED);
     }
 
     @Test
-    void shouldKnowWithinBoundWhenStoreFallsSilent() {
-        assertWithinBound(Trouble.SILENT_CONNECTION);
-        assertWithinBound(Trouble.SILENT_STORE);
+    void shouldLearnOfRemovalWithinBoundWhenStoreStopsResponding() {
+        assertWithinBound(Failure.UNRESPONSIVE_CONNECTION);
+        assertWithinBound(Failure.UNRESPONSIVE_STORE);
     }
 
     @Test
-    void shouldKnowWithinBoundWhenStoreIsSlow() {
-        assertWithinBound(Trouble.SLOW);
+    void shouldLearnOfRemovalWithinBoundWhenStoreIsSlow() {
+        assertWithinBound(Failure.SLOW);
     }
 
     /**
      * A store that was unreachable for all endpoints: the entries of two of three endpoints expired, and one of the two
      * is written again.
      */
-    private static final class LapsedEntries implements TopicReader {
+    private static final class ExpiredEntries implements TopicReader {
 
-        private long nowMillis = GONE_AT_MILLIS;
+        private long nowMillis = REMOVED_AT_MILLIS;
         private int reads;
-        private ViewKeeper keeper;
-        private long knownAtMillis = Long.MAX_VALUE;
+        private ViewKeeper views;
+        private long removedAtMillis = Long.MAX_VALUE;
 
-        private void pass(long millis) {
-            if (reads > 1 && !keeper.view().endpoints().containsKey("a")) {
-                knownAtMillis = Math.min(knownAtMillis, nowMillis);
+        private void advance(long millis) {
+            if (reads > 1 && !views.view().endpoints().containsKey("a")) {
+                removedAtMillis = Math.min(removedAtMillis, nowMillis);
             }
             nowMillis += millis;
         }
 
         @Override
         public Result<Batch> newest(Topic topic) {
-            return Result.success(
-                    new Batch(List.of(Entry.endpoint("a", 0), Entry.endpoint("b", 1), Entry.endpoint("c", 2)), 3));
+            return Result.success(new Batch(
+                    List.of(
+                            SimulatedEntry.endpoint("a", 0),
+                            SimulatedEntry.endpoint("b", 1),
+                            SimulatedEntry.endpoint("c", 2)),
+                    3));
         }
 
         @Override
@@ -252,43 +258,47 @@
                 case 1 -> Result.failure(Fault.of(Fault.Step.LOG, "store", Reason.OVERLOADED, "unreachable"));
                 case 2 ->
                     Result.success(new Read.Records(new Batch(
-                            List.of(Entry.record("a", 3, ""), Entry.record("b", 4, ""), Entry.endpoint("b", 5)), 6)));
+                            List.of(
+                                    SimulatedEntry.record("a", 3, ""),
+                                    SimulatedEntry.record("b", 4, ""),
+                                    SimulatedEntry.endpoint("b", 5)),
+                            6)));
                 default -> {
-                    pass(wait.toMillis() + ROUND_TRIP_MILLIS);
+                    advance(wait.toMillis() + ROUND_TRIP_MILLIS);
                     yield Result.success(new Read.Records(new Batch(List.of(), from)));
                 }
             };
         }
 
         @Override
-        public boolean peersTell(Topic topic) {
+        public boolean hasPeerUpdates(Topic topic) {
             return true;
         }
     }
 
     @Test
-    void shouldTakeEndpointForGoneWhenDoubtEndsBetweenReads() {
-        LapsedEntries store = new LapsedEntries();
-        ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> store.nowMillis);
-        store.keeper = keeper;
+    void shouldRemoveEndpointWhenPendingRemovalIsDueBetweenReads() {
+        ExpiredEntries store = new ExpiredEntries();
+        ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> store.nowMillis);
+        store.views = views;
         StoreFollower follower = new StoreFollower(
-                Topic.ENDPOINTS, store, keeper, topic -> {}, LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
-        store.pass(follower.once());
-        store.pass(follower.once());
+                Topic.ENDPOINTS, store, views, topic -> {}, LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
+        store.advance(follower.once());
+        store.advance(follower.once());
         long regained = store.nowMillis;
-        store.pass(follower.once());
-        assertTrue(keeper.view().endpoints().containsKey("a"), "the removal is pending at first");
-        while (keeper.view().endpoints().containsKey("a")) {
-            store.pass(follower.once());
+        store.advance(follower.once());
+        assertTrue(views.view().endpoints().containsKey("a"), "the removal is pending at first");
+        while (views.view().endpoints().containsKey("a")) {
+            store.advance(follower.once());
         }
-        long most = PendingRemovals.DOUBT_MILLIS + 2 * ROUND_TRIP_MILLIS;
-        store.pass(0);
-        assertTrue(store.knownAtMillis - regained <= most, "after " + (store.knownAtMillis - regained) + " ms");
+        long maxDelay = PendingRemovals.REMOVAL_DELAY_MILLIS + 2 * ROUND_TRIP_MILLIS;
+        store.advance(0);
+        assertTrue(store.removedAtMillis - regained <= maxDelay, "after " + (store.removedAtMillis - regained) + " ms");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 500, 1_600, 2_000, 10_000})
-    void shouldHoldReadsWhateverTheBound(long boundMillis) {
+    void shouldHoldReadsForAnyBound(long boundMillis) {
         assertTrue(LeavingBound.pace(Duration.ofMillis(boundMillis)).hold().toMillis() >= 100);
     }
 }
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -24,7 +24,7 @@
 class StoreFollowerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -34,23 +34,23 @@
         return record("config", offset, "{\"version\":" + version + ",\"routes\":[],\"services\":[]}");
     }
 
-    private long version() {
-        return keeper.view().manifest().orElseThrow().version();
+    private long manifestVersion() {
+        return views.view().manifest().orElseThrow().version();
     }
 
     private final class FakeReader implements TopicReader {
 
         private boolean down;
         private boolean expired;
-        private boolean silentOnce;
-        private boolean brokenOnce;
-        private boolean peersTell;
+        private boolean timeOutOnce;
+        private boolean throwOnce;
+        private boolean peerUpdates;
 
         /**
          * Whether to hold a read that finds no records, as a store does. Without a hold, a follower on its own thread
          * never pauses.
          */
-        private boolean holding;
+        private boolean holdReads;
 
         private Fault.Reason reason = Fault.Reason.TIMEOUT;
         private final List<Long> readFrom = new ArrayList<>();
@@ -58,99 +58,99 @@
 
         @Override
         public Result<Batch> newest(Topic topic) {
-            if (brokenOnce) {
-                brokenOnce = false;
+            if (throwOnce) {
+                throwOnce = false;
                 throw new IllegalStateException("simulated failure");
             }
-            return down ? failed() : Result.success(new Batch(List.of(manifest(4, 6)), 10));
+            return down ? failure() : Result.success(new Batch(List.of(manifest(4, 6)), 10));
         }
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration hold) {
             readFrom.add(from);
             holds.add(hold);
-            if (holding) {
+            if (holdReads) {
                 LockSupport.parkNanos(hold.toNanos());
             }
             if (down) {
-                return failed();
+                return failure();
             }
-            if (silentOnce) {
-                silentOnce = false;
-                return failed();
+            if (timeOutOnce) {
+                timeOutOnce = false;
+                return failure();
             }
             return Result.success(expired ? new Read.Expired() : new Read.Records(new Batch(List.of(), from)));
         }
 
         @Override
-        public boolean peersTell(Topic topic) {
-            return peersTell;
+        public boolean hasPeerUpdates(Topic topic) {
+            return peerUpdates;
         }
 
-        private <T> Result<T> failed() {
+        private <T> Result<T> failure() {
             return Result.failure(Fault.of(Fault.Step.LOG, "store", reason, "down"));
         }
     }
 
     private final FakeReader reader = new FakeReader();
-    private final List<Topic> asked = new ArrayList<>();
+    private final List<Topic> queriedTopics = new ArrayList<>();
     private final StoreFollower follower = new StoreFollower(
             Topic.OPERATOR,
             reader,
-            keeper,
-            asked::add,
+            views,
+            queriedTopics::add,
             new StoreFollower.Pace(Duration.ofMillis(10), Duration.ofMillis(5)));
 
     @Test
-    void shouldReadOnFromEndOfNewest() {
+    void shouldContinueFromEndOfLatestRecords() {
         follower.once();
-        assertEquals(4, version());
+        assertEquals(4, manifestVersion());
         follower.once();
         assertEquals(List.of(10L), reader.readFrom);
     }
 
     @Test
-    void shouldGoOnFollowingWhenOneReadFailsByFaultOfProgram() {
-        reader.brokenOnce = true;
-        reader.holding = true;
+    void shouldContinueWhenOneReadThrows() {
+        reader.throwOnce = true;
+        reader.holdReads = true;
         follower.start();
-        Await.until("the next read", () -> keeper.view().manifest().isPresent());
-        assertEquals(4, version());
+        Await.until("the next read", () -> views.view().manifest().isPresent());
+        assertEquals(4, manifestVersion());
     }
 
     @Test
-    void shouldAskPeerWhileStoreIsDown() {
+    void shouldQueryPeerWhileStoreIsDown() {
         reader.down = true;
         assertTrue(follower.once() > 0, "it pauses before the next read");
-        assertEquals(List.of(Topic.OPERATOR), asked);
+        assertEquals(List.of(Topic.OPERATOR), queriedTopics);
         reader.down = false;
         follower.once();
-        assertEquals(4, version());
-        assertEquals(1, asked.size());
+        assertEquals(4, manifestVersion());
+        assertEquals(1, queriedTopics.size());
     }
 
     @Test
-    void shouldReadAgainAtOnceWhenOneReadStaysWithoutAnswer() {
+    void shouldRetryAtOnceWhenOneReadTimesOut() {
         follower.once();
-        reader.silentOnce = true;
+        reader.timeOutOnce = true;
         follower.once();
         assertEquals(List.of(10L, 10L), reader.readFrom, "the store may respond on a new connection");
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), queriedTopics);
     }
 
     @Test
-    void shouldReadAgainAtOnceWhenConnectionOfOneReadWasReset() {
+    void shouldRetryAtOnceWhenConnectionWasReset() {
         follower.once();
         reader.reason = Fault.Reason.UNREACHABLE;
-        reader.silentOnce = true;
+        reader.timeOutOnce = true;
         follower.once();
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), queriedTopics);
     }
 
     @Test
-    void shouldReadOnceInThreeTurnsWhileStoreStaysAway() {
+    void shouldReadInEveryThirdRoundWhileStoreIsUnreachable() {
         follower.once();
         reader.down = true;
         assertTrue(follower.once() > 0, "it pauses before the next read");
@@ -160,16 +160,16 @@
         assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three rounds only a peer is queried");
         follower.once();
         assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "in the third round the store is read once");
-        assertEquals(Collections.nCopies(4, Topic.OPERATOR), asked, "a peer is queried in each round");
+        assertEquals(Collections.nCopies(4, Topic.OPERATOR), queriedTopics, "a peer is queried in each round");
     }
 
     /** An entry that was disconnected receives updates from agents before its next read of the store is due. */
     @Test
-    void shouldReadInNextTurnWhenPeersTellAgain() {
+    void shouldReadInNextRoundWhenPeersSendUpdatesAgain() {
         follower.once();
         reader.down = true;
         follower.once();
-        reader.peersTell = true;
+        reader.peerUpdates = true;
         reader.down = false;
         follower.once();
         assertEquals(List.of(10L, 10L, 10L), reader.readFrom);
@@ -177,17 +177,17 @@
     }
 
     @Test
-    void shouldNotReadAgainAtOnceWhenStoreRefuses() {
+    void shouldNotRetryAtOnceWhenStoreRefuses() {
         follower.once();
         reader.down = true;
         reader.reason = Fault.Reason.OVERLOADED;
         follower.once();
         assertEquals(List.of(10L), reader.readFrom);
-        assertEquals(List.of(Topic.OPERATOR), asked);
+        assertEquals(List.of(Topic.OPERATOR), queriedTopics);
     }
 
     @Test
-    void shouldReadNewestAgainWhenHistoryExpired() {
+    void shouldReadLatestRecordsAgainWhenHistoryExpired() {
         follower.once();
         reader.expired = true;
         follower.once();
--- a/src/test/java/org/micabarrow/views/TopicCopyTest.java
+++ b/src/test/java/org/micabarrow/views/TopicCopyTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void shouldDropKeysThatAreMissingFromListOfNewest() {
+    void shouldDeleteKeysWhenMissingFromLatestRecords() {
         TopicCopy copy = new TopicCopy();
         copy.apply(List.of(record("a", 1, "x"), record("b", 2, "x")), 3);
         copy.replace(List.of(record("b", 2, "x")), 9);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void shouldKeepKeyWrittenAfterListOfNewestWasTaken() {
+    void shouldKeepKeyWhenWrittenAfterLatestRecordsWereRead() {
         TopicCopy copy = new TopicCopy();
         copy.apply(List.of(record("a", 12, "x")), 13);
         copy.replace(List.of(), 9);
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void shouldTellPeersOfDroppedKeys() {
+    void shouldReturnTombstonesToPeers() {
         TopicCopy copy = new TopicCopy();
         copy.apply(List.of(record("a", 1, "x")), 2);
         copy.apply(List.of(record("a", 4, "")), 5);
@@ -64,20 +64,20 @@
      * oracle.
      */
     @Property(seed = "7", tries = 300)
-    void shouldEndWithNewestWhateverTheOrder(
+    void shouldEndWithLatestRecordsInAnyOrder(
             @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 5) Integer> keys, @ForAll int shuffle) {
         List<StoredRecord> records = new ArrayList<>();
-        Map<String, Long> newest = new HashMap<>();
+        Map<String, Long> latest = new HashMap<>();
         for (int offset = 0; offset < keys.size(); offset++) {
             String key = "k" + keys.get(offset);
             records.add(record(key, offset, "v" + offset));
-            newest.put(key, (long) offset);
+            latest.put(key, (long) offset);
         }
         records.addAll(records);
         Collections.shuffle(records, new Random(shuffle));
         TopicCopy copy = new TopicCopy();
-        records.forEach(one -> copy.apply(List.of(one), one.offset() + 1));
-        newest.forEach((key, offset) ->
+        records.forEach(item -> copy.apply(List.of(item), item.offset() + 1));
+        latest.forEach((key, offset) ->
                 assertEquals(offset, copy.record(key).orElseThrow().offset()));
         assertEquals(keys.size(), copy.end());
     }
