--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -24,7 +24,7 @@
 class ViewKeeperTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -42,47 +42,47 @@
     }
 
     private void endpoints(long end, StoredRecord... records) {
-        keeper.apply(Topic.ENDPOINTS, List.of(records), end);
+        views.apply(Topic.ENDPOINTS, List.of(records), end);
     }
 
-    private boolean known(String id) {
-        return keeper.view().endpoints().containsKey(id);
+    private boolean isListed(String id) {
+        return views.view().endpoints().containsKey(id);
     }
 
-    private long version() {
-        return keeper.view().manifest().orElseThrow().version();
+    private long manifestVersion() {
+        return views.view().manifest().orElseThrow().version();
     }
 
     // -- manifests
 
     @Test
-    void shouldNotGoBackWhenPeerTellsOlderManifest() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
-        keeper.apply(Topic.OPERATOR, List.of(manifest(5, 2)), 3);
-        assertEquals(7, version());
+    void shouldKeepManifestWhenPeerSendsOlderOne() {
+        views.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
+        views.apply(Topic.OPERATOR, List.of(manifest(5, 2)), 3);
+        assertEquals(7, manifestVersion());
     }
 
     @Test
-    void shouldNotGoBackWhenOlderManifestIsWrittenLate() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
-        keeper.apply(Topic.OPERATOR, List.of(manifest(5, 4)), 5);
-        assertEquals(7, version());
-        keeper.replace(Topic.OPERATOR, List.of(manifest(5, 4)), 5);
-        assertEquals(7, version());
+    void shouldKeepManifestWhenOlderOneIsWrittenLate() {
+        views.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
+        views.apply(Topic.OPERATOR, List.of(manifest(5, 4)), 5);
+        assertEquals(7, manifestVersion());
+        views.replace(Topic.OPERATOR, List.of(manifest(5, 4)), 5);
+        assertEquals(7, manifestVersion());
     }
 
     @Test
     void shouldKeepManifestWhenItsRecordDisappears() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
-        keeper.replace(Topic.OPERATOR, List.of(), 9);
-        assertEquals(7, version());
+        views.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
+        views.replace(Topic.OPERATOR, List.of(), 9);
+        assertEquals(7, manifestVersion());
     }
 
     @Test
-    void shouldKeepManifestWhenNewOneIsBroken() {
-        keeper.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
-        keeper.apply(Topic.OPERATOR, List.of(record("config", 4, "{")), 5);
-        assertEquals(7, version());
+    void shouldKeepManifestWhenNewOneIsInvalid() {
+        views.apply(Topic.OPERATOR, List.of(manifest(7, 3)), 4);
+        views.apply(Topic.OPERATOR, List.of(record("config", 4, "{")), 5);
+        assertEquals(7, manifestVersion());
     }
 
     // -- weights
@@ -99,77 +99,77 @@
      */
     @Test
     void shouldLearnNewestVersionFromPeerWhenOlderOneWasWrittenLate() {
-        keeper.apply(Topic.OPERATOR, List.of(named(3, 5), named(2, 6)), 7);
-        ViewKeeper asker = new ViewKeeper(new StoreRecords(), now::get);
-        TopicReader.Batch told = keeper.since(Topic.OPERATOR, 0);
-        asker.apply(Topic.OPERATOR, told.records(), told.end());
-        assertEquals(3, asker.view().newestTarget("m").orElseThrow().version());
+        views.apply(Topic.OPERATOR, List.of(named(3, 5), named(2, 6)), 7);
+        ViewKeeper reader = new ViewKeeper(new StoreRecords(), now::get);
+        TopicReader.Batch batch = views.since(Topic.OPERATOR, 0);
+        reader.apply(Topic.OPERATOR, batch.records(), batch.end());
+        assertEquals(3, reader.view().newestTarget("m").orElseThrow().version());
         assertEquals(
                 List.of(3L),
-                asker.unkept().stream()
+                reader.unsavedVersions().stream()
                         .map(one -> ((Unkept.Weights) one).version())
                         .toList());
     }
 
     @Test
-    void shouldDemandVersionOnceItsTimeIsOver() {
-        keeper.want("m", 2);
+    void shouldRequireVersionWhenItsBoundHasPassed() {
+        views.want("m", 2);
         now.addAndGet(3_000);
-        keeper.want("m", 3);
+        views.want("m", 3);
         now.addAndGet(5_500);
-        assertEquals(2, keeper.view().leastVersion("m", 8_000, now.get()));
+        assertEquals(2, views.view().leastVersion("m", 8_000, now.get()));
         now.addAndGet(3_000);
-        assertEquals(3, keeper.view().leastVersion("m", 8_000, now.get()));
+        assertEquals(3, views.view().leastVersion("m", 8_000, now.get()));
     }
 
     @Test
-    void shouldNotForgetWhenVersionWasNamedIfItIsToldAgain() {
-        keeper.want("m", 2);
+    void shouldKeepTimeOfNamingWhenVersionIsReportedAgain() {
+        views.want("m", 2);
         now.addAndGet(9_000);
-        keeper.want("m", 2);
-        keeper.want("m", 1);
-        assertEquals(2, keeper.view().leastVersion("m", 8_000, now.get()));
+        views.want("m", 2);
+        views.want("m", 1);
+        assertEquals(2, views.view().leastVersion("m", 8_000, now.get()));
     }
 
     @Test
-    void shouldKnowWhetherItSawVersionBeingNamed() {
+    void shouldDistinguishObservedNamingFromEarlierNaming() {
         StoredRecord found = record("version/m", 1, "{\"model\":\"m\",\"version\":2}");
-        keeper.replace(Topic.OPERATOR, List.of(found), 2);
-        assertFalse(keeper.view().newestTarget("m").orElseThrow().seenNamed());
+        views.replace(Topic.OPERATOR, List.of(found), 2);
+        assertFalse(views.view().newestTarget("m").orElseThrow().seenNamed());
         StoredRecord named = record("version/m", 2, "{\"model\":\"m\",\"version\":3}");
-        keeper.apply(Topic.OPERATOR, List.of(named), 3);
-        assertTrue(keeper.view().newestTarget("m").orElseThrow().seenNamed());
+        views.apply(Topic.OPERATOR, List.of(named), 3);
+        assertTrue(views.view().newestTarget("m").orElseThrow().seenNamed());
     }
 
     // -- endpoints
 
     @Test
-    void shouldRemoveEndpointAtOnceWhenStoreIsWell() {
+    void shouldRemoveEndpointAtOnceWhenStoreWasReachable() {
         endpoints(1, endpoint("a", 0));
         endpoints(2, record("a", 1, ""));
-        assertFalse(known("a"));
+        assertFalse(isListed("a"));
     }
 
     @Test
-    void shouldDoubtDropRightAfterStoreWasAway() {
+    void shouldDeferRemovalRightAfterOutage() {
         endpoints(1, endpoint("a", 0));
-        keeper.regained(Topic.ENDPOINTS);
+        views.onStoreReachable(Topic.ENDPOINTS);
         endpoints(2, record("a", 1, ""));
-        assertTrue(known("a"));
+        assertTrue(isListed("a"));
         endpoints(3, endpoint("a", 2));
         now.addAndGet(5_000);
-        keeper.settleDoubts();
-        assertTrue(known("a"), "its entry was written again");
+        views.removeDueEndpoints();
+        assertTrue(isListed("a"), "its entry was written again");
     }
 
     @Test
-    void shouldRemoveDoubtedEndpointThatDoesNotComeBack() {
+    void shouldRemoveEndpointWhenItsEntryIsNotWrittenAgain() {
         endpoints(1, endpoint("a", 0));
-        keeper.regained(Topic.ENDPOINTS);
+        views.onStoreReachable(Topic.ENDPOINTS);
         endpoints(2, record("a", 1, ""));
         now.addAndGet(2_400);
-        keeper.settleDoubts();
-        assertFalse(known("a"));
+        views.removeDueEndpoints();
+        assertFalse(isListed("a"));
     }
 
     // -- endpoints that restart with the same id
@@ -184,11 +184,11 @@
     }
 
     private EndpointEntry entry(String id) {
-        return keeper.view().endpoints().get(id);
+        return views.view().endpoints().get(id);
     }
 
     @Test
-    void shouldBelieveNothingOfFormerStartWhenEndpointStartsAgain() {
+    void shouldReplaceEntryWhenEndpointRestarts() {
         endpoints(1, started("a", 0, 5_000, "draining", 3));
         endpoints(2, started("a", 1, 9_000, "ready", 1));
         assertFalse(entry("a").leaving());
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void shouldNotGoBackToOlderStartWhenItsWriteComesLate() {
+    void shouldKeepEntryWhenWriteOfEarlierStartIsLate() {
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         now.addAndGet(3_000);
         endpoints(2, started("a", 1, 5_000, "draining", 3));
@@ -205,30 +205,33 @@
     }
 
     @Test
-    void shouldNotListEndpointAgainWhenWriteOfOlderStartComesAfterItsEntryWent() {
+    void shouldNotListEndpointAgainWhenWriteOfEarlierStartFollowsRemoval() {
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         endpoints(2, record("a", 1, ""));
         endpoints(3, started("a", 2, 5_000, "ready", 3));
-        assertFalse(known("a"));
+        assertFalse(isListed("a"));
     }
 
     @Test
-    void shouldTakeOlderStartWhenNothingIsHeardOfNewerOneAnyMore() {
+    void shouldAcceptEarlierStartWhenLaterOneHasNotBeenSeenForLong() {
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         for (int offset = 1; offset <= 6; offset++) {
             now.addAndGet(1_200);
             endpoints(offset + 1, started("a", offset, 5_000, "ready", 3));
         }
-        assertEquals(3, entry("a").models().get("m"), "a clock was set back, or a wrong entry had a start time in the future");
+        assertEquals(
+                3,
+                entry("a").models().get("m"),
+                "a clock was set back, or a wrong entry had a start time in the future");
     }
 
     @Test
-    void shouldNotUseEntryWithoutStartWhenEndpointToldItsStartBefore() {
+    void shouldRejectEntryWithoutStartTimeWhenEarlierEntryHadOne() {
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         endpoints(2, endpoint("a", 1));
-        assertFalse(known("a"), "something else wrote the entry");
+        assertFalse(isListed("a"), "something else wrote the entry");
         endpoints(3, started("a", 2, 9_000, "ready", 1));
-        assertTrue(known("a"));
+        assertTrue(isListed("a"));
     }
 
     // -- records from peers
@@ -238,26 +241,26 @@
      * offset to continue from, the removal would never be read.
      */
     @Test
-    void shouldLearnOfDroppedEntryWhenPeerStartedAfterIt() {
+    void shouldLearnOfRemovalWhenPeerStartedAfterIt() {
         endpoints(6, endpoint("a", 5));
         ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("b", 7)), 8);
-        Batch told = peer.since(Topic.ENDPOINTS, keeper.end(Topic.ENDPOINTS));
-        keeper.apply(Topic.ENDPOINTS, told.records(), told.end());
-        assertTrue(known("b"));
-        assertEquals(6, keeper.end(Topic.ENDPOINTS), "the tombstone precedes the first record of the peer");
+        Batch batch = peer.since(Topic.ENDPOINTS, views.end(Topic.ENDPOINTS));
+        views.apply(Topic.ENDPOINTS, batch.records(), batch.end());
+        assertTrue(isListed("b"));
+        assertEquals(6, views.end(Topic.ENDPOINTS), "the tombstone precedes the first record of the peer");
     }
 
     @Test
-    void shouldReadOnWherePeerStandsWhenPeerHasFollowedSinceBefore() {
+    void shouldContinueFromEndOfPeerWhenPeerHasReadAllRecords() {
         endpoints(6, endpoint("a", 5));
         ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("a", 5)), 6);
         peer.apply(Topic.ENDPOINTS, List.of(record("a", 6, ""), endpoint("b", 7)), 8);
-        Batch told = peer.since(Topic.ENDPOINTS, keeper.end(Topic.ENDPOINTS));
-        keeper.apply(Topic.ENDPOINTS, told.records(), told.end());
-        assertFalse(known("a"));
-        assertEquals(8, keeper.end(Topic.ENDPOINTS));
+        Batch batch = peer.since(Topic.ENDPOINTS, views.end(Topic.ENDPOINTS));
+        views.apply(Topic.ENDPOINTS, batch.records(), batch.end());
+        assertFalse(isListed("a"));
+        assertEquals(8, views.end(Topic.ENDPOINTS));
     }
 
     // -- entries that are written late
@@ -275,7 +278,7 @@
      * write took effect: entries continued to send requests to it.
      */
     @Test
-    void shouldBelieveThatEndpointLeavesWhenEarlierEntryIsWrittenLate() {
+    void shouldKeepEndpointDrainingWhenEarlierEntryIsWrittenLate() {
         endpoints(1, written("a", 0, 4, "ready"));
         endpoints(2, written("a", 1, 6, "draining"));
         now.addAndGet(5_900);
@@ -286,16 +289,16 @@
     }
 
     @Test
-    void shouldNotListEndpointAgainWhenEarlierEntryIsWrittenAfterItWent() {
+    void shouldNotListEndpointAgainWhenEarlierEntryIsWrittenAfterRemoval() {
         endpoints(1, written("a", 0, 6, "draining"));
         endpoints(2, record("a", 1, ""));
         now.addAndGet(1_000);
         endpoints(3, written("a", 2, 5, "ready"));
-        assertFalse(known("a"));
+        assertFalse(isListed("a"));
     }
 
     @Test
-    void shouldTakeEntryAgainThatCountsFromAnewWithoutTellingItsStart() {
+    void shouldAcceptEntryWhenItsWriteCounterRestartsWithoutStartTime() {
         endpoints(1, written("a", 0, 60, "ready"));
         now.addAndGet(7_100);
         endpoints(2, written("a", 1, 1, "draining"));
@@ -306,25 +309,25 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[]", "null", "{\"service\":\"s\",\"state\":\"ready\"}", "\u0000"})
-    void shouldNotUseEndpointWhenItsEntryCannotBeReadAnyMoreAndKeepTheOthers(String value) {
+    void shouldRemoveOnlyEndpointWhoseEntryBecomesInvalid(String value) {
         endpoints(2, endpoint("a", 0), endpoint("b", 1));
         endpoints(4, record("a", 2, value), endpoint("c", 3));
-        assertEquals(Set.of("b", "c"), keeper.view().endpoints().keySet());
+        assertEquals(Set.of("b", "c"), views.view().endpoints().keySet());
         endpoints(5, endpoint("a", 4));
-        assertTrue(known("a"), "its entry was written again");
+        assertTrue(isListed("a"), "its entry was written again");
     }
 
     @Test
-    void shouldNotKeepDoubtedEndpointWhenItsEntryCannotBeRead() {
+    void shouldRemoveEndpointWithPendingRemovalWhenItsEntryIsInvalid() {
         endpoints(1, endpoint("a", 0));
-        keeper.regained(Topic.ENDPOINTS);
+        views.onStoreReachable(Topic.ENDPOINTS);
         endpoints(2, record("a", 1, ""));
         endpoints(3, record("a", 2, "{"));
-        assertFalse(known("a"));
+        assertFalse(isListed("a"));
     }
 
     @Test
-    void shouldSayOnceThatEntryIsRefusedHoweverOftenItIsWritten() {
+    void shouldLogInvalidEntryOnceWhenItIsWrittenRepeatedly() {
         Logger logger = (Logger) LoggerFactory.getLogger(ViewKeeper.class);
         ListAppender<ILoggingEvent> lines = new ListAppender<>();
         lines.start();
@@ -347,9 +350,9 @@
     }
 
     @Test
-    void shouldKeepNamedVersionWhenLaterRecordIsOfAnotherType() {
-        keeper.apply(Topic.OPERATOR, List.of(record("version/m", 0, "{\"model\":\"m\",\"version\":2}")), 1);
-        keeper.apply(Topic.OPERATOR, List.of(record("version/m", 1, "{\"model\":\"m\",\"version\":\"3\"}")), 2);
-        assertEquals(2, keeper.view().newestTarget("m").orElseThrow().version());
+    void shouldKeepNamedVersionWhenLaterRecordHasWrongType() {
+        views.apply(Topic.OPERATOR, List.of(record("version/m", 0, "{\"model\":\"m\",\"version\":2}")), 1);
+        views.apply(Topic.OPERATOR, List.of(record("version/m", 1, "{\"model\":\"m\",\"version\":\"3\"}")), 2);
+        assertEquals(2, views.view().newestTarget("m").orElseThrow().version());
     }
 }
