--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/NewsReader.java
@@ -207,7 +207,7 @@
         return switch (role) {
             case Role.Agent ignored -> AGENT_RESPONSE_TIMEOUT;
             case Role.Entry ignored ->
-                Duration.ofMillis(Math.max(1, updates.remainingValidityMillis(peer, monotonicMillis.getAsLong())));
+                Duration.ofMillis(Math.max(1, updates.remainingMillis(peer, monotonicMillis.getAsLong())));
         };
     }
 
--- a/src/main/java/org/micabarrow/views/PeerUpdates.java
+++ b/src/main/java/org/micabarrow/views/PeerUpdates.java
@@ -14,14 +14,14 @@
      * How long an agent relies on an update, in milliseconds. Nearby entries send some seven updates in this time, so
      * that a few may be lost. A peer that lost its connection to the store sends no updates.
      */
-    private static final long AGENT_UPDATE_VALIDITY_MILLIS = 1_000;
+    private static final long AGENT_UPDATE_EXPIRY_MILLIS = 1_000;
 
     /**
      * How long an entry relies on an update about the entry that reads the store for the region, in milliseconds.
      * Agents send some three updates in this time. They continue to name a reader that has ended for the same time;
      * twice this time and one read of the store must fit into two seconds.
      */
-    private static final long ENTRY_UPDATE_VALIDITY_MILLIS = 500;
+    private static final long ENTRY_UPDATE_EXPIRY_MILLIS = 500;
 
     /**
      * The maximum age of an entry's knowledge on which agents rely, in milliseconds: a weight version must be in use
@@ -62,11 +62,11 @@
         return storeResponds;
     }
 
-    // -- validity
+    // -- expiry
 
     /** Whether any update is valid now. */
     boolean hasValidUpdate(long nowMillis) {
-        updates.values().removeIf(update -> nowMillis - update.receivedAtMillis() >= validityMillis());
+        updates.values().removeIf(update -> nowMillis - update.receivedAtMillis() >= expiryMillis());
         return validUpdates(nowMillis).findAny().isPresent();
     }
 
@@ -86,7 +86,7 @@
     long lastExpiryMillis(long nowMillis) {
         return validUpdates(nowMillis)
                 .mapToLong(update ->
-                        Math.min(update.receivedAtMillis() + validityMillis(), update.asOfMillis() + maxAgeMillis()))
+                        Math.min(update.receivedAtMillis() + expiryMillis(), update.asOfMillis() + maxAgeMillis()))
                 .max()
                 .orElse(nowMillis);
     }
@@ -94,15 +94,15 @@
     /**
      * How long a peer's knowledge remains recent enough to rely on, in milliseconds; 0 for a peer without an update.
      */
-    long remainingValidityMillis(String peer, long nowMillis) {
+    long remainingMillis(String peer, long nowMillis) {
         Update update = updates.get(peer);
         return update == null ? 0 : update.asOfMillis() + maxAgeMillis() - nowMillis;
     }
 
-    private long validityMillis() {
+    private long expiryMillis() {
         return switch (role) {
-            case Role.Agent ignored -> AGENT_UPDATE_VALIDITY_MILLIS;
-            case Role.Entry ignored -> ENTRY_UPDATE_VALIDITY_MILLIS;
+            case Role.Agent ignored -> AGENT_UPDATE_EXPIRY_MILLIS;
+            case Role.Entry ignored -> ENTRY_UPDATE_EXPIRY_MILLIS;
         };
     }
 
