--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.stream.Stream;
-import org.micabarrow.admission.PlaceShares;
+import org.micabarrow.admission.SlotAllotment;
 import org.micabarrow.clock.SteadyClock;
 import org.micabarrow.platform.EndpointCalls;
 import org.micabarrow.platform.OriginCalls;
 import org.micabarrow.process.HostedNode.Paces;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.steps.Steps;
@@ -30,7 +30,7 @@
 import org.micabarrow.weights.ChunkSources;
 import org.micabarrow.weights.ChunkSources.Agent;
 import org.micabarrow.weights.ModelEndpoint;
-import org.micabarrow.weights.ReplicaKeeper;
+import org.micabarrow.weights.ReplicaController;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -75,10 +75,10 @@
     private final HostedSettings settings;
     private final HostedNode node;
     private final NewsReader news;
-    private final ReplicaKeeper keeper;
+    private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
-    private volatile Placed placed = new Placed(View.empty(), new ReplicaKeeper.Place(0, 1));
+    private volatile Placed placed = new Placed(View.empty(), new ReplicaController.Place(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
     private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
@@ -96,7 +96,7 @@
                 ChunkSources.following(self, this::agents),
                 node.weightPacer(this::serves)::take,
                 HostedNode::steadyMillis));
-        this.keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+        this.keeper = new ReplicaController(new ReplicaController.Parts(
                 this::model,
                 this::layers,
                 new EndpointCalls(node.kept(), settings.endpoint().orElseThrow(), this::layers),
@@ -224,7 +224,7 @@
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
     private int freePlaces(ModelEndpoint.Report report) {
         return modelService()
-                .map(service -> PlaceShares.dealable(service.slots(), report.running() + report.queued()))
+                .map(service -> SlotAllotment.dealable(service.slots(), report.running() + report.queued()))
                 .orElse(LoadReport.ANY_PLACES);
     }
 
@@ -240,18 +240,18 @@
         return node.views().view();
     }
 
-    private Optional<ModelService> modelService() {
+    private Optional<ModelProfile> modelService() {
         return view().manifest()
                 .flatMap(manifest -> manifest.service(settings.service().orElse("")))
                 .flatMap(RouteManifest.Service::model);
     }
 
     private Optional<String> model() {
-        return modelService().map(ModelService::model);
+        return modelService().map(ModelProfile::model);
     }
 
     private int layers() {
-        return modelService().map(ModelService::layers).orElse(0);
+        return modelService().map(ModelProfile::layers).orElse(0);
     }
 
     /** The agents beside all endpoints of this agent's service; they listen at the same port on every instance. */
@@ -264,9 +264,9 @@
     }
 
     /** The place in a view. It is asked for twice a second and more, and views change when an endpoint does. */
-    private record Placed(View view, ReplicaKeeper.Place place) {}
+    private record Placed(View view, ReplicaController.Place place) {}
 
-    private ReplicaKeeper.Place place() {
+    private ReplicaController.Place place() {
         View now = view();
         Placed known = placed;
         if (known.view() != now) {
@@ -276,14 +276,14 @@
         return known.place();
     }
 
-    private ReplicaKeeper.Place place(View now) {
+    private ReplicaController.Place place(View now) {
         List<String> region = Stream.concat(agents(now).stream(), Stream.of(self))
                 .filter(agent -> agent.region().equals(self.region()))
                 .map(Agent::address)
                 .distinct()
                 .sorted()
                 .toList();
-        return new ReplicaKeeper.Place(region.indexOf(self.address()), region.size());
+        return new ReplicaController.Place(region.indexOf(self.address()), region.size());
     }
 
     private Duty duty() {
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -9,11 +9,11 @@
 import java.util.random.RandomGenerator;
 import org.micabarrow.clock.SteadyClock;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.crashes.CrashBook;
+import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.process.HostedNode.Paces;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.serving.Crashes;
 import org.micabarrow.serving.ManifestAge;
 import org.micabarrow.serving.ServingHandler;
@@ -76,7 +76,7 @@
 
     private final HostedSettings settings;
     private final HostedNode node;
-    private final EndpointChoice choice;
+    private final EndpointSelector choice;
     private final NewsReader reader;
     private final LoadFeed loadFeed;
     private final ServingHandler handler;
@@ -88,7 +88,7 @@
     private HostedEntryProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.node = new HostedNode(settings);
-        this.choice = new EndpointChoice(settings.instance().region(), settings.regions());
+        this.choice = new EndpointSelector(settings.instance().region(), settings.regions());
         HostedSettings.Bounds bounds = settings.bounds();
         this.reader = new NewsReader(
                 node.store(),
@@ -107,7 +107,7 @@
                 HostedNode::steadyMillis,
                 this::news,
                 this::heard));
-        CrashBook book = new CrashBook(bounds.crashMemoryMillis(), bounds.crashesKept(), this::endpoints);
+        CrashRegistry book = new CrashRegistry(bounds.crashMemoryMillis(), bounds.crashesKept(), this::endpoints);
         this.crashes = new CrashSharing(
                 node.crashRecords(),
                 book,
--- a/src/main/java/org/micabarrow/serving/RoomLine.java
+++ b/src/main/java/org/micabarrow/serving/RoomLine.java
@@ -2,10 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.admission.WaitQueue;
+import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.Waiter;
 import org.micabarrow.steps.Steps;
 import org.xnio.XnioIoThread;
 
@@ -18,7 +18,7 @@
      */
     private static final long LOOK_MILLIS = 10;
 
-    private final WaitingLine line = new WaitingLine();
+    private final WaitQueue line = new WaitQueue();
     private final LongSupplier steadyMillis;
     private boolean looking;
 
@@ -36,8 +36,8 @@
     }
 
     /** The line for the requests of a thread. */
-    RoomWait.Line on(XnioIoThread thread) {
-        return new RoomWait.Line() {
+    SlotWait.Line on(XnioIoThread thread) {
+        return new SlotWait.Line() {
             @Override
             public Place join(int rank, long latestStartMillis, Waiter waiter) {
                 return RoomLine.this.join(rank, latestStartMillis, waiter, thread);
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -17,9 +17,9 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.micabarrow.limits.LimitWord;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.limits.RateLimitUpdate;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
@@ -50,7 +50,7 @@
     /** The endpoints at each host; after one started again there are two for a while, until nothing waits at the former. */
     private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
 
-    private final Map<EndpointStart, EndpointEntry> asked = new HashMap<>();
+    private final Map<EndpointStart, EndpointRegistration> asked = new HashMap<>();
 
     /** The stamp of the last answer from each host. */
     private final Map<String, Long> stamps = new ConcurrentHashMap<>();
@@ -81,7 +81,7 @@
             Map<String, String> regions,
             int peerPort,
             Supplier<View> view,
-            EndpointChoice choice,
+            EndpointSelector choice,
             XnioIoThread traffic,
             LongSupplier steadyMillis,
             Supplier<Optional<StoreNews>> news,
@@ -149,7 +149,7 @@
     private void round(Runnable afterRound) {
         boolean onTime = rounds.onTime(parts.steadyMillis().getAsLong());
         View view = parts.view().get();
-        Map<String, List<EndpointEntry>> hosts = askedByHost(view);
+        Map<String, List<EndpointRegistration>> hosts = askedByHost(view);
         // Before the questions: an answer may come at once.
         endpointsByHost = startsOf(hosts);
         stamps.keySet().retainAll(hosts.keySet());
@@ -178,31 +178,31 @@
      * The endpoints to ask about: those of models that are listed, and those listed no more at which requests still wait, since
      * an endpoint that is not asked about would seem to have fallen silent.
      */
-    private Map<String, List<EndpointEntry>> askedByHost(View view) {
+    private Map<String, List<EndpointRegistration>> askedByHost(View view) {
         asked.keySet().removeIf(start -> !parts.choice().awaits(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> asked.put(endpoint.start(), endpoint));
-        return asked.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
+        return asked.values().stream().collect(Collectors.groupingBy(EndpointRegistration::instanceHost));
     }
 
-    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointEntry>> hosts) {
+    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointRegistration>> hosts) {
         return hosts.entrySet().stream()
                 .collect(Collectors.toUnmodifiableMap(
                         Map.Entry::getKey,
                         host -> host.getValue().stream()
-                                .map(EndpointEntry::start)
+                                .map(EndpointRegistration::start)
                                 .toList()));
     }
 
-    private static boolean isModel(View view, EndpointEntry endpoint) {
+    private static boolean isModel(View view, EndpointRegistration endpoint) {
         return view.manifest()
                 .flatMap(manifest -> manifest.service(endpoint.service()))
                 .filter(service -> service.model().isPresent())
                 .isPresent();
     }
 
-    private boolean near(EndpointEntry endpoint) {
+    private boolean near(EndpointRegistration endpoint) {
         return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
     }
 
@@ -212,7 +212,7 @@
      * @param endpoint the endpoint
      * @param then learns on the same thread, once, whether the agent answered in time
      */
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> then) {
         String host = endpoint.instanceHost();
         boolean near = near(endpoint);
         OptionalLong stamp = stamp(stamps, host);
@@ -249,12 +249,12 @@
     }
 
     /** What this entry heard of the limit of the endpoint at a host; of two starts of it the one that said something last. */
-    private Optional<LimitWord> limit(List<EndpointStart> endpoints) {
+    private Optional<RateLimitUpdate> limit(List<EndpointStart> endpoints) {
         long now = parts.steadyMillis().getAsLong();
         return endpoints.stream()
                 .map(start -> parts.choice().load(start).limit().word(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(LimitWord::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
     }
 
     /** What an agent is told of the store, with the stamp that it is newer than. */
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -11,7 +11,7 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.views.LastChanges;
 import org.micabarrow.views.ManifestPlace;
@@ -108,7 +108,7 @@
             boolean near,
             Optional<StoreNews> news,
             OptionalLong stamp,
-            Optional<LimitWord> limit) {
+            Optional<RateLimitUpdate> limit) {
 
         /** A question of an entry that has heard of no limit. */
         Question(
@@ -161,7 +161,7 @@
             boolean stamped = flag(datagram);
             long stamp = datagram.getLong();
             Optional<StoreNews> news = flag(datagram) ? Optional.of(news(datagram)) : Optional.empty();
-            Optional<LimitWord> limit = LimitBytes.readLimit(datagram);
+            Optional<RateLimitUpdate> limit = LimitBytes.readLimit(datagram);
             String entry = text(datagram);
             OptionalLong answered = stamped ? OptionalLong.of(stamp) : OptionalLong.empty();
             return new Question(entry, promptTokens, number, unmet, near, news, answered, limit);
@@ -236,7 +236,7 @@
             Optional<ReaderNews> reader,
             long stampMillis,
             Optional<EntryRank> rank,
-            Optional<LimitWord> limit) {
+            Optional<RateLimitUpdate> limit) {
 
         /** An answer of an agent that knows neither ranks nor limits. */
         Answer(int number, LoadReport told, Optional<ReaderNews> reader, long stampMillis) {
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.limits.LimitRelay;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.steps.Steps;
 import org.micabarrow.transport.EntriesHeard.Heard;
@@ -26,8 +26,8 @@
     private final LongSupplier steadyMillis;
     private final BiConsumer<String, StoreNews> news;
     private final EntriesHeard entries;
-    private final LimitRelay limits = new LimitRelay();
-    private final PlaceShares shares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
+    private final RateLimitRelay limits = new RateLimitRelay();
+    private final SlotAllotment shares = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
@@ -75,7 +75,7 @@
      *
      * @return the relay, which may be told what the endpoint reports
      */
-    public LimitRelay limits() {
+    public RateLimitRelay limits() {
         return limits;
     }
 
--- a/src/main/java/org/micabarrow/views/EndpointListUpdater.java
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.slf4j.Logger;
@@ -42,12 +42,12 @@
     }
 
     /** Returns the list without the endpoints whose pending removal is due; empty if none is due. */
-    Optional<Map<String, EndpointEntry>> withoutDueRemovals(Map<String, EndpointEntry> endpoints, long nowMillis) {
+    Optional<Map<String, EndpointRegistration>> withoutDueRemovals(Map<String, EndpointRegistration> endpoints, long nowMillis) {
         List<String> due = pendingRemovals.removeDue(nowMillis);
         if (due.isEmpty()) {
             return Optional.empty();
         }
-        Map<String, EndpointEntry> remaining = new HashMap<>(endpoints);
+        Map<String, EndpointRegistration> remaining = new HashMap<>(endpoints);
         due.forEach(id -> {
             remaining.remove(id);
             LOG.info("event=endpoint_gone endpoint={} after=doubt", id);
@@ -66,7 +66,7 @@
     // -- records
 
     /** Prepares for a batch of records, each of which is passed to {@link #apply} afterwards. */
-    void prepareBatch(List<StoredRecord> records, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    void prepareBatch(List<StoredRecord> records, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         Set<String> removedIds = records.stream()
                 .filter(StoredRecord::dropped)
                 .map(StoredRecord::key)
@@ -76,15 +76,15 @@
     }
 
     /** Applies a record to the given endpoints. Returns the line to log if anything changed. */
-    Optional<String> apply(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    Optional<String> apply(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         return record.dropped()
                 ? applyTombstone(record, endpoints, nowMillis)
                 : applyEntry(record, endpoints, nowMillis);
     }
 
-    private Optional<String> applyTombstone(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> applyTombstone(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         String id = record.key();
-        EndpointEntry listed = endpoints.get(id);
+        EndpointRegistration listed = endpoints.get(id);
         if (listed != null && pendingRemovals.defer(listed, nowMillis)) {
             return Optional.of("event=endpoint_doubted endpoint=" + id + " offset=" + record.offset());
         }
@@ -95,17 +95,17 @@
                 : Optional.of("event=endpoint_gone endpoint=" + id + " offset=" + record.offset());
     }
 
-    private Optional<String> applyEntry(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> applyEntry(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         return switch (decoder.endpoint(record)) {
-            case Result.Failure<EndpointEntry>(Fault fault) -> removeInvalid(record, fault.message(), endpoints);
-            case Result.Success<EndpointEntry>(EndpointEntry entry)
+            case Result.Failure<EndpointRegistration>(Fault fault) -> removeInvalid(record, fault.message(), endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when lateEntries.lacksStart(entry) ->
                 removeInvalid(record, "the start time of the endpoint is missing", endpoints);
-            case Result.Success<EndpointEntry>(EndpointEntry entry)
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when lateEntries.isSuperseded(entry, nowMillis) ->
                 Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + startedText(entry)
                         + " leaving=" + entry.leaving() + " offset=" + record.offset());
-            case Result.Success<EndpointEntry>(EndpointEntry entry) -> applyValid(record, entry, endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry) -> applyValid(record, entry, endpoints);
         };
     }
 
@@ -113,7 +113,7 @@
      * Removes an endpoint whose new entry is invalid. Its previous entry is outdated, and it is unknown whether the
      * endpoint is still running or draining.
      */
-    private Optional<String> removeInvalid(StoredRecord record, String why, Map<String, EndpointEntry> endpoints) {
+    private Optional<String> removeInvalid(StoredRecord record, String why, Map<String, EndpointRegistration> endpoints) {
         String id = record.key();
         pendingRemovals.cancel(id);
         boolean firstTime = invalidKeys.add(id);
@@ -125,10 +125,10 @@
     }
 
     private Optional<String> applyValid(
-            StoredRecord record, EndpointEntry entry, Map<String, EndpointEntry> endpoints) {
+            StoredRecord record, EndpointRegistration entry, Map<String, EndpointRegistration> endpoints) {
         pendingRemovals.cancel(entry.id());
         invalidKeys.remove(entry.id());
-        EndpointEntry previous = endpoints.put(entry.id(), entry);
+        EndpointRegistration previous = endpoints.put(entry.id(), entry);
         if (previous != null && entry.saysTheSameAs(previous)) {
             return Optional.empty();
         }
@@ -140,7 +140,7 @@
                 + record.offset());
     }
 
-    private static String startedText(EndpointEntry entry) {
+    private static String startedText(EndpointRegistration entry) {
         return entry.startedMillis().isEmpty()
                 ? "-"
                 : String.valueOf(entry.startedMillis().getAsLong());
--- a/src/main/java/org/micabarrow/views/LateEntryFilter.java
+++ b/src/main/java/org/micabarrow/views/LateEntryFilter.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Detects endpoint entries that were written late. Entries of an endpoint are ordered by its start time and its write
@@ -28,7 +28,7 @@
 
     private record SeenEntry(long startedMillis, OptionalLong writeCount, long seenAtMillis) {
 
-        private boolean isAfter(EndpointEntry entry, long started) {
+        private boolean isAfter(EndpointRegistration entry, long started) {
             boolean sameStart = startedMillis == started
                     && writeCount.isPresent()
                     && entry.writes().isPresent();
@@ -41,7 +41,7 @@
      * Whether an entry has no start time although earlier entries of the endpoint had one, which means that something
      * else wrote it.
      */
-    boolean lacksStart(EndpointEntry entry) {
+    boolean lacksStart(EndpointRegistration entry) {
         return entry.startedMillis().isEmpty() && hasKnownStart(entry.id());
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Returns whether an entry is older than one that was read recently; otherwise records it as the newest. */
-    boolean isSuperseded(EndpointEntry entry, long nowMillis) {
+    boolean isSuperseded(EndpointRegistration entry, long nowMillis) {
         long started = entry.startedMillis().orElse(UNKNOWN_START);
         SeenEntry newest = newestById.get(entry.id());
         if (newest != null
--- a/src/main/java/org/micabarrow/views/PendingRemovals.java
+++ b/src/main/java/org/micabarrow/views/PendingRemovals.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Endpoints whose entries vanished from the store right after an outage and whose removal is still pending. Entries
@@ -60,7 +60,7 @@
      * Defers the removal of an endpoint if the store may have been unreachable for all endpoints. Returns whether it
      * was deferred.
      */
-    boolean defer(EndpointEntry entry, long nowMillis) {
+    boolean defer(EndpointRegistration entry, long nowMillis) {
         long dueMillis = reachableSinceMillis + REMOVAL_DELAY_MILLIS;
         if (entry.leaving() || nowMillis >= dueMillis || !storeWasDownForAll()) {
             return false;
--- a/src/main/java/org/micabarrow/views/RecordDecoder.java
+++ b/src/main/java/org/micabarrow/views/RecordDecoder.java
@@ -1,7 +1,7 @@
 package org.micabarrow.views;
 
 import java.util.OptionalLong;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.state.Result;
 
@@ -62,5 +62,5 @@
      * @param record the record, which must not be a tombstone
      * @return the entry, or why the record is invalid
      */
-    Result<EndpointEntry> endpoint(StoredRecord record);
+    Result<EndpointRegistration> endpoint(StoredRecord record);
 }
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.stream.Stream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 
 /**
@@ -23,7 +23,7 @@
 public record View(
         Optional<RouteManifest> manifest,
         long manifestOffset,
-        Map<String, EndpointEntry> endpoints,
+        Map<String, EndpointRegistration> endpoints,
         Map<String, List<Target>> targets,
         Map<String, Target> supersededTargets) {
 
@@ -75,7 +75,7 @@
     public View(
             Optional<RouteManifest> manifest,
             long manifestOffset,
-            Map<String, EndpointEntry> endpoints,
+            Map<String, EndpointRegistration> endpoints,
             Map<String, List<Target>> targets) {
         this(manifest, manifestOffset, endpoints, targets, Map.of());
     }
@@ -146,7 +146,7 @@
      * @param service the service
      * @return its endpoints, including draining ones
      */
-    public List<EndpointEntry> endpointsOf(String service) {
+    public List<EndpointRegistration> endpointsOf(String service) {
         return endpoints.values().stream()
                 .filter(entry -> entry.service().equals(service))
                 .toList();
@@ -162,7 +162,7 @@
         return new View(Optional.of(newManifest), offset, endpoints, targets, supersededTargets);
     }
 
-    View withEndpoints(Map<String, EndpointEntry> newEndpoints) {
+    View withEndpoints(Map<String, EndpointRegistration> newEndpoints) {
         return new View(manifest, manifestOffset, newEndpoints, targets, supersededTargets);
     }
 
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewKeeper.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -293,7 +293,7 @@
     // -- endpoints
 
     private void applyEndpointRecords(List<StoredRecord> newRecords) {
-        Map<String, EndpointEntry> endpoints = new HashMap<>(view.endpoints());
+        Map<String, EndpointRegistration> endpoints = new HashMap<>(view.endpoints());
         List<StoredRecord> changedRecords = new ArrayList<>();
         List<String> logLines = new ArrayList<>();
         long now = monotonicMillis.getAsLong();
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -31,7 +31,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.process.HostedEntryProcess;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
@@ -229,7 +229,7 @@
         Answering protocol = new Answering();
         ServingHandler handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
-                new EndpointChoice("region-a", Map.of("hall-a", "region-a")),
+                new EndpointSelector("region-a", Map.of("hall-a", "region-a")),
                 HttpCaller.on(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
@@ -23,7 +23,7 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
@@ -67,7 +67,7 @@
                 worker,
                 ServingHandler.of(new ServingHandler.Parts(
                         views::view,
-                        new EndpointChoice("region-a", Map.of()),
+                        new EndpointSelector("region-a", Map.of()),
                         HttpCaller.on(worker, 0),
                         new EndpointHeaders(),
                         new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.Answer;
 import org.micabarrow.transport.LoadMessages.Question;
@@ -64,7 +64,7 @@
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
     void shouldReadWhatIsSaidOfLimitWhenWritten(double perSecond) throws IOException {
         OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<LimitWord> word = Optional.of(new LimitWord(LimitWord.token("a"), limit, 1_200));
+        Optional<RateLimitUpdate> word = Optional.of(new RateLimitUpdate(RateLimitUpdate.token("a"), limit, 1_200));
         Question question = new Question("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), word);
         assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
@@ -78,7 +78,7 @@
         StoreNews news =
                 new StoreNews(8_000, new LastChanges(17, 18), Optional.of(new ManifestPlace(7, 16)), 30, false);
         ReaderNews reader = new ReaderNews("10.0.0.1:8000", 17, 40);
-        Optional<LimitWord> limit = Optional.of(new LimitWord(1, OptionalDouble.of(2), 3));
+        Optional<RateLimitUpdate> limit = Optional.of(new RateLimitUpdate(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
         LoadReport report = new LoadReport(3, 8, true, 7, 5, OptionalInt.of(9));
         byte[] question = bytes(LoadMessages.write(
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.views.TopicReader.Batch;
 import org.slf4j.LoggerFactory;
 
@@ -183,7 +183,7 @@
                         + "}");
     }
 
-    private EndpointEntry entry(String id) {
+    private EndpointRegistration entry(String id) {
         return views.view().endpoints().get(id);
     }
 
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/KeeperFixture.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
@@ -27,13 +27,13 @@
     final ViewKeeper views = new ViewKeeper(new EndpointsOnly(), now::get);
     volatile int pacedBytes;
     int toldClosing;
-    volatile ReplicaKeeper.Place place = new ReplicaKeeper.Place(0, 3);
-    final ReplicaKeeper keeper = newKeeper();
+    volatile ReplicaController.Place place = new ReplicaController.Place(0, 3);
+    final ReplicaController keeper = newKeeper();
     private final List<Thread> fetching = new ArrayList<>();
 
     /** A keeper that knows nothing of what one before it has done. */
-    final ReplicaKeeper newKeeper() {
-        return new ReplicaKeeper(new ReplicaKeeper.Parts(
+    final ReplicaController newKeeper() {
+        return new ReplicaController(new ReplicaController.Parts(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
                 endpoint,
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
-            return Result.success(EndpointEntry.of(
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+            return Result.success(EndpointRegistration.of(
                     record.key(), "s", "10.0.0.1:80", "h", 1, false, Map.of("m", record.offset()), record.value()[0]));
         }
     }
