--- a/src/main/java/org/micabarrow/crashes/LazyDigest.java
+++ b/src/main/java/org/micabarrow/crashes/LazyDigest.java
@@ -5,52 +5,52 @@
 import org.micabarrow.attempts.ClientRequest;
 
 /**
- * The digest of a request, of which its quick part is worked out first: that alone tells of nearly every request that it is none of those
- * that somebody looks for. Used by one thread.
+ * The digest of a request, computed on demand. Its quick part is computed first and suffices to rule out nearly every
+ * request that is not searched for. Not thread-safe: confined to one thread.
  */
 public abstract sealed class LazyDigest {
 
     private LazyDigest() {}
 
     /**
-     * The digest of a request, to be worked out.
+     * Returns the digest of a request, to be computed on demand.
      *
      * @param request the request
      * @return its digest
      */
     public static LazyDigest of(ClientRequest request) {
-        return new Unknown(Objects.requireNonNull(request, "request is null"));
+        return new Deferred(Objects.requireNonNull(request, "request is null"));
     }
 
     /**
-     * A digest that is known.
+     * Wraps a digest that is already computed.
      *
      * @param digest the digest
-     * @return the digest
+     * @return the wrapped digest
      */
     public static LazyDigest of(RequestDigest digest) {
-        return new Known(Objects.requireNonNull(digest, "digest is null"));
+        return new Computed(Objects.requireNonNull(digest, "digest is null"));
     }
 
     /**
-     * The quick part.
+     * Returns the quick part of the digest.
      *
-     * @return what {@link RequestDigest#quick} tells of the digest
+     * @return the value of {@link RequestDigest#quick}
      */
     public abstract int quick();
 
     /**
-     * The whole digest.
+     * Returns the full digest.
      *
      * @return the digest
      */
     public abstract RequestDigest get();
 
-    private static final class Known extends LazyDigest {
+    private static final class Computed extends LazyDigest {
 
         private final RequestDigest digest;
 
-        private Known(RequestDigest digest) {
+        private Computed(RequestDigest digest) {
             this.digest = digest;
         }
 
@@ -65,13 +65,13 @@
         }
     }
 
-    private static final class Unknown extends LazyDigest {
+    private static final class Deferred extends LazyDigest {
 
         private final ClientRequest request;
         private Optional<Integer> quick = Optional.empty();
-        private Optional<RequestDigest> whole = Optional.empty();
+        private Optional<RequestDigest> full = Optional.empty();
 
-        private Unknown(ClientRequest request) {
+        private Deferred(ClientRequest request) {
             this.request = request;
         }
 
@@ -85,10 +85,10 @@
 
         @Override
         public RequestDigest get() {
-            if (whole.isEmpty()) {
-                whole = Optional.of(RequestDigest.of(request));
+            if (full.isEmpty()) {
+                full = Optional.of(RequestDigest.of(request));
             }
-            return whole.get();
+            return full.get();
         }
     }
 }
--- a/src/main/java/org/micabarrow/limits/RateLimitRelay.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitRelay.java
@@ -5,60 +5,61 @@
 import java.util.OptionalDouble;
 
 /**
- * What an agent passes on between entries of the limit that the endpoint beside it names: the newest of what entries heard in answers and
- * what the endpoint's reports say. Safe for several threads.
+ * Passes the rate limit of the endpoint beside an agent on to entries: the newest of the entries' own observations and
+ * the endpoint's reports. Thread-safe.
  */
 public final class RateLimitRelay {
 
-    private Optional<Kept> newest = Optional.empty();
-    private boolean reportsName;
+    private Optional<Latest> latest = Optional.empty();
+    private boolean lastReportHadLimit;
 
-    private record Kept(int endpoint, RateLimitObservation news) {}
+    private record Latest(int endpointToken, RateLimitObservation observation) {}
 
-    /** Begins with no news. */
+    /** Creates a relay without observations. */
     public RateLimitRelay() {}
 
     /**
-     * An entry told what it heard.
+     * Records the update of an entry.
      *
-     * @param word what it told
-     * @param nowMillis the time on the steady clock
+     * @param update the update
+     * @param nowMillis the time on the monotonic clock
      */
-    public synchronized void told(RateLimitUpdate word, long nowMillis) {
-        Objects.requireNonNull(word, "word is null");
-        keep(word.endpoint(), word.news(nowMillis, nowMillis));
+    public synchronized void received(RateLimitUpdate update, long nowMillis) {
+        Objects.requireNonNull(update, "update is null");
+        offer(update.endpointToken(), update.toObservation(nowMillis, nowMillis));
     }
 
     /**
-     * The endpoint reported. That a report names no limit tells something only if one before did: endpoints may name it in answers to
-     * requests alone.
+     * Records a report of the endpoint. A report without a limit is significant only if the previous one stated a
+     * limit, since endpoints may state it in responses to requests alone.
      *
-     * @param perSecond the limit that the report names, empty if none
-     * @param nowMillis the time on the steady clock
+     * @param perSecond the limit that the report states, empty if none
+     * @param nowMillis the time on the monotonic clock
      */
     public synchronized void reported(OptionalDouble perSecond, long nowMillis) {
         if (perSecond.isPresent()) {
-            keep(RateLimitUpdate.BESIDE, new RateLimitObservation.Named(perSecond.getAsDouble(), nowMillis));
-        } else if (reportsName) {
-            keep(RateLimitUpdate.BESIDE, new RateLimitObservation.Ended(nowMillis));
+            offer(RateLimitUpdate.LOCAL_ENDPOINT, new RateLimitObservation.Stated(perSecond.getAsDouble(), nowMillis));
+        } else if (lastReportHadLimit) {
+            offer(RateLimitUpdate.LOCAL_ENDPOINT, new RateLimitObservation.Lifted(nowMillis));
         }
-        reportsName = perSecond.isPresent();
+        lastReportHadLimit = perSecond.isPresent();
     }
 
-    private void keep(int endpoint, RateLimitObservation news) {
-        if (newest.filter(known -> !news.after(known.news())).isEmpty()) {
-            newest = Optional.of(new Kept(endpoint, news));
+    private void offer(int endpointToken, RateLimitObservation observation) {
+        if (latest.filter(known -> !observation.isNewerThan(known.observation()))
+                .isEmpty()) {
+            latest = Optional.of(new Latest(endpointToken, observation));
         }
     }
 
     /**
-     * What entries are told.
+     * Returns the update that is sent to entries.
      *
-     * @param nowMillis the time on the steady clock
-     * @return the newest news; empty if there are none that still count
+     * @param nowMillis the time on the monotonic clock
+     * @return the newest observation; empty if there is none or it has expired
      */
-    public synchronized Optional<RateLimitUpdate> word(long nowMillis) {
-        return newest.filter(kept -> nowMillis - kept.news().atMillis() <= EndpointRateLimit.COUNTED_MILLIS)
-                .map(kept -> RateLimitUpdate.of(kept.endpoint(), kept.news(), nowMillis));
+    public synchronized Optional<RateLimitUpdate> update(long nowMillis) {
+        return latest.filter(kept -> nowMillis - kept.observation().atMillis() <= EndpointRateLimit.EXPIRY_MILLIS)
+                .map(kept -> RateLimitUpdate.of(kept.endpointToken(), kept.observation(), nowMillis));
     }
 }
--- a/src/main/java/org/micabarrow/platform/CrashRecords.java
+++ b/src/main/java/org/micabarrow/platform/CrashRecords.java
@@ -76,8 +76,8 @@
         return switch (news) {
             case CrashUpdate.Crashed(EndpointCrash crash) -> {
                 json.put(ENDPOINT, crash.endpoint());
-                put(json.putArray(ABOARD), crash.aboard());
-                put(json.putArray(BEGUN), crash.begun());
+                put(json.putArray(ABOARD), crash.unanswered());
+                put(json.putArray(BEGUN), crash.partlyAnswered());
                 yield record("crash/" + crash.endpoint(), json);
             }
             case CrashUpdate.Cleared(RequestDigest request, boolean whole) -> {
@@ -136,7 +136,8 @@
 
     private static CrashUpdate news(JsonNode json) {
         return json.has(CLEARED)
-                ? new CrashUpdate.Cleared(new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
+                ? new CrashUpdate.Cleared(
+                        new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
                 : new CrashUpdate.Crashed(new EndpointCrash(
                         JsonFields.text(json, ENDPOINT), requests(json, ABOARD), requests(json, BEGUN)));
     }
--- a/src/main/java/org/micabarrow/platform/StoreRecords.java
+++ b/src/main/java/org/micabarrow/platform/StoreRecords.java
@@ -139,12 +139,12 @@
     }
 
     private static Route route(JsonNode json) {
-        List<Route.Share> shares = new ArrayList<>();
+        List<Route.WeightedService> shares = new ArrayList<>();
         JsonFields.objectsIfPresent(json, "traffic_split")
-                .forEach(part -> shares.add(
-                        new Route.Share(JsonFields.text(part, "service"), JsonFields.number(part, "weight"))));
+                .forEach(part -> shares.add(new Route.WeightedService(
+                        JsonFields.text(part, "service"), JsonFields.number(part, "weight"))));
         if (shares.isEmpty()) {
-            shares.add(new Route.Share(JsonFields.text(json, "service"), 1));
+            shares.add(new Route.WeightedService(JsonFields.text(json, "service"), 1));
         }
         long timeout = JsonFields.longOr(json, "timeout_ms", NO_TIMEOUT_MILLIS);
         return new Route(
--- a/src/main/java/org/micabarrow/process/CrashSharing.java
+++ b/src/main/java/org/micabarrow/process/CrashSharing.java
@@ -124,7 +124,7 @@
                 lying.put(record.key(), told.unixMillis());
                 long age = Math.clamp(unixMillis.getAsLong() - told.unixMillis(), 0, memoryMillis);
                 if (age < memoryMillis) {
-                    book.take(told.news(), steadyMillis.getAsLong() - age);
+                    book.apply(told.news(), steadyMillis.getAsLong() - age);
                 }
             }
             case Result.Failure<CrashRecords.Told>(Fault fault) ->
@@ -136,7 +136,7 @@
 
     /** Forgets what is too old, and drops it from the store if nobody else has after as long again. */
     private void tidy() {
-        book.forgetOld(steadyMillis.getAsLong());
+        book.expire(steadyMillis.getAsLong());
         outdated().forEach(key -> put(CrashRecords.dropping(key)));
     }
 
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -114,7 +114,7 @@
                 bounds.crashMemoryMillis(),
                 HostedNode::steadyMillis,
                 System::currentTimeMillis);
-        node.metrics().registerGauge("crashes.known", book::known);
+        node.metrics().registerGauge("crashes.known", book::crashCount);
         node.metrics().registerGauge("crashes.culprits", () -> book.refused().size());
         this.handler = ServingHandler.of(new ServingHandler.Parts(
                 node.views()::view,
--- a/src/main/java/org/micabarrow/serving/CrashWatch.java
+++ b/src/main/java/org/micabarrow/serving/CrashWatch.java
@@ -108,7 +108,7 @@
         doubt.aboard().add(request, begun);
         doubt.waiting().add(then);
         if (!asked) {
-            probe.ask(endpoint, refused -> settle(start, refused));
+            probe.probe(endpoint, refused -> settle(start, refused));
         }
     }
 
@@ -154,8 +154,8 @@
         LOG.warn(
                 "event=endpoint_crashed endpoint={} aboard={} begun={}",
                 crash.endpoint(),
-                crash.aboard(),
-                crash.begun());
+                crash.unanswered(),
+                crash.partlyAnswered());
         book.crashed(crash, steadyMillis.getAsLong());
         sharing.accept(new CrashUpdate.Crashed(crash));
     }
@@ -164,7 +164,7 @@
 
     /** An answer came, or a part of it. Others are told if the request was suspected; most never are. */
     void answered(LazyDigest request, boolean whole) {
-        if (book.mayKnow(request) && book.cleared(request.get(), whole) > 0) {
+        if (book.mayBeSuspect(request) && book.cleared(request.get(), whole) > 0) {
             sharing.accept(new CrashUpdate.Cleared(request.get(), whole));
         }
     }
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -6,16 +6,16 @@
 import java.util.function.LongSupplier;
 import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.admission.SlotWait;
+import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.attempts.RequestTimes;
-import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.SuspicionLevel;
-import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.RequestKind;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
@@ -46,14 +46,15 @@
         this.digest = LazyDigest.of(request);
         long now = parts.nowMillis();
         long sinceFirstTry =
-                parts.firstTries().millisSince(request.route().name(), request.deadlineMillis() - now, now);
+                parts.firstTries().millisSinceFirstAttempt(request.route().name(), request.deadlineMillis() - now, now);
         this.times = RequestTimes.of(request, now, sinceFirstTry);
         this.room = new SlotWait(parts.line().on(thread), this);
         this.log = new RequestLog(parts, request, sinceFirstTry, eventTimes, digest);
     }
 
     void begin() {
-        deadline = Optional.of(thread.executeAfter(() -> end("time is up"), times.heldMillis(), TimeUnit.MILLISECONDS));
+        deadline =
+                Optional.of(thread.executeAfter(() -> end("time is up"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
         parts.open().add(this);
         next("first");
     }
@@ -90,15 +91,15 @@
     }
 
     long millisTaken() {
-        return times.takenMillis(parts.nowMillis());
+        return times.elapsedMillis(parts.nowMillis());
     }
 
     long millisLeft() {
-        return times.leftMillis(parts.nowMillis());
+        return times.remainingMillis(parts.nowMillis());
     }
 
     private long millisToObjective() {
-        return times.toObjectiveMillis(parts.nowMillis(), answer.begun());
+        return times.untilObjectiveMillis(parts.nowMillis(), answer.begun());
     }
 
     /** Whether an answer can no longer be in time. */
@@ -110,7 +111,7 @@
 
     @Override
     public Decision decide() {
-        return parts.decide(request, digest, millisToObjective(), sendings.tried());
+        return parts.decide(request, digest, millisToObjective(), sendings.triedEndpoints());
     }
 
     private void next(String why) {
@@ -120,15 +121,15 @@
     @Override
     public void decided(Decision decision, String why) {
         switch (decision) {
-            case Decision.Send(EndpointSelection.Send chosen) -> sendOrAsk(chosen, why);
+            case Decision.Send(EndpointSelection.Selected chosen) -> sendOrAsk(chosen, why);
             case Decision.Wait wait when !answer.begun() -> waitForRoom(wait, why);
             case Decision.Wait(long ignored, int endpoints) -> noRoom(endpoints);
             case Decision.Full(int endpoints) -> noRoom(endpoints);
             case Decision.Unable ignored -> cannotSend("no endpoint can serve");
-            case Decision.Resting(int endpoints, long ignored) ->
+            case Decision.BackingOff(int endpoints, long ignored) ->
                 cannotSend("all " + endpoints + " endpoints have asked for rest");
-            case Decision.Limited(int endpoints, OptionalLong millis) -> overLimit(endpoints, millis);
-            case Decision.Culprit(int crashes, long forMillis) -> refuse(crashes, forMillis);
+            case Decision.RateLimited(int endpoints, OptionalLong millis) -> overLimit(endpoints, millis);
+            case Decision.PoisonRequest(int crashes, long forMillis) -> refuse(crashes, forMillis);
         }
     }
 
@@ -162,24 +163,24 @@
     }
 
     @Override
-    public void outOfTime() {
+    public void expired() {
         next("no endpoint had room in time");
     }
 
     // -- sending
 
     /** Sends at once, or once the endpoint's agent has answered. */
-    private void sendOrAsk(EndpointSelection.Send chosen, String why) {
+    private void sendOrAsk(EndpointSelection.Selected chosen, String why) {
         if (!parts.mustAsk(request, chosen.endpoint())) {
             send(chosen, why);
-        } else if (sendings.ask()) {
+        } else if (sendings.countAgentQuery()) {
             parts.ask(request, chosen.endpoint(), maySend -> agentAnswered(chosen, why, maySend));
         } else {
             cannotSend("no agent answers beside an endpoint that could serve");
         }
     }
 
-    private void agentAnswered(EndpointSelection.Send chosen, String why, boolean maySend) {
+    private void agentAnswered(EndpointSelection.Selected chosen, String why, boolean maySend) {
         if (finished) {
             return;
         }
@@ -199,7 +200,7 @@
         return Ending.withoutAnswer(answer.begun(), sendings.mayHaveRun());
     }
 
-    private void send(EndpointSelection.Send chosen, String why) {
+    private void send(EndpointSelection.Selected chosen, String why) {
         EndpointRegistration endpoint = chosen.endpoint();
         sendings.sent(endpoint.id());
         log.sent(chosen, why, sendings.count(), millisToObjective(), millisLeft());
@@ -213,11 +214,11 @@
      * takes nothing of the budget for repeats, and what may run only once goes on too.
      */
     void withheld(EndpointRegistration endpoint, LastLook.Verdict.Outdated outdated) {
-        sendings.withheld();
-        if (millisLeft() < AttemptPolicy.LEAST_MILLIS_LEFT) {
+        sendings.notSent();
+        if (millisLeft() < AttemptPolicy.MIN_REMAINING_MILLIS) {
             cannotSend(outdated.why());
         } else if (outdated.able()) {
-            sendings.cameLateAt(endpoint.id());
+            sendings.connectionLate(endpoint.id());
             // Nothing was asked during a standstill, so that every agent seems silent until one has answered again.
             parts.hear(request, endpoint, () -> decideAgain(outdated.why()));
         } else {
@@ -227,7 +228,7 @@
 
     /** Whether a connection came too late once already. */
     boolean cameLate() {
-        return sendings.cameLate();
+        return sendings.connectedLate();
     }
 
     private void decideAgain(String why) {
@@ -260,7 +261,9 @@
             return;
         }
         boolean cut = answer.begun() && !mayGoOn();
-        if (!cut && AttemptPolicy.again(request.route(), sendings.progress(millisLeft()), parts.budget()::tryRetry)) {
+        if (!cut
+                && AttemptPolicy.allowsAnotherAttempt(
+                        request.route(), sendings.progress(millisLeft()), parts.budget()::tryRetry)) {
             next(why);
         } else {
             cannotSend(why);
@@ -278,7 +281,7 @@
         AttemptPolicy.Progress progress = sendings.progressIfRun(millisLeft());
         return request.route().kind().repeatable()
                 && decide() instanceof Decision.Send
-                && AttemptPolicy.again(request.route(), progress, parts.budget()::tryRetry);
+                && AttemptPolicy.allowsAnotherAttempt(request.route(), progress, parts.budget()::tryRetry);
     }
 
     /** Whether an answer that has begun can go on at another endpoint. */
--- a/src/main/java/org/micabarrow/transport/LimitBytes.java
+++ b/src/main/java/org/micabarrow/transport/LimitBytes.java
@@ -45,10 +45,10 @@
     static void writeLimit(ByteBuffer datagram, Optional<RateLimitUpdate> limit) {
         datagram.put(limit.isPresent() ? PRESENT : ABSENT);
         limit.ifPresent(word -> {
-            datagram.putInt(word.endpoint());
+            datagram.putInt(word.endpointToken());
             datagram.put(word.perSecond().isPresent() ? PRESENT : ABSENT);
             datagram.putDouble(word.perSecond().orElse(0));
-            datagram.putInt(word.millisAgo());
+            datagram.putInt(word.ageMillis());
         });
     }
 
--- a/src/main/java/org/micabarrow/transport/ListenerProbe.java
+++ b/src/main/java/org/micabarrow/transport/ListenerProbe.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void ask(EndpointRegistration endpoint, Consumer<Boolean> then) {
+    public void probe(EndpointRegistration endpoint, Consumer<Boolean> then) {
         Question question = new Question(then);
         XnioIoThread thread = worker.getIoThread();
         thread.executeAfter(() -> question.settle(false), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -18,9 +18,9 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 import org.micabarrow.limits.RateLimitUpdate;
-import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
 import org.micabarrow.steps.Steps;
@@ -165,7 +165,7 @@
                 ask(host, endpointsByHost.get(host), told);
             }
         });
-        parts.choice().keepOnly(view.endpoints().values());
+        parts.choice().retainOnly(view.endpoints().values());
         answersDue = answersDue || askedBefore || round >= MOST_ROUNDS_WITHOUT_ENDPOINTS;
         askedBefore = !hosts.isEmpty();
         round++;
@@ -179,7 +179,7 @@
      * an endpoint that is not asked about would seem to have fallen silent.
      */
     private Map<String, List<EndpointRegistration>> askedByHost(View view) {
-        asked.keySet().removeIf(start -> !parts.choice().awaits(start));
+        asked.keySet().removeIf(start -> !parts.choice().hasRequestsInFlight(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> asked.put(endpoint.start(), endpoint));
@@ -227,10 +227,10 @@
         // What waits at a start that is over is read by nobody.
         int ownPromptTokens = endpoints.stream()
                 .map(parts.choice()::load)
-                .filter(load -> !load.startedAgain())
-                .mapToInt(EndpointLoad::ownPromptTokens)
+                .filter(load -> !load.restarted())
+                .mapToInt(EndpointLoad::ownPendingPromptTokens)
                 .sum();
-        int unmet = parts.choice().unmet().lately(parts.steadyMillis().getAsLong());
+        int unmet = parts.choice().unmetDemand().recent(parts.steadyMillis().getAsLong());
         ByteBuffer question = LoadMessages.write(new LoadMessages.Question(
                 parts.place().id(),
                 ownPromptTokens,
@@ -252,9 +252,9 @@
     private Optional<RateLimitUpdate> limit(List<EndpointStart> endpoints) {
         long now = parts.steadyMillis().getAsLong();
         return endpoints.stream()
-                .map(start -> parts.choice().load(start).limit().word(now))
+                .map(start -> parts.choice().load(start).rateLimit().ownUpdate(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
     }
 
     /** What an agent is told of the store, with the stamp that it is newer than. */
@@ -298,16 +298,16 @@
         }
         long now = parts.steadyMillis().getAsLong();
         long delay = now - asked.getAsLong();
-        answer.rank().ifPresent(rank -> parts.choice().entries().told(rank.entries(), now));
+        answer.rank().ifPresent(rank -> parts.choice().entryCount().reported(rank.entries(), now));
         for (EndpointStart start : endpoints) {
             EndpointLoad load = parts.choice().load(start);
-            if (start.mayBe(answer.told().start())) {
-                load.told(answer.told(), delay, now);
-                answer.rank().ifPresent(load.limit()::ranked);
+            if (start.mayHaveToken(answer.told().start())) {
+                load.reported(answer.told(), delay, now);
+                answer.rank().ifPresent(load.rateLimit()::rankReported);
                 answer.limit()
-                        .filter(word -> word.isOf(start.id()))
-                        .filter(word -> load.limit().told(word.news(asked.getAsLong(), now)))
-                        .ifPresent(word -> load.limit().logChange("agent"));
+                        .filter(word -> word.concerns(start.id()))
+                        .filter(word -> load.rateLimit().updated(word.toObservation(asked.getAsLong(), now)))
+                        .ifPresent(word -> load.rateLimit().logChange("agent"));
             } else {
                 toldOfAnotherStart(start, load);
             }
@@ -325,12 +325,12 @@
      * another: that may hold nothing of the version that it names.
      */
     private static void toldOfAnotherStart(EndpointStart start, EndpointLoad load) {
-        if (!load.startedAgain()) {
+        if (!load.restarted()) {
             LOG.info(
                     "event=agent_tells_of_another_start endpoint={} listed={}",
                     start.id(),
                     start.startedMillis().orElse(-1));
         }
-        load.toldOfAnotherStart();
+        load.otherStartReported();
     }
 }
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -259,7 +259,7 @@
         datagram.putInt(answer.number());
         datagram.putInt(told.requests());
         datagram.putInt(told.othersPromptTokens());
-        datagram.putInt(told.places());
+        datagram.putInt(told.allottedSlots());
         datagram.putLong(told.version());
         datagram.put(state(told));
         datagram.put(flag(told.start().isPresent()));
@@ -278,7 +278,7 @@
     }
 
     private static byte state(LoadReport told) {
-        return (byte) ((told.loading() ? LOADING : 0) | (told.leaving() ? LEAVING : 0));
+        return (byte) ((told.loading() ? LOADING : 0) | (told.draining() ? LEAVING : 0));
     }
 
     static Answer answer(byte[] bytes) throws IOException {
--- a/src/test/java/org/micabarrow/admission/WaitQueueTest.java
+++ b/src/test/java/org/micabarrow/admission/WaitQueueTest.java
@@ -5,114 +5,113 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
 
-/** The order in which requests get room, and when they give up. */
 class WaitQueueTest {
 
-    private final WaitQueue line = new WaitQueue();
+    private final WaitQueue queue = new WaitQueue();
     private final List<String> started = new ArrayList<>();
-    private final List<String> gone = new ArrayList<>();
-    private int room;
+    private final List<String> expired = new ArrayList<>();
+    private int freeSlots;
 
-    private Place join(String name, int rank, long latestStartMillis) {
-        return line.join(rank, latestStartMillis, new WaitQueue.Waiter() {
+    private QueuedRequest enqueue(String name, int priority, long latestStartMillis) {
+        return queue.enqueue(priority, latestStartMillis, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
-                if (room == 0) {
+                if (freeSlots == 0) {
                     return false;
                 }
-                room--;
+                freeSlots--;
                 started.add(name);
                 return true;
             }
 
             @Override
-            public void tooLate() {
-                gone.add(name);
+            public void expired() {
+                expired.add(name);
             }
         });
     }
 
     @Test
-    void shouldStartThoseFirstWhoseTimeRunsOutFirstWhenRoomComes() {
-        join("later", 1, 300);
-        join("sooner", 1, 200);
-        join("urgent", 0, 400);
-        line.serve();
+    void shouldStartByPriorityAndExpiryWhenCapacityIsFreed() {
+        enqueue("later", 1, 300);
+        enqueue("sooner", 1, 200);
+        enqueue("urgent", 0, 400);
+        queue.dispatch();
         assertEquals(List.of(), started);
-        room = 2;
-        line.serve();
+        freeSlots = 2;
+        queue.dispatch();
         assertEquals(List.of("urgent", "sooner"), started);
-        assertEquals(1, line.size());
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void shouldStartInOrderOfComingWhenAllElseIsEqual() {
-        join("first", 1, 200);
-        join("second", 1, 200);
-        room = 1;
-        line.serve();
+    void shouldStartInOrderOfArrivalWhenAllElseIsEqual() {
+        enqueue("first", 1, 200);
+        enqueue("second", 1, 200);
+        freeSlots = 1;
+        queue.dispatch();
         assertEquals(List.of("first"), started);
     }
 
     @Test
-    void shouldLetThoseGoAtOnceThatCannotBeInTimeAnyMore() {
-        join("over", 1, 100);
-        join("still", 1, 200);
-        line.expire(101);
-        assertEquals(List.of("over"), gone);
-        room = 2;
-        line.serve();
+    void shouldExpireRequestsWhenTheyCanNoLongerBeInTime() {
+        enqueue("over", 1, 100);
+        enqueue("still", 1, 200);
+        queue.expire(101);
+        assertEquals(List.of("over"), expired);
+        freeSlots = 2;
+        queue.dispatch();
         assertEquals(List.of("still"), started);
-        assertEquals(0, line.size());
+        assertEquals(0, queue.size());
     }
 
     @Test
-    void shouldForgetThoseThatLeft() {
-        Place place = join("left", 1, 100);
-        line.leave(place);
-        room = 1;
-        line.serve();
-        line.expire(1_000);
+    void shouldNotNotifyRequestsWhenTheyWereRemoved() {
+        QueuedRequest queued = enqueue("left", 1, 100);
+        queue.remove(queued);
+        freeSlots = 1;
+        queue.dispatch();
+        queue.expire(1_000);
         assertEquals(List.of(), started);
-        assertEquals(List.of(), gone);
+        assertEquals(List.of(), expired);
     }
 
     @Test
-    void shouldTryNextOnesWhenFirstFindsNoRoom() {
-        line.join(1, 100, new WaitQueue.Waiter() {
+    void shouldTryNextRequestsWhenFirstFindsNoCapacity() {
+        queue.enqueue(1, 100, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
                 return false;
             }
 
             @Override
-            public void tooLate() {}
+            public void expired() {}
         });
-        join("short", 1, 200);
-        room = 1;
-        line.serve();
+        enqueue("short", 1, 200);
+        freeSlots = 1;
+        queue.dispatch();
         assertEquals(List.of("short"), started);
-        assertEquals(1, line.size());
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void shouldServeOnceWhenStartingOneFreesRoom() {
-        line.join(1, 100, new WaitQueue.Waiter() {
+    void shouldDispatchOnceWhenStartingRequestFreesCapacity() {
+        queue.enqueue(1, 100, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
-                line.serve();
+                queue.dispatch();
                 return true;
             }
 
             @Override
-            public void tooLate() {}
+            public void expired() {}
         });
-        join("other", 1, 200);
-        room = 1;
-        line.serve();
+        enqueue("other", 1, 200);
+        freeSlots = 1;
+        queue.dispatch();
         assertEquals(List.of("other"), started);
-        assertEquals(0, line.size());
+        assertEquals(0, queue.size());
     }
 }
--- a/src/test/java/org/micabarrow/crashes/CrashRegistryTest.java
+++ b/src/test/java/org/micabarrow/crashes/CrashRegistryTest.java
@@ -12,90 +12,90 @@
 class CrashRegistryTest {
 
     private static final long MEMORY_MILLIS = 600_000;
-    private static final int MOST = 10;
-    private static final RequestDigest HARMFUL = digest("a");
+    private static final int MAX_CRASHES = 10;
+    private static final RequestDigest POISON = digest("a");
     private static final RequestDigest HARMLESS = digest("b");
 
-    private final CrashRegistry book = new CrashRegistry(MEMORY_MILLIS, MOST, () -> 30);
+    private final CrashRegistry registry = new CrashRegistry(MEMORY_MILLIS, MAX_CRASHES, () -> 30);
 
-    private void crash(String endpoint, long atMillis, RequestDigest... aboard) {
-        book.crashed(new EndpointCrash(endpoint, Set.of(aboard), Set.of()), atMillis);
+    private void crash(String endpoint, long atMillis, RequestDigest... unanswered) {
+        registry.crashed(new EndpointCrash(endpoint, Set.of(unanswered), Set.of()), atMillis);
     }
 
     private void threeCrashes() {
-        crash("e1", 0, HARMFUL, HARMLESS);
-        crash("e2", 5_000, HARMFUL);
-        crash("e3", 9_000, HARMFUL);
+        crash("e1", 0, POISON, HARMLESS);
+        crash("e2", 5_000, POISON);
+        crash("e3", 9_000, POISON);
     }
 
     @Test
-    void shouldRefuseForAsLongAsCrashIsRememberedWhenThreeEndpointsEnded() {
+    void shouldRefuseUntilLastCrashExpiresWhenThreeEndpointsCrashed() {
         threeCrashes();
-        assertEquals(new SuspicionLevel.Refused(3, MEMORY_MILLIS - 1_000), book.standing(HARMFUL, 10_000));
-        assertEquals(Set.of(HARMFUL), book.refused());
+        assertEquals(new SuspicionLevel.Refused(3, MEMORY_MILLIS - 1_000), registry.suspicion(POISON, 10_000));
+        assertEquals(Set.of(POISON), registry.refused());
     }
 
     @Test
-    void shouldClearOthersWhenCulpritExplainsTheirCrash() {
-        crash("e1", 0, HARMFUL, HARMLESS);
-        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMLESS, 100));
+    void shouldClearOthersWhenPoisonRequestExplainsTheirCrash() {
+        crash("e1", 0, POISON, HARMLESS);
+        assertEquals(new SuspicionLevel.Suspected(1), registry.suspicion(HARMLESS, 100));
         threeCrashes();
-        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMLESS, 10_000));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, registry.suspicion(HARMLESS, 10_000));
     }
 
     @Test
-    void shouldCountCrashOnceWhenSeveralProcessesTellOfIt() {
-        crash("e1", 0, HARMFUL);
-        crash("e1", 50, HARMFUL, HARMLESS);
-        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 100));
-        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMLESS, 100));
+    void shouldCountCrashOnceWhenSeveralProcessesReportIt() {
+        crash("e1", 0, POISON);
+        crash("e1", 50, POISON, HARMLESS);
+        assertEquals(new SuspicionLevel.Suspected(1), registry.suspicion(POISON, 100));
+        assertEquals(new SuspicionLevel.Suspected(1), registry.suspicion(HARMLESS, 100));
     }
 
     @Test
-    void shouldStartAnewWhenRequestIsAnswered() {
-        crash("e1", 0, HARMFUL);
-        crash("e2", 5_000, HARMFUL);
-        assertEquals(2, book.cleared(HARMFUL, true));
-        crash("e3", 9_000, HARMFUL);
-        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 10_000));
+    void shouldResetSuspicionWhenRequestIsAnswered() {
+        crash("e1", 0, POISON);
+        crash("e2", 5_000, POISON);
+        assertEquals(2, registry.cleared(POISON, true));
+        crash("e3", 9_000, POISON);
+        assertEquals(new SuspicionLevel.Suspected(1), registry.suspicion(POISON, 10_000));
     }
 
     @Test
-    void shouldStayClearedWhenCrashIsToldAgain() {
-        crash("e1", 0, HARMFUL);
-        book.cleared(HARMFUL, true);
-        crash("e1", 50, HARMFUL);
-        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 100));
+    void shouldStayClearedWhenCrashIsReportedAgain() {
+        crash("e1", 0, POISON);
+        registry.cleared(POISON, true);
+        crash("e1", 50, POISON);
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, registry.suspicion(POISON, 100));
     }
 
     @Test
-    void shouldCountOnlyCrashesWithoutPartOfAnswerWhenPartCame() {
-        crash("e1", 0, HARMFUL);
-        crash("e2", 5_000, HARMFUL);
-        assertEquals(2, book.cleared(HARMFUL, false));
-        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 6_000));
-        crash("e3", 9_000, HARMFUL);
-        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 10_000));
+    void shouldClearOnlyUnansweredCrashesWhenPartOfResponseArrived() {
+        crash("e1", 0, POISON);
+        crash("e2", 5_000, POISON);
+        assertEquals(2, registry.cleared(POISON, false));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, registry.suspicion(POISON, 6_000));
+        crash("e3", 9_000, POISON);
+        assertEquals(new SuspicionLevel.Suspected(1), registry.suspicion(POISON, 10_000));
     }
 
     @Test
-    void shouldServeAgainWhenLastCrashIsForgotten() {
+    void shouldServeAgainWhenLastCrashExpires() {
         threeCrashes();
-        book.forgetOld(9_000 + MEMORY_MILLIS - 1);
-        assertInstanceOf(SuspicionLevel.Refused.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS - 1));
-        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS));
-        book.forgetOld(9_000 + MEMORY_MILLIS);
-        assertEquals(0, book.known());
-        assertFalse(book.suspectsAny());
+        registry.expire(9_000 + MEMORY_MILLIS - 1);
+        assertInstanceOf(SuspicionLevel.Refused.class, registry.suspicion(POISON, 9_000 + MEMORY_MILLIS - 1));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, registry.suspicion(POISON, 9_000 + MEMORY_MILLIS));
+        registry.expire(9_000 + MEMORY_MILLIS);
+        assertEquals(0, registry.crashCount());
+        assertFalse(registry.hasSuspects());
     }
 
     @Test
-    void shouldForgetOldestWhenThereAreTooMany() {
-        for (int i = 0; i < 5 * MOST; i++) {
+    void shouldDropOldestCrashesWhenThereAreTooMany() {
+        for (int i = 0; i < 5 * MAX_CRASHES; i++) {
             crash("e" + i, i * 10_000L, digest("c" + i));
         }
-        assertEquals(MOST, book.known());
-        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(digest("c1"), 1_000_000));
-        assertTrue(book.suspectsAny());
+        assertEquals(MAX_CRASHES, registry.crashCount());
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, registry.suspicion(digest("c1"), 1_000_000));
+        assertTrue(registry.hasSuspects());
     }
 }
--- a/src/test/java/org/micabarrow/play/CrashPlay.java
+++ b/src/test/java/org/micabarrow/play/CrashPlay.java
@@ -14,8 +14,8 @@
 import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.crashes.SuspectIsolation;
+import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.routing.EndpointRegistration;
 
 /**
@@ -210,14 +210,14 @@
         }
 
         private void begin() {
-            SuspicionLevel standing = entry.book.standing(request, events.nowMillis());
+            SuspicionLevel standing = entry.book.suspicion(request, events.nowMillis());
             switch (standing) {
                 case SuspicionLevel.Refused ignored -> {
                     if (harmless()) {
                         outcome.harmlessRefused++;
                         System.out.println(
                                 "REF " + setting + " " + (int) events.now() + " hot=" + request.equals(digest("hot"))
-                                        + " " + entry.book.standing(request, events.nowMillis()));
+                                        + " " + entry.book.suspicion(request, events.nowMillis()));
                     }
                 }
                 case SuspicionLevel.Unsuspected ignored -> send(entry.anywhere(tried), false);
@@ -226,8 +226,9 @@
         }
 
         private void sendSuspect(SuspicionLevel.Suspected suspected) {
-            List<EndpointRegistration> free = entry.placement.free(entry.listed(tried), request, suspected);
-            Optional<Endpoint> chosen = SuspectIsolation.apart(suspected)
+            List<EndpointRegistration> free =
+                    entry.placement.withoutOtherSuspects(entry.listed(tried), request, suspected);
+            Optional<Endpoint> chosen = SuspectIsolation.mustIsolate(suspected)
                     ? free.stream()
                             .map(entry::endpoint)
                             .filter(Endpoint::hasRoom)
@@ -292,7 +293,7 @@
         private void begin() {
             endpoint.there.add(this);
             if (suspect) {
-                of.entry.placement.began(endpoint.entry.start(), request);
+                of.entry.placement.started(endpoint.entry.start(), request);
             }
             double millis = of.harmless() ? exponential(MEAN_RUN_MILLIS) : CRASH_MILLIS;
             events.after(millis, this::end);
@@ -352,7 +353,8 @@
 
         private void comeUp() {
             start = starts++;
-            entry = EndpointRegistration.of("e-" + number + "-" + start, "s", "127.0.0.1:1", "h", SLOTS, false, Map.of(), 1);
+            entry = EndpointRegistration.of(
+                    "e-" + number + "-" + start, "s", "127.0.0.1:1", "h", SLOTS, false, Map.of(), 1);
             up = true;
         }
 
@@ -461,12 +463,12 @@
         }
 
         private void learn(CrashUpdate news) {
-            book.take(news, events.nowMillis());
+            book.apply(news, events.nowMillis());
             book.refused().forEach(request -> refusedSince.putIfAbsent(request, events.now()));
         }
 
         private void cleared(RequestDigest request, boolean whole) {
-            if (book.suspectsAny() && book.cleared(request, whole) > 0) {
+            if (book.hasSuspects() && book.cleared(request, whole) > 0) {
                 tell(new CrashUpdate.Cleared(request, whole));
             }
         }
--- a/src/test/java/org/micabarrow/play/LimitPlay.java
+++ b/src/test/java/org/micabarrow/play/LimitPlay.java
@@ -8,10 +8,10 @@
 import java.util.OptionalDouble;
 import java.util.Random;
 import org.micabarrow.limits.EndpointRateLimit;
-import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.EntryCount;
-import org.micabarrow.limits.RateLimitRelay;
+import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.QuotaShare;
+import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.limits.RateLimitUpdate;
 
 /**
@@ -43,7 +43,7 @@
     private static final double TOLD_MILLIS = 2_000;
 
     /** How many entries share the smallest limits: the longest time in which none of them has its turn, in requests. */
-    static final int ENTRIES_AT_ONCE = QuotaShare.ENTRIES_AT_ONCE;
+    static final int ENTRIES_AT_ONCE = QuotaShare.EXTRA_ENTRIES;
 
     static final double NAMED_AT_MILLIS = 10_000;
     static final double ENDED_AT_MILLIS = 70_000;
@@ -165,9 +165,9 @@
             double now = events.nowMillis();
             heard.put(entry.name, now);
             heard.values().removeIf(at -> now - at > HEARD_MILLIS);
-            word.ifPresent(said -> relay.told(said, now()));
+            word.ifPresent(said -> relay.received(said, now()));
             Optional<EntryRank> rank = now - sinceMillis < HEARD_MILLIS ? Optional.empty() : Optional.of(rank(entry));
-            Optional<RateLimitUpdate> told = relay.word(now());
+            Optional<RateLimitUpdate> told = relay.update(now());
             events.after(way(), () -> entry.answered(rank, told, askedMillis));
         }
     }
@@ -211,7 +211,7 @@
         }
 
         private void head(OptionalDouble named, long sentMillis) {
-            limit.answered(named, sentMillis, now());
+            limit.responseReceived(named, sentMillis, now());
         }
 
         private void ask() {
@@ -224,18 +224,18 @@
                 return;
             }
             if (setting.trouble() == Trouble.NO_AGENT) {
-                known.told(entries.size(), now());
+                known.reported(entries.size(), now());
                 return;
             }
-            Optional<RateLimitUpdate> word = limit.word(now());
+            Optional<RateLimitUpdate> word = limit.ownUpdate(now());
             events.after(way(), () -> agent.asked(this, word, asked));
         }
 
         private void answered(Optional<EntryRank> rank, Optional<RateLimitUpdate> told, double askedMillis) {
             toldMillis = events.nowMillis();
-            rank.ifPresent(one -> known.told(one.entries(), now()));
-            rank.ifPresent(limit::ranked);
-            told.ifPresent(word -> limit.told(word.news((long) askedMillis, now())));
+            rank.ifPresent(one -> known.reported(one.entries(), now()));
+            rank.ifPresent(limit::rankReported);
+            told.ifPresent(word -> limit.updated(word.toObservation((long) askedMillis, now())));
         }
     }
 }
--- a/src/test/java/org/micabarrow/routing/BackoffTest.java
+++ b/src/test/java/org/micabarrow/routing/BackoffTest.java
@@ -8,42 +8,42 @@
 
 class BackoffTest {
 
-    private final Backoff rest = new Backoff();
+    private final Backoff backoff = new Backoff();
 
     @Test
-    void shouldAllowAnyNumberWhenNeverAsked() {
-        assertTrue(rest.allows(1_000_000, 0));
-        assertFalse(rest.lasts(0));
-        assertEquals(0, rest.leftMillis(0));
+    void shouldAllowAnyNumberWhenNoBackoffWasRequested() {
+        assertTrue(backoff.allows(1_000_000, 0));
+        assertFalse(backoff.active(0));
+        assertEquals(0, backoff.remainingMillis(0));
     }
 
     @Test
-    void shouldAllowNothingUntilRestIsOver() {
-        rest.asked(3_000, 100);
-        assertFalse(rest.allows(0, 3_099));
-        assertEquals(1, rest.leftMillis(3_099));
-        assertTrue(rest.allows(0, 3_100));
+    void shouldAllowNothingUntilBackoffEnds() {
+        backoff.requested(3_000, 100);
+        assertFalse(backoff.allows(0, 3_099));
+        assertEquals(1, backoff.remainingMillis(3_099));
+        assertTrue(backoff.allows(0, 3_100));
     }
 
     @Test
-    void shouldKeepLongerRestWhenShorterOneIsAskedFor() {
-        rest.asked(3_000, 0);
-        rest.asked(500, 1_000);
-        assertTrue(rest.lasts(2_999));
-        rest.asked(3_000, 2_000);
-        assertTrue(rest.lasts(4_999));
+    void shouldKeepLongerBackoffWhenShorterOneIsRequested() {
+        backoff.requested(3_000, 0);
+        backoff.requested(500, 1_000);
+        assertTrue(backoff.active(2_999));
+        backoff.requested(3_000, 2_000);
+        assertTrue(backoff.active(4_999));
     }
 
     @Test
-    void shouldAllowTwiceAsManyWithEachAnswerWhenRestIsOver() {
-        rest.asked(3_000, 0);
-        rest.answered(1_000);
-        assertFalse(rest.allows(1, 3_000), "an answer to what was sent before counts for nothing");
-        for (int most = 1; most <= 32; most *= 2) {
-            assertTrue(rest.allows(most - 1, 3_000));
-            assertFalse(rest.allows(most, 3_000));
-            rest.answered(3_000);
+    void shouldDoubleLimitWithEachResponseWhenBackoffHasEnded() {
+        backoff.requested(3_000, 0);
+        backoff.responded(1_000);
+        assertFalse(backoff.allows(1, 3_000), "a response during the backoff does not raise the limit");
+        for (int limit = 1; limit <= 32; limit *= 2) {
+            assertTrue(backoff.allows(limit - 1, 3_000));
+            assertFalse(backoff.allows(limit, 3_000));
+            backoff.responded(3_000);
         }
-        assertTrue(rest.allows(1_000_000, 3_000));
+        assertTrue(backoff.allows(1_000_000, 3_000));
     }
 }
--- a/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
@@ -10,22 +10,22 @@
 import org.micabarrow.limits.EndpointRateLimit;
 import org.micabarrow.limits.EntryCount;
 
-/** What is known of an endpoint whose agent has told nothing, or told late. */
+/** Covers endpoints whose agents have not reported, or replied late. */
 class EndpointLoadTest {
 
     private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 999, 1_000, 100_000})
-    void shouldNotCallLinkSlowLatelyWhenAgentHasToldNothing(long nowMillis) {
-        assertFalse(load.delayedLately(nowMillis), "a steady clock may begin near 0");
-        assertFalse(load.toldLately(nowMillis));
+    void shouldNotReportLinkRecentlySlowWhenAgentHasNotReported(long nowMillis) {
+        assertFalse(load.linkRecentlySlow(nowMillis), "a steady clock may begin near 0");
+        assertFalse(load.hasRecentReport(nowMillis));
     }
 
     @Test
-    void shouldCallLinkSlowLatelyForAWhileAfterLateAnswer() {
-        load.told(new LoadReport(0, 0, false, 1), 401, 10);
-        assertTrue(load.delayedLately(3_010));
-        assertFalse(load.delayedLately(3_011));
+    void shouldReportLinkRecentlySlowForAWhileAfterLateReply() {
+        load.reported(new LoadReport(0, 0, false, 1), 401, 10);
+        assertTrue(load.linkRecentlySlow(3_010));
+        assertFalse(load.linkRecentlySlow(3_011));
     }
 }
--- a/src/test/java/org/micabarrow/routing/EndpointSelectorTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointSelectorTest.java
@@ -12,17 +12,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where requests are sent. */
 class EndpointSelectorTest {
 
     private static final ModelProfile MODEL = new ModelProfile("m", 4, 20, 10, 0, 5, 16, 64, 32_768);
     private static final long NOW = 100_000;
 
-    private final EndpointSelector choice = new EndpointSelector("r1", Map.of("h1", "r1", "h2", "r2"));
+    private final EndpointSelector selector = new EndpointSelector("r1", Map.of("h1", "r1", "h2", "r2"));
 
-    private static EndpointRegistration endpoint(String id, String hall, boolean leaving, long version, int layers) {
+    private static EndpointRegistration endpoint(String id, String hall, boolean draining, long version, int layers) {
         Map<String, Long> models = version == 0 ? Map.of() : Map.of("m", version);
-        return EndpointRegistration.of(id, "s", "10.0.0.1:80", hall, 4, leaving, models, layers);
+        return EndpointRegistration.of(id, "s", "10.0.0.1:80", hall, 4, draining, models, layers);
     }
 
     private static EndpointRegistration endpoint(String id) {
@@ -35,227 +34,239 @@
                 .withStart(OptionalLong.of(startedMillis));
     }
 
-    private static Wanted wanted(long leastVersion, Set<String> tried) {
-        return new Wanted(1_000, 500, Optional.of(MODEL), leastVersion, 0, tried);
+    private static RoutingRequest request(long minVersion, Set<String> triedEndpoints) {
+        return new RoutingRequest(1_000, 500, Optional.of(MODEL), minVersion, 0, triedEndpoints);
     }
 
-    private EndpointSelection choose(EndpointRegistration... endpoints) {
-        return choice.choose(List.of(endpoints), wanted(0, Set.of()), NOW);
+    private EndpointSelection select(EndpointRegistration... endpoints) {
+        return selector.select(List.of(endpoints), request(0, Set.of()), NOW);
     }
 
-    private static String chosen(EndpointSelection made) {
-        return assertInstanceOf(EndpointSelection.Send.class, made).endpoint().id();
+    private static String selectedId(EndpointSelection selection) {
+        return assertInstanceOf(EndpointSelection.Selected.class, selection)
+                .endpoint()
+                .id();
     }
 
     @Test
-    void shouldPassOverEndpointsThatCannotServe() {
-        EndpointRegistration leaving = endpoint("a", "h1", true, 1, 16);
+    void shouldSkipEndpointsThatCannotServe() {
+        EndpointRegistration draining = endpoint("a", "h1", true, 1, 16);
         EndpointRegistration empty = endpoint("b", "h1", false, 0, 16);
         EndpointRegistration partial = endpoint("c", "h1", false, 1, 3);
-        assertInstanceOf(EndpointSelection.None.class, choose(leaving, empty, partial));
-        assertEquals("d", chosen(choose(leaving, empty, partial, endpoint("d"))));
+        assertInstanceOf(EndpointSelection.NoneEligible.class, select(draining, empty, partial));
+        assertEquals("d", selectedId(select(draining, empty, partial, endpoint("d"))));
     }
 
     @Test
-    void shouldDemandNewestVersionOnceOlderOnesMayNotAnswer() {
+    void shouldRequireNewestVersionWhenOlderOnesMayNotRespond() {
         EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
         EndpointRegistration renewed = endpoint("b", "h2", false, 2, 16);
-        assertEquals("b", chosen(choice.choose(List.of(old, renewed), wanted(2, Set.of()), NOW)));
+        assertEquals("b", selectedId(selector.select(List.of(old, renewed), request(2, Set.of()), NOW)));
     }
 
     @Test
     void shouldPreferOwnRegionUntilItsQueueCostsMore() {
         EndpointRegistration near = endpoint("a", "h1", false, 1, 16);
         EndpointRegistration far = endpoint("b", "h2", false, 1, 16);
-        assertEquals("a", chosen(choose(near, far)));
-        choice.load("a").began(3_000);
-        assertEquals("b", chosen(choose(near, far)));
+        assertEquals("a", selectedId(select(near, far)));
+        selector.load("a").requestSent(3_000);
+        assertEquals("b", selectedId(select(near, far)));
     }
 
     @Test
-    void shouldSayFullWhenObjectiveCannotBeMet() {
-        choice.load("a").began(8_000);
-        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("a")));
+    void shouldReturnFullWhenObjectiveCannotBeMet() {
+        selector.load("a").requestSent(8_000);
+        assertInstanceOf(EndpointSelection.Full.class, select(endpoint("a")));
     }
 
     @Test
-    void shouldCountWhatOtherEntriesHaveThere() {
-        choice.load("a").told(new LoadReport(4, 0, false, 1), 10, NOW);
-        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("a")));
-        choice.load("b").told(new LoadReport(1, 9_000, false, 1), 10, NOW);
-        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("b")));
+    void shouldCountRequestsOfOtherEntries() {
+        selector.load("a").reported(new LoadReport(4, 0, false, 1), 10, NOW);
+        assertInstanceOf(EndpointSelection.Full.class, select(endpoint("a")));
+        selector.load("b").reported(new LoadReport(1, 9_000, false, 1), 10, NOW);
+        assertInstanceOf(EndpointSelection.Full.class, select(endpoint("b")));
     }
 
     @Test
-    void shouldNotChooseEndpointThatTakesUpWeights() {
-        choice.load("a").told(new LoadReport(0, 0, true, 1), 10, NOW);
-        assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
+    void shouldNotSelectEndpointThatIsLoadingWeights() {
+        selector.load("a").reported(new LoadReport(0, 0, true, 1), 10, NOW);
+        assertEquals("b", selectedId(select(endpoint("a"), endpoint("b"))));
     }
 
     @Test
-    void shouldPassOverEndpointWhoseAgentFellSilent() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
-        choice.load("b").told(new LoadReport(2, 0, false, 1), 10, NOW - 100);
-        assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
+    void shouldSkipEndpointWhoseAgentIsUnresponsive() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
+        selector.load("b").reported(new LoadReport(2, 0, false, 1), 10, NOW - 100);
+        assertEquals("b", selectedId(select(endpoint("a"), endpoint("b"))));
     }
 
     @Test
-    void shouldUseSilentEndpointWhenAllAreSilent() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 5_000);
-        assertEquals("a", chosen(choose(endpoint("a"))));
+    void shouldUseUnresponsiveEndpointWhenAllAreUnresponsive() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW - 5_000);
+        assertEquals("a", selectedId(select(endpoint("a"))));
     }
 
     @Test
-    void shouldPassOverEndpointBehindSlowLink() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 2_200, NOW);
-        choice.load("b").told(new LoadReport(2, 0, false, 1), 100, NOW);
-        assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no other can serve");
+    void shouldSkipEndpointBehindSlowLink() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 2_200, NOW);
+        selector.load("b").reported(new LoadReport(2, 0, false, 1), 100, NOW);
+        assertEquals("b", selectedId(select(endpoint("a"), endpoint("b"))));
+        assertEquals("a", selectedId(select(endpoint("a"))), "no other endpoint can serve");
     }
 
     @Test
-    void shouldSendNothingThroughSlowLinkWhenNewerVersionIsNamed() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 2_200, NOW);
-        Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
+    void shouldSendNothingThroughSlowLinkWhenNewerVersionIsAnnounced() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 2_200, NOW);
+        RoutingRequest request = new RoutingRequest(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
+        assertInstanceOf(EndpointSelection.NoneEligible.class, selector.select(List.of(endpoint("a")), request, NOW));
         EndpointRegistration renewed = endpoint("a", "h1", false, 2, 16);
-        assertInstanceOf(EndpointSelection.Send.class, choice.choose(List.of(renewed), wanted, NOW));
+        assertInstanceOf(EndpointSelection.Selected.class, selector.select(List.of(renewed), request, NOW));
     }
 
     @Test
-    void shouldSendNothingThroughLinkThatWasSlowLatelyWhenNewerVersionIsNamed() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 900, NOW - 500);
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
-        Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), newer, NOW));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW + 5_000);
-        assertInstanceOf(EndpointSelection.Send.class, choice.choose(List.of(endpoint("a")), newer, NOW + 5_000));
+    void shouldSendNothingThroughRecentlySlowLinkWhenNewerVersionIsAnnounced() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 900, NOW - 500);
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        RoutingRequest newer = new RoutingRequest(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
+        assertInstanceOf(EndpointSelection.NoneEligible.class, selector.select(List.of(endpoint("a")), newer, NOW));
+        assertEquals("a", selectedId(select(endpoint("a"))), "no newer version is announced");
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW + 5_000);
+        assertInstanceOf(EndpointSelection.Selected.class, selector.select(List.of(endpoint("a")), newer, NOW + 5_000));
     }
 
     @Test
-    void shouldSendNothingWhileAgentIsSilentWhenNewerVersionIsNamed() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
-        choice.load("a").heard(NOW - 50);
-        Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
-        assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
+    void shouldSendNothingToUnresponsiveAgentsEndpointWhenNewerVersionIsAnnounced() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
+        selector.load("a").dataReceived(NOW - 50);
+        RoutingRequest request = new RoutingRequest(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
+        assertInstanceOf(EndpointSelection.NoneEligible.class, selector.select(List.of(endpoint("a")), request, NOW));
+        assertEquals("a", selectedId(select(endpoint("a"))), "no newer version is announced");
     }
 
     @Test
-    void shouldNotUseSilentEndpointWhileOthersAreHeard() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
-        choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
-        assertInstanceOf(EndpointSelection.None.class, choose(endpoint("a"), endpoint("b")), "b takes up weights, a stands still");
+    void shouldNotUseUnresponsiveEndpointWhenOthersRespond() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
+        selector.load("b").reported(new LoadReport(0, 0, true, 1), 10, NOW - 100);
+        assertInstanceOf(
+                EndpointSelection.NoneEligible.class,
+                select(endpoint("a"), endpoint("b")),
+                "b is loading weights, a is unresponsive");
     }
 
     @Test
-    void shouldUseEndpointThatAnswersWhileItsAgentIsGone() {
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
-        choice.load("a").heard(NOW - 50);
-        choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
-        assertEquals("a", chosen(choose(endpoint("a"), endpoint("b"))));
+    void shouldUseEndpointThatRespondsWhenItsAgentIsUnresponsive() {
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
+        selector.load("a").dataReceived(NOW - 50);
+        selector.load("b").reported(new LoadReport(0, 0, true, 1), 10, NOW - 100);
+        assertEquals("a", selectedId(select(endpoint("a"), endpoint("b"))));
     }
 
     @Test
-    void shouldLeaveOutEndpointAfterItBroke() {
-        choice.load("a").failures().broke(NOW);
-        assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
-        choice.load("b").failures().broke(NOW);
-        assertInstanceOf(EndpointSelection.Send.class, choose(endpoint("a"), endpoint("b")), "all are out, so one must do");
+    void shouldEjectEndpointWhenItsConnectionFailed() {
+        selector.load("a").failures().connectionFailed(NOW);
+        assertEquals("b", selectedId(select(endpoint("a"), endpoint("b"))));
+        selector.load("b").failures().connectionFailed(NOW);
+        assertInstanceOf(
+                EndpointSelection.Selected.class,
+                select(endpoint("a"), endpoint("b")),
+                "all are ejected, so an ejected one is used");
     }
 
     @Test
-    void shouldLeaveOutEndpointWhoseAddressIsAnothers() {
-        choice.load("a").failures().misdirected(NOW);
-        assertEquals("b", chosen(choose(endpoint("a"), endpoint("b", "h2", false, 1, 16))));
+    void shouldEjectEndpointWhenAnotherOneHasItsAddress() {
+        selector.load("a").failures().misdirected(NOW);
+        assertEquals("b", selectedId(select(endpoint("a"), endpoint("b", "h2", false, 1, 16))));
     }
 
     @Test
-    void shouldTakeEndpointBackWhenItsExclusionEnds() {
-        choice.load("a").failures().broke(NOW - 1_001);
-        choice.load("b").began(1_000);
-        assertEquals("a", chosen(choose(endpoint("a"), endpoint("b"))));
+    void shouldUseEndpointAgainWhenItsEjectionEnds() {
+        selector.load("a").failures().connectionFailed(NOW - 1_001);
+        selector.load("b").requestSent(1_000);
+        assertEquals("a", selectedId(select(endpoint("a"), endpoint("b"))));
     }
 
     @Test
     void shouldNotSendTwiceToTheSameEndpoint() {
-        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted(0, Set.of("a")), NOW));
+        assertInstanceOf(
+                EndpointSelection.NoneEligible.class,
+                selector.select(List.of(endpoint("a")), request(0, Set.of("a")), NOW));
     }
 
     @Test
-    void shouldAskAgentFirstOnlyWhenItsEndpointHoldsOlderVersionThanWasNamed() {
-        Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
+    void shouldQueryAgentFirstOnlyWhenItsEndpointHoldsOlderVersionThanAnnounced() {
+        RoutingRequest newer = new RoutingRequest(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
-        assertFalse(choice.mustAsk(old, newer), "no agent was ever heard beside it");
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
-        assertTrue(choice.mustAsk(old, newer));
-        assertFalse(choice.mustAsk(old, wanted(0, Set.of())), "nothing newer was named");
-        choice.load("a").told(new LoadReport(0, 0, false, 2), 10, NOW);
-        assertFalse(choice.mustAsk(old, newer), "it has changed versions since its entry was written");
+        assertFalse(selector.mustQueryAgent(old, newer), "it has no agent");
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        assertTrue(selector.mustQueryAgent(old, newer));
+        assertFalse(selector.mustQueryAgent(old, request(0, Set.of())), "no newer version is announced");
+        selector.load("a").reported(new LoadReport(0, 0, false, 2), 10, NOW);
+        assertFalse(
+                selector.mustQueryAgent(old, newer),
+                "it has loaded the newer version since its registration was written");
     }
 
     @Test
-    void shouldSendNothingWhereAgentLeftQuestionUnansweredWhenNewerVersionIsNamed() {
-        Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
+    void shouldSendNothingAfterUnansweredQueryWhenNewerVersionIsAnnounced() {
+        RoutingRequest newer = new RoutingRequest(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
         EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
-        choice.load("a").notAnswered();
-        assertFalse(choice.able(old, newer, NOW));
-        assertTrue(choice.able(old, wanted(0, Set.of()), NOW), "any version may answer");
-        choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
-        assertTrue(choice.able(old, newer, NOW));
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        selector.load("a").queryTimedOut();
+        assertFalse(selector.eligible(old, newer, NOW));
+        assertTrue(selector.eligible(old, request(0, Set.of()), NOW), "any version may respond");
+        selector.load("a").reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        assertTrue(selector.eligible(old, newer, NOW));
     }
 
-    // -- endpoints that start again under their id
+    // -- endpoints that restart under the same id
 
     @Test
-    void shouldNotBelieveThatEndpointHoldsWhatItsFormerStartHeld() {
-        choice.load(started(5_000, 1).start()).told(new LoadReport(0, 0, false, 3), 10, NOW);
-        choice.load(started(5_000, 1).start()).answeredBy(3);
-        assertInstanceOf(EndpointSelection.None.class, choose(started(9_000, 0)));
-        choice.load(started(9_000, 0).start()).told(new LoadReport(0, 0, false, 1), 10, NOW);
-        assertEquals("a", chosen(choose(started(9_000, 0))));
+    void shouldNotCarryOverVersionWhenEndpointRestarts() {
+        selector.load(started(5_000, 1).start()).reported(new LoadReport(0, 0, false, 3), 10, NOW);
+        selector.load(started(5_000, 1).start()).respondedWithVersion(3);
+        assertInstanceOf(EndpointSelection.NoneEligible.class, select(started(9_000, 0)));
+        selector.load(started(9_000, 0).start()).reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        assertEquals("a", selectedId(select(started(9_000, 0))));
     }
 
     @Test
-    void shouldCountNoRequestsOfFormerStartAtNewOne() {
-        EndpointLoad former = choice.load(started(5_000, 1).start());
-        former.began(8_000);
-        assertEquals("a", chosen(choose(started(9_000, 1))));
-        EndpointLoad present = choice.load(started(9_000, 1).start());
-        present.began(100);
-        former.ended();
+    void shouldNotCarryOverRequestsWhenEndpointRestarts() {
+        EndpointLoad former = selector.load(started(5_000, 1).start());
+        former.requestSent(8_000);
+        assertEquals("a", selectedId(select(started(9_000, 1))));
+        EndpointLoad present = selector.load(started(9_000, 1).start());
+        present.requestSent(100);
+        former.requestEnded();
         assertEquals(1, present.requests(NOW));
-        assertEquals(100, present.ownPromptTokens());
+        assertEquals(100, present.ownPendingPromptTokens());
     }
 
     @Test
-    void shouldNotHoldFailuresOfFormerStartAgainstNewOne() {
-        choice.load(started(5_000, 1).start()).failures().broke(NOW);
-        choice.load("b").began(1_000);
-        assertEquals("a", chosen(choose(started(9_000, 1), endpoint("b"))));
+    void shouldNotCarryOverFailuresWhenEndpointRestarts() {
+        selector.load(started(5_000, 1).start()).failures().connectionFailed(NOW);
+        selector.load("b").requestSent(1_000);
+        assertEquals("a", selectedId(select(started(9_000, 1), endpoint("b"))));
     }
 
     @Test
-    void shouldSendNothingToStartThatIsOverByItsAgent() {
-        EndpointLoad load = choice.load(started(5_000, 1).start());
-        load.told(new LoadReport(0, 0, false, 1), 10, NOW);
-        load.toldOfAnotherStart();
-        assertInstanceOf(EndpointSelection.None.class, choose(started(5_000, 1)));
-        load.told(new LoadReport(0, 0, false, 1), 10, NOW);
-        assertEquals("a", chosen(choose(started(5_000, 1))), "the agent was behind the entry for a moment");
+    void shouldSendNothingWhenAgentReportedAnotherStart() {
+        EndpointLoad load = selector.load(started(5_000, 1).start());
+        load.reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        load.otherStartReported();
+        assertInstanceOf(EndpointSelection.NoneEligible.class, select(started(5_000, 1)));
+        load.reported(new LoadReport(0, 0, false, 1), 10, NOW);
+        assertEquals("a", selectedId(select(started(5_000, 1))), "the agent has caught up with the registration");
     }
 
     @Test
-    void shouldForgetFormerStartOnceNothingWaitsThere() {
+    void shouldForgetPreviousStartWhenNothingIsInFlightThere() {
         EndpointStart former = started(5_000, 1).start();
-        choice.load(former).began(10);
-        choice.keepOnly(List.of(started(9_000, 1)));
-        assertTrue(choice.awaits(former));
-        choice.load(former).ended();
-        choice.load(former).answeredBy(3);
-        choice.keepOnly(List.of(started(9_000, 1)));
-        assertEquals(0, choice.load(former).version());
+        selector.load(former).requestSent(10);
+        selector.retainOnly(List.of(started(9_000, 1)));
+        assertTrue(selector.hasRequestsInFlight(former));
+        selector.load(former).requestEnded();
+        selector.load(former).respondedWithVersion(3);
+        selector.retainOnly(List.of(started(9_000, 1)));
+        assertEquals(0, selector.load(former).version());
     }
 }
--- a/src/test/java/org/micabarrow/serving/RoomLineTest.java
+++ b/src/test/java/org/micabarrow/serving/RoomLineTest.java
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public void tooLate() {
+        public void expired() {
             over.complete(null);
         }
     }
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.routing.ModelProfile;
@@ -98,7 +98,8 @@
         RouteManifest.Service service = new RouteManifest.Service("models", 100, Optional.of(model), Optional.empty());
         RouteManifest manifest =
                 RouteManifest.of(new RouteManifest.Parts(1, List.of(), Map.of("models", service), Map.of(), false, 1));
-        EndpointRegistration other = EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other =
+                EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
         return new View(Optional.of(manifest), 0, Map.of("a", endpoint, "b", other), Map.of());
     }
 
@@ -144,8 +145,8 @@
     @Test
     void shouldTellPromptTokensOfAllEndpointsAtHostWhenOneIsAskedFor() throws Exception {
         EndpointSelector ofTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        ofTwo.load("a").began(100);
-        ofTwo.load("b").began(20);
+        ofTwo.load("a").requestSent(100);
+        ofTwo.load("b").requestSent(20);
         LoadFeed withTwo = feed(twoAtOneHost(), ofTwo);
         withTwo.start(() -> withTwo.ask(endpoint, inTime -> {}));
         for (int number = 0; number < 2; number++) {
@@ -160,7 +161,7 @@
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
         EndpointSelector waiting = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        waiting.load("a").began(100);
+        waiting.load("a").requestSent(100);
         feed(view::get, waiting).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
             DatagramPacket packet = question();
@@ -174,7 +175,7 @@
     @Test
     void shouldTellPromptTokensOfEndpointWhenNoRoundHasSeenItYet() throws Exception {
         worker.getIoThread().execute(() -> {
-            choice.load("a").began(100);
+            choice.load("a").requestSent(100);
             feed.ask(endpoint, inTime -> {});
         });
         DatagramPacket packet = question();
@@ -211,7 +212,8 @@
     }
 
     /** Answers one question after the other with the same until a belief about the listed start is held. */
-    private void answerUntil(EndpointSelector choice, LoadReport told, Predicate<EndpointLoad> belief) throws Exception {
+    private void answerUntil(EndpointSelector choice, LoadReport told, Predicate<EndpointLoad> belief)
+            throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
         boolean held = false;
         while (!held) {
@@ -225,14 +227,15 @@
     @Test
     @Timeout(LONGEST_SECONDS)
     void shouldCountNothingThatAgentTellsOfAnotherStart() throws Exception {
-        EndpointRegistration listed = EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
+        EndpointRegistration listed = EndpointRegistration.of(
+                        "a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
                 .withStart(LISTED.startedMillis());
         View both = twoAtOneHost();
         // The feed of all tests, which lists no endpoint, makes its own choice forget them.
         EndpointSelector own = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), own).start(() -> {});
-        answerUntil(own, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
-        answerUntil(own, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
+        answerUntil(own, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::restarted);
+        answerUntil(own, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.restarted());
         CompletableFuture<Long> version = new CompletableFuture<>();
         worker.getIoThread().execute(() -> version.complete(own.load(LISTED).version()));
         assertEquals(2L, version.get(LONGEST_SECONDS, TimeUnit.SECONDS));
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -214,7 +214,7 @@
             RateLimitUpdate word = new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
             ask(entry, agent, question("b", Optional.of(word)));
             now.addAndGet(50);
-            RateLimitUpdate older = new RateLimitUpdate(word.endpoint(), word.perSecond(), 150);
+            RateLimitUpdate older = new RateLimitUpdate(word.endpointToken(), word.perSecond(), 150);
             assertEquals(
                     Optional.of(older),
                     ask(entry, agent, question("a", Optional.empty())).limit());
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -191,7 +191,7 @@
     void shouldReplaceEntryWhenEndpointRestarts() {
         endpoints(1, started("a", 0, 5_000, "draining", 3));
         endpoints(2, started("a", 1, 9_000, "ready", 1));
-        assertFalse(entry("a").leaving());
+        assertFalse(entry("a").draining());
         assertEquals(1, entry("a").models().get("m"));
     }
 
@@ -200,7 +200,7 @@
         endpoints(1, started("a", 0, 9_000, "ready", 1));
         now.addAndGet(3_000);
         endpoints(2, started("a", 1, 5_000, "draining", 3));
-        assertFalse(entry("a").leaving());
+        assertFalse(entry("a").draining());
         assertEquals(1, entry("a").models().get("m"));
     }
 
@@ -283,7 +283,7 @@
         endpoints(2, written("a", 1, 6, "draining"));
         now.addAndGet(5_900);
         endpoints(3, written("a", 2, 5, "ready"));
-        assertTrue(entry("a").leaving());
+        assertTrue(entry("a").draining());
         endpoints(4, written("a", 3, 7, "ready"));
         assertFalse(entry("a").leaving(), "a later entry takes effect");
     }
@@ -302,7 +302,7 @@
         endpoints(1, written("a", 0, 60, "ready"));
         now.addAndGet(7_100);
         endpoints(2, written("a", 1, 1, "draining"));
-        assertTrue(entry("a").leaving());
+        assertTrue(entry("a").draining());
     }
 
     // -- invalid entries
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -16,43 +16,43 @@
 import org.micabarrow.views.ViewKeeper;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** A keeper with an endpoint, an origin and a clock of its own, without other agents. */
-abstract class KeeperFixture {
+/** A controller with its own endpoint, origin and clock, without other agents. */
+abstract class ReplicaControllerFixture {
 
-    static final long BOUND = 8_000;
+    static final long MAX_STALENESS_MILLIS = 8_000;
 
     final AtomicLong now = new AtomicLong(1_000_000);
     final FakeEndpoint endpoint = new FakeEndpoint();
     final FakeOrigin origin = new FakeOrigin(now);
-    final ViewKeeper views = new ViewKeeper(new EndpointsOnly(), now::get);
-    volatile int pacedBytes;
-    int toldClosing;
-    volatile ReplicaController.Place place = new ReplicaController.Place(0, 3);
-    final ReplicaController keeper = newKeeper();
-    private final List<Thread> fetching = new ArrayList<>();
-
-    /** A keeper that knows nothing of what one before it has done. */
-    final ReplicaController newKeeper() {
-        return new ReplicaController(new ReplicaController.Parts(
+    final ViewKeeper views = new ViewKeeper(new EndpointDecoder(), now::get);
+    volatile int throttledBytes;
+    int cordonNotifications;
+    volatile ReplicaController.RegionPosition position = new ReplicaController.RegionPosition(0, 3);
+    final ReplicaController controller = newController();
+    private final List<Thread> fetchThreads = new ArrayList<>();
+
+    /** Creates a controller without any state of a previous one. */
+    final ReplicaController newController() {
+        return new ReplicaController(new ReplicaController.Dependencies(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
                 endpoint,
-                new ChunkFetcher(new ChunkFetcher.Parts(
+                new ChunkFetcher(new ChunkFetcher.Dependencies(
                         new NoPeers(),
                         origin,
                         () -> Optional.of("origin:80"),
-                        ChunkSources.following(new Agent("a", "r"), List::of),
-                        bytes -> pacedBytes += bytes,
+                        ChunkSources.cached(new Agent("a", "r"), List::of),
+                        bytes -> throttledBytes += bytes,
                         now::get)),
                 views::view,
-                () -> place,
-                () -> toldClosing++,
-                BOUND,
+                () -> position,
+                () -> cordonNotifications++,
+                MAX_STALENESS_MILLIS,
                 now::get));
     }
 
-    /** Reads the offset of a record as the version that an endpoint holds, and its value as the number of layers. */
-    static final class EndpointsOnly implements RecordDecoder {
+    /** Decodes the offset of a record as the version that an endpoint holds, and its value as the number of layers. */
+    static final class EndpointDecoder implements RecordDecoder {
 
         @Override
         public boolean isManifest(String key) {
@@ -79,28 +79,28 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
             return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_FOUND, "none"));
         }
     }
 
-    /** Another endpoint enters itself with layers of a version. */
-    void anotherHolds(long version, int layers) {
+    /** Adds a store entry of another endpoint that holds layers of a version. */
+    void addOtherEndpoint(long version, int layers) {
         views.apply(
                 Topic.ENDPOINTS,
                 List.of(new StoredRecord("i-other", version, new byte[] {(byte) layers})),
                 version + 1);
     }
 
-    /** Steps as if entries had been told to send nothing, and again when all of them know. */
-    void stepTwice() {
-        keeper.step();
-        now.addAndGet(Cordon.MILLIS);
-        keeper.step();
+    /** Steps twice, with the cordon's lead time in between. */
+    void stepThroughCordon() {
+        controller.step();
+        now.addAndGet(Cordon.LEAD_MILLIS);
+        controller.step();
     }
 
-    /** Fetches a version on a thread of its own; returns once some chunks are here. */
-    Thread fetchBeside(long version, int chunks) {
+    /** Fetches a version on a separate thread. Returns once the given number of chunks is present. */
+    Thread fetchInBackground(long version, int chunks) {
         Thread thread = new Thread(() -> {
             try {
                 fetch();
@@ -108,7 +108,7 @@
                 Thread.currentThread().interrupt();
             }
         });
-        fetching.add(thread);
+        fetchThreads.add(thread);
         thread.start();
         awaitPresent(version, chunks);
         return thread;
@@ -116,17 +116,17 @@
 
     @AfterEach
     void stopFetching() {
-        fetching.forEach(Thread::interrupt);
+        fetchThreads.forEach(Thread::interrupt);
     }
 
     void awaitPresent(long version, int chunks) {
-        while (keeper.set("m", version).map(ChunkSet::present).orElse(-1) < chunks) {
+        while (controller.chunkSet("m", version).map(ChunkSet::presentCount).orElse(-1) < chunks) {
             Thread.onSpinWait();
         }
     }
 
     void fetch() throws InterruptedException {
-        keeper.refresh();
-        keeper.fetch();
+        controller.refresh();
+        controller.fetch();
     }
 }
