--- a/src/main/java/org/micabarrow/views/EndpointListUpdater.java
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -104,7 +104,7 @@
             case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when lateEntries.isSuperseded(entry, nowMillis) ->
                 Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + startedText(entry)
-                        + " leaving=" + entry.leaving() + " offset=" + record.offset());
+                        + " leaving=" + entry.draining() + " offset=" + record.offset());
             case Result.Success<EndpointRegistration>(EndpointRegistration entry) -> applyValid(record, entry, endpoints);
         };
     }
@@ -129,13 +129,13 @@
         pendingRemovals.cancel(entry.id());
         invalidKeys.remove(entry.id());
         EndpointRegistration previous = endpoints.put(entry.id(), entry);
-        if (previous != null && entry.saysTheSameAs(previous)) {
+        if (previous != null && entry.sameContentAs(previous)) {
             return Optional.empty();
         }
         boolean restarted = previous != null && !previous.start().equals(entry.start());
         String event = restarted ? "endpoint_restarted" : "endpoint_changed";
         return Optional.of("event=" + event + " endpoint=" + entry.id() + " address=" + entry.address() + " leaving="
-                + entry.leaving() + " models="
+                + entry.draining() + " models="
                 + StoredRecord.shown(entry.models().toString()) + " started=" + startedText(entry) + " offset="
                 + record.offset());
     }
--- a/src/main/java/org/micabarrow/views/LateEntryFilter.java
+++ b/src/main/java/org/micabarrow/views/LateEntryFilter.java
@@ -31,9 +31,9 @@
         private boolean isAfter(EndpointRegistration entry, long started) {
             boolean sameStart = startedMillis == started
                     && writeCount.isPresent()
-                    && entry.writes().isPresent();
+                    && entry.writeCount().isPresent();
             return startedMillis > started
-                    || sameStart && writeCount.getAsLong() > entry.writes().getAsLong();
+                    || sameStart && writeCount.getAsLong() > entry.writeCount().getAsLong();
         }
     }
 
@@ -58,7 +58,7 @@
                 && nowMillis - newest.seenAtMillis() <= PRECEDENCE_MILLIS) {
             return true;
         }
-        newestById.put(entry.id(), new SeenEntry(started, entry.writes(), nowMillis));
+        newestById.put(entry.id(), new SeenEntry(started, entry.writeCount(), nowMillis));
         return false;
     }
 }
--- a/src/main/java/org/micabarrow/views/PendingRemovals.java
+++ b/src/main/java/org/micabarrow/views/PendingRemovals.java
@@ -62,7 +62,7 @@
      */
     boolean defer(EndpointRegistration entry, long nowMillis) {
         long dueMillis = reachableSinceMillis + REMOVAL_DELAY_MILLIS;
-        if (entry.leaving() || nowMillis >= dueMillis || !storeWasDownForAll()) {
+        if (entry.draining() || nowMillis >= dueMillis || !storeWasDownForAll()) {
             return false;
         }
         dueAtMillis.put(entry.id(), dueMillis);
