--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewKeeperTest.java
@@ -285,7 +285,7 @@
         endpoints(3, written("a", 2, 5, "ready"));
         assertTrue(entry("a").draining());
         endpoints(4, written("a", 3, 7, "ready"));
-        assertFalse(entry("a").leaving(), "a later entry takes effect");
+        assertFalse(entry("a").draining(), "a later entry takes effect");
     }
 
     @Test
