--- a/src/main/java/org/micabarrow/clock/SteadyClock.java
+++ b/src/main/java/org/micabarrow/clock/MonotonicClock.java
@@ -9,13 +9,13 @@
  * clock. {@link System#nanoTime} does not advance during a suspension, so that all information of a process would
  * appear younger by its duration afterwards.
  */
-public final class SteadyClock {
+public final class MonotonicClock {
 
     private static final Optional<LongSupplier> BOOT_CLOCK = BootClock.nanos();
 
     private static final LongSupplier NANOS = BOOT_CLOCK.orElse(System::nanoTime);
 
-    private SteadyClock() {}
+    private MonotonicClock() {}
 
     /**
      * The current time.
@@ -31,7 +31,7 @@
      *
      * @return false on a runtime that cannot read such a clock
      */
-    public static boolean countsSuspensions() {
+    public static boolean includesSuspendedTime() {
         return BOOT_CLOCK.isPresent();
     }
 }
--- a/src/main/java/org/micabarrow/coordination/claims/Claims.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Claims.java
@@ -19,7 +19,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.OwnedThread;
+import org.micabarrow.steps.StoppableThread;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,8 +51,8 @@
     private final Object lock = new Object();
     private final ClaimBook book;
     private final Map<String, Waiting> waiting = new HashMap<>();
-    private final OwnedThread writer;
-    private final OwnedThread reader;
+    private final StoppableThread writer;
+    private final StoppableThread reader;
     private long nextOffset;
     private volatile boolean caughtUp;
 
@@ -61,8 +61,8 @@
         this.stream = Objects.requireNonNull(stream, "stream is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.book = new ClaimBook(kept.toMillis());
-        this.writer = new OwnedThread(stream + "-writer", this::writeAll);
-        this.reader = new OwnedThread(stream + "-reader", this::readAll);
+        this.writer = new StoppableThread(stream + "-writer", this::writeAll);
+        this.reader = new StoppableThread(stream + "-reader", this::readAll);
     }
 
     /** A claim that waits for its verdict. */
@@ -144,7 +144,7 @@
     // -- writing
 
     private void writeAll() {
-        while (!writer.closing()) {
+        while (!writer.isClosing()) {
             try {
                 List<Waiting> batch = new ArrayList<>();
                 batch.add(queue.take());
@@ -159,7 +159,7 @@
     /** Appends until an append is acknowledged or nobody waits; the same claim twice counts once. */
     private void write(List<Waiting> batch) {
         List<Waiting> left = new ArrayList<>(batch);
-        while (!writer.closing()) {
+        while (!writer.isClosing()) {
             left.removeIf(one -> one.verdict().isDone() || one.untilMillis() <= clock.millis());
             if (left.isEmpty()) {
                 return;
@@ -173,21 +173,21 @@
                     "claims={} not acknowledged: {}",
                     left.size(),
                     appended.cause().orElseThrow());
-            writer.rest(PAUSE);
+            writer.pause(PAUSE);
         }
     }
 
     // -- reading
 
     private void readAll() {
-        while (!reader.closing()) {
+        while (!reader.isClosing()) {
             Result<PlatformLog.Page> page = log.read(stream, nextOffset, caughtUp ? READ_WAIT : Duration.ZERO);
             switch (page) {
                 case Result.Success<PlatformLog.Page>(PlatformLog.Page read) -> foldPage(read);
                 case Result.Failure<PlatformLog.Page>(Fault fault) -> {
-                    if (!reader.closing()) {
+                    if (!reader.isClosing()) {
                         LOG.warn("claims not read: {}", fault);
-                        reader.rest(PAUSE);
+                        reader.pause(PAUSE);
                     }
                 }
             }
--- a/src/main/java/org/micabarrow/coordination/configuration/ConfigurationReader.java
+++ b/src/main/java/org/micabarrow/coordination/configuration/ConfigurationReader.java
@@ -8,7 +8,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.OwnedThread;
+import org.micabarrow.steps.StoppableThread;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,7 +34,7 @@
     private final PlatformLog log;
     private final Peers peers;
     private final Supplier<List<String>> relays;
-    private final OwnedThread thread;
+    private final StoppableThread thread;
 
     private ConfigurationReader(
             Configuration configuration, PlatformLog log, Peers peers, Supplier<List<String>> relays) {
@@ -42,7 +42,7 @@
         this.log = Objects.requireNonNull(log, "log is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.relays = Objects.requireNonNull(relays, "relays is null");
-        this.thread = new OwnedThread("configuration-reader", this::run);
+        this.thread = new StoppableThread("configuration-reader", this::run);
     }
 
     /** Reads records and state from other processes of the system. */
@@ -107,12 +107,12 @@
 
     private void run() {
         Duration pause = PAUSE;
-        while (!thread.closing()) {
+        while (!thread.isClosing()) {
             Result<FoldedState> step = readOnce();
             pause = step instanceof Result.Success ? PAUSE : longer(pause);
-            if (step instanceof Result.Failure<FoldedState>(Fault fault) && !thread.closing()) {
+            if (step instanceof Result.Failure<FoldedState>(Fault fault) && !thread.isClosing()) {
                 LOG.warn("configuration not read: {}", fault);
-                thread.rest(pause);
+                thread.pause(pause);
             }
         }
     }
@@ -125,13 +125,13 @@
     Result<FoldedState> readOnce() {
         for (String relay : relays.get()) {
             Result<FoldedState> viaRelay = readFrom(relay);
-            if (viaRelay instanceof Result.Success || thread.closing()) {
+            if (viaRelay instanceof Result.Success || thread.isClosing()) {
                 return viaRelay;
             }
         }
         Result<FoldedState> direct = log.read(PlatformLog.CONFIGURATION, configuration.generation() + 1, WAIT)
                 .flatMap(page -> configuration.offer(page).join());
-        if (direct instanceof Result.Failure && !configuration.known() && !thread.closing()) {
+        if (direct instanceof Result.Failure && !configuration.known() && !thread.isClosing()) {
             return adoptFromPeer(direct);
         }
         return direct;
@@ -156,7 +156,7 @@
                 LOG.info("configuration taken from peer={} generation={}", peer, configuration.generation());
                 return adopted;
             }
-            if (thread.closing()) {
+            if (thread.isClosing()) {
                 return otherwise;
             }
         }
--- a/src/main/java/org/micabarrow/platform/CrashRecords.java
+++ b/src/main/java/org/micabarrow/platform/CrashRecords.java
@@ -130,7 +130,7 @@
             return Result.success(new Told(news(json), JsonFields.whole(json, AT, 0)));
         } catch (IOException | IllegalArgumentException | JsonFields.MalformedField e) {
             return Result.failure(
-                    Fault.of(Step.READ, record.shownKey(), Reason.INVALID, StoredRecord.shown(e.toString())));
+                    Fault.of(Step.READ, record.loggableKey(), Reason.INVALID, StoredRecord.loggable(e.toString())));
         }
     }
 
--- a/src/main/java/org/micabarrow/platform/StoreRecords.java
+++ b/src/main/java/org/micabarrow/platform/StoreRecords.java
@@ -81,7 +81,7 @@
     }
 
     private static <T> Result<T> refused(StoredRecord record, String why) {
-        return Result.failure(Fault.of(Step.READ, record.shownKey(), Reason.INVALID, StoredRecord.shown(why)));
+        return Result.failure(Fault.of(Step.READ, record.loggableKey(), Reason.INVALID, StoredRecord.loggable(why)));
     }
 
     // -- what operators write
@@ -92,11 +92,11 @@
     }
 
     @Override
-    public Result<OperatorRecord> operator(StoredRecord record) {
+    public Result<OperatorRecord> decodeOperatorRecord(StoredRecord record) {
         if (isManifest(record.key())) {
-            return decode(record, json -> new OperatorRecord.ManifestSet(manifest(json)));
+            return decode(record, json -> new OperatorRecord.ManifestPublished(manifest(json)));
         }
-        if (record.key().startsWith(VersionKeys.VERSIONS)) {
+        if (record.key().startsWith(VersionKeys.VERSION_PREFIX)) {
             return decode(
                     record,
                     json -> new OperatorRecord.WeightsNamed(
@@ -104,10 +104,10 @@
                             JsonFields.whole(json, "version", 1),
                             VersionRecords.namedMillis(json)));
         }
-        if (record.key().startsWith(VersionKeys.MANIFESTS)) {
+        if (record.key().startsWith(VersionKeys.MANIFEST_PREFIX)) {
             return decode(record, VersionRecords::manifestKept);
         }
-        return Result.success(new OperatorRecord.Unused());
+        return Result.success(new OperatorRecord.UnusedRecord());
     }
 
     private static RouteManifest manifest(JsonNode json) {
@@ -198,7 +198,7 @@
      * not looked at, so that one that changes its type costs no endpoint.
      */
     @Override
-    public Result<EndpointRegistration> endpoint(StoredRecord record) {
+    public Result<EndpointRegistration> decodeEndpointRegistration(StoredRecord record) {
         return decode(
                 record,
                 json -> new EndpointRegistration(
--- a/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
+++ b/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
@@ -154,7 +154,7 @@
      * @return true once it is kept
      */
     public boolean keepsWeights(long version) {
-        return store.written("keyed.micabarrow.versions", VersionKeys.of(MODEL, version));
+        return store.written("keyed.micabarrow.versions", VersionKeys.ofVersion(MODEL, version));
     }
 
     /**
--- a/src/main/java/org/micabarrow/process/CrashSharing.java
+++ b/src/main/java/org/micabarrow/process/CrashSharing.java
@@ -11,7 +11,7 @@
 import org.micabarrow.platform.CrashRecords;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.views.StoredRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -64,8 +64,8 @@
 
     /** Begins to write, and to tidy up. */
     void start() {
-        Steps.start("crash-news", WRITE_REST_MILLIS, this::write);
-        Steps.start("crash-tidying", TIDY_REST_MILLIS, this::tidy);
+        RepeatedTasks.start("crash-news", WRITE_REST_MILLIS, this::write);
+        RepeatedTasks.start("crash-tidying", TIDY_REST_MILLIS, this::tidy);
     }
 
     // -- writing
@@ -115,7 +115,7 @@
     }
 
     private void take(StoredRecord record) {
-        if (record.dropped()) {
+        if (record.isTombstone()) {
             lying.remove(record.key());
             return;
         }
@@ -128,7 +128,7 @@
                 }
             }
             case Result.Failure<CrashRecords.Told>(Fault fault) ->
-                LOG.warn("event=crash_record_refused key={} why=\"{}\"", record.shownKey(), fault.message());
+                LOG.warn("event=crash_record_refused key={} why=\"{}\"", record.loggableKey(), fault.message());
         }
     }
 
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -7,7 +7,7 @@
 import java.util.OptionalInt;
 import java.util.stream.Stream;
 import org.micabarrow.admission.SlotAllotment;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.platform.EndpointCalls;
 import org.micabarrow.platform.OriginCalls;
 import org.micabarrow.process.HostedNode.Paces;
@@ -16,15 +16,15 @@
 import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.transport.HostedPeerServer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.LoadServer;
 import org.micabarrow.transport.PeerChunks;
 import org.micabarrow.transport.StoreNews;
-import org.micabarrow.views.NamedVersions.Duty;
-import org.micabarrow.views.NewsReader;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.PeerFirstReader;
+import org.micabarrow.views.StoreFollower.PollTiming;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.micabarrow.views.View;
 import org.micabarrow.weights.ChunkFetcher;
 import org.micabarrow.weights.ChunkSources;
@@ -74,7 +74,7 @@
 
     private final HostedSettings settings;
     private final HostedNode node;
-    private final NewsReader news;
+    private final PeerFirstReader news;
     private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
@@ -86,8 +86,8 @@
     private HostedAgentProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.node = new HostedNode(settings);
-        this.news =
-                new NewsReader(node.store(), node.peerRecords(), new NewsReader.Role.Agent(), HostedNode::steadyMillis);
+        this.news = new PeerFirstReader(
+                node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new PeerChunks(node.kept()),
@@ -135,32 +135,33 @@
                 HostedNode.readerTrustMillis(settings.bounds())));
         // After the listeners, so that no connection of our own takes one of their ports.
         Paces paces = new Paces(
-                new Pace(HostedNode.STORE_WAIT, Duration.ZERO), new Pace(HostedNode.STORE_WAIT, ENDPOINTS_REST));
+                new PollTiming(HostedNode.STORE_WAIT, Duration.ZERO),
+                new PollTiming(HostedNode.STORE_WAIT, ENDPOINTS_REST));
         node.follow(news, news, paces, settings::seeds, this::duty);
         node.metrics().registerGauge("weights.secondsNotRetired", keeper::secondsNotRetired);
-        Steps.start("report", REPORT_MILLIS, new Reports());
-        Steps.start("fetch", LOOK_MILLIS, keeper::fetch);
-        Steps.start("replica", this::replicaMillis, keeper::step);
-        Steps.start("read-back", READ_BACK_MILLIS, keeper::readBack);
-        Steps.start("standstill", STANDSTILL_LOOK_MILLIS, new StandstillWatch());
+        RepeatedTasks.start("report", REPORT_MILLIS, new Reports());
+        RepeatedTasks.start("fetch", LOOK_MILLIS, keeper::fetch);
+        RepeatedTasks.start("replica", this::replicaMillis, keeper::step);
+        RepeatedTasks.start("read-back", READ_BACK_MILLIS, keeper::readBack);
+        RepeatedTasks.start("standstill", STANDSTILL_LOOK_MILLIS, new StandstillWatch());
         LOG.info(
                 "event=started role=agent instance={} countsSuspensions={}",
                 settings.instance().id(),
-                SteadyClock.countsSuspensions());
+                MonotonicClock.includesSuspendedTime());
     }
 
     /**
      * Asks the endpoint how it is, and tells entries at once when it takes requests again, or no more. Asked by an entry of
      * another region only every 450 ms, it would stand idle for half of that after each change of versions.
      */
-    private final class Reports implements Steps.Step {
+    private final class Reports implements RepeatedTasks.Task {
 
         private Optional<Serving> toldLast = Optional.empty();
 
         private record Serving(boolean loading, boolean leaving, long version, OptionalInt start) {}
 
         @Override
-        public void take() {
+        public void run() {
             keeper.refresh();
             keeper.report()
                     .ifPresent(report -> loadServer.ifPresent(
@@ -175,12 +176,12 @@
     }
 
     /** Says that the instance stood still, so that what entries and endpoints tell of that time can be explained. */
-    private final class StandstillWatch implements Steps.Step {
+    private final class StandstillWatch implements RepeatedTasks.Task {
 
         private long lastMillis = HostedNode.steadyMillis();
 
         @Override
-        public void take() {
+        public void run() {
             long now = HostedNode.steadyMillis();
             long stood = now - lastMillis - STANDSTILL_LOOK_MILLIS;
             lastMillis = now;
@@ -195,11 +196,11 @@
 
     /** An entry told where the last changes in the store stand. */
     private void heard(String entry, StoreNews told) {
-        news.told(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
+        news.onUpdate(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
         // A place beyond all that the entry has read would be kept for good, and be lacking everywhere.
         told.manifest()
                 .filter(place -> place.offset() < told.changes().operator())
-                .ifPresent(node.views()::manifestStands);
+                .ifPresent(node.views()::recordManifestPosition);
     }
 
     /** A version that is named is fetched at once, since the origin may go away; what follows takes seconds to come about. */
@@ -287,12 +288,12 @@
         return new ReplicaController.RegionPosition(region.indexOf(self.address()), region.size());
     }
 
-    private Duty duty() {
+    private WriteRole duty() {
         int position = place().index();
         if (position < VERSION_KEEPERS) {
-            return Duty.WRITES;
+            return WriteRole.PRIMARY;
         }
-        return position < KEEPERS_AND_STAND_INS ? Duty.STANDS_IN : Duty.NONE;
+        return position < KEEPERS_AND_STAND_INS ? WriteRole.BACKUP : WriteRole.NONE;
     }
 
     @Override
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.random.RandomGenerator;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.platform.EndpointHeaders;
@@ -24,13 +24,13 @@
 import org.micabarrow.transport.ListenerProbe;
 import org.micabarrow.transport.LoadFeed;
 import org.micabarrow.transport.StoreNews;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.LeavingBound;
-import org.micabarrow.views.NamedVersions.Duty;
-import org.micabarrow.views.NewsReader;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.DrainTimeBudget;
+import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.StoreFollower.PollTiming;
 import org.micabarrow.views.Topic;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,7 +50,7 @@
      * How long the store may hold a read of what other entries noticed of crashes: a connection that fell silent shows after this and
      * the answer's own time, together under the three seconds in which the users expect a process to be in touch again.
      */
-    private static final Pace CRASHES_PACE = new Pace(Duration.ofMillis(2_000), Duration.ZERO);
+    private static final PollTiming CRASHES_PACE = new PollTiming(Duration.ofMillis(2_000), Duration.ZERO);
 
     /** Among how many entries the users' slack for repeats is divided: more than there are, spares and restarts included. */
     private static final int ENTRIES_AT_MOST = 16;
@@ -77,7 +77,7 @@
     private final HostedSettings settings;
     private final HostedNode node;
     private final EndpointSelector choice;
-    private final NewsReader reader;
+    private final PeerFirstReader reader;
     private final LoadFeed loadFeed;
     private final ServingHandler handler;
     private final CrashSharing crashes;
@@ -90,10 +90,10 @@
         this.node = new HostedNode(settings);
         this.choice = new EndpointSelector(settings.instance().region(), settings.regions());
         HostedSettings.Bounds bounds = settings.bounds();
-        this.reader = new NewsReader(
+        this.reader = new PeerFirstReader(
                 node.store(),
                 node.peerRecords(),
-                new NewsReader.Role.Entry(
+                new PeerFirstReader.Role.Entry(
                         Addresses.numeric(settings.listen().peers()), HostedNode.readerTrustMillis(bounds)),
                 HostedNode::steadyMillis);
         this.loadFeed = LoadFeed.open(new LoadFeed.Parts(
@@ -161,21 +161,21 @@
                 Optional.of(HttpListener.on(settings.listen().clients().orElseThrow(), usual, node.worker(), handler));
         // After the listeners, so that no connection of our own takes one of their ports.
         // Agents keep the versions: an entry would write what they know as well.
-        node.follow(reader, node.store(), paces(settings.bounds()), this::peers, () -> Duty.NONE);
-        node.views().onCrashNews(crashes::take);
+        node.follow(reader, node.store(), paces(settings.bounds()), this::peers, () -> WriteRole.NONE);
+        node.views().onCrashRecords(crashes::take);
         crashNews = Optional.of(node.followCrashes(CRASHES_PACE, this::peers));
         crashes.start();
         loadFeed.start(handler::lookAfterRequests);
         LOG.info(
                 "event=started role=entry instance={} countsSuspensions={}",
                 settings.instance().id(),
-                SteadyClock.countsSuspensions());
+                MonotonicClock.includesSuspendedTime());
     }
 
     private static Paces paces(HostedSettings.Bounds bounds) {
         return new Paces(
-                new Pace(part(bounds.configurationMillis(), OPERATOR_HOLD_PART), Duration.ZERO),
-                LeavingBound.pace(Duration.ofMillis(bounds.drainMillis())));
+                new PollTiming(part(bounds.configurationMillis(), OPERATOR_HOLD_PART), Duration.ZERO),
+                DrainTimeBudget.pollTiming(Duration.ofMillis(bounds.drainMillis())));
     }
 
     private static Duration part(long millis, double part) {
@@ -191,13 +191,17 @@
         }
         long knownMillisAgo = Math.max(0, HostedNode.steadyMillis() - asOf.getAsLong());
         return node.changesInTouch()
-                .map(changes ->
-                        new StoreNews(port, changes, node.views().newestManifest(), knownMillisAgo, reader.direct()));
+                .map(changes -> new StoreNews(
+                        port,
+                        changes,
+                        node.views().newestManifestPosition(),
+                        knownMillisAgo,
+                        reader.readsStoreDirectly()));
     }
 
     /** An agent told of the entry that reads the store for the region. */
     private void heard(StoreNews.Heard told) {
-        reader.told(told.peer(), new LastChanges(told.operator(), 0), told.asOfMillis());
+        reader.onUpdate(told.peer(), new ChangeOffsets(told.operator(), 0), told.asOfMillis());
         if (node.views().end(Topic.OPERATOR) >= told.operator()) {
             // It knows of nothing that is not known here.
             node.views().confirmOperator(told.asOfMillis());
@@ -222,7 +226,7 @@
         return !leaving
                 && node.views().view().manifest().isPresent()
                 && loadFeed.answersDue()
-                && crashNews.filter(StoreFollower::hasTried).isPresent();
+                && crashNews.filter(StoreFollower::isInitialized).isPresent();
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/CrashWatch.java
+++ b/src/main/java/org/micabarrow/serving/CrashWatch.java
@@ -19,7 +19,7 @@
 import org.micabarrow.crashes.RequestDigest;
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointStart;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -134,7 +134,7 @@
         if (refused) {
             hasEnded(start, doubt.aboard());
         }
-        doubt.waiting().forEach(one -> Steps.guarded("after-crash", one));
+        doubt.waiting().forEach(one -> RepeatedTasks.runGuarded("after-crash", one));
     }
 
     private void hasEnded(EndpointStart start, Aboard aboard) {
--- a/src/main/java/org/micabarrow/serving/RoomLine.java
+++ b/src/main/java/org/micabarrow/serving/RoomLine.java
@@ -6,7 +6,7 @@
 import org.micabarrow.admission.WaitQueue;
 import org.micabarrow.admission.WaitQueue.QueuedRequest;
 import org.micabarrow.admission.WaitQueue.Waiter;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.xnio.XnioIoThread;
 
 /** The entry's requests that wait for room, looked through whenever a place may have fallen free. */
@@ -60,11 +60,11 @@
 
     /** One of the entry's requests has begun to be answered, or has left its endpoint. A fault in who waits is not its own. */
     void roomMayBe() {
-        Steps.guarded("room", line::dispatch);
+        RepeatedTasks.runGuarded("room", line::dispatch);
     }
 
     private void look(XnioIoThread thread) {
-        Steps.guarded("expire", () -> line.expire(steadyMillis.getAsLong()));
+        RepeatedTasks.runGuarded("expire", () -> line.expire(steadyMillis.getAsLong()));
         roomMayBe();
         looking = line.size() > 0;
         if (looking) {
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -62,9 +62,10 @@
 
     private long least(ClientRequest request, String model) {
         View now = view.get();
-        long due = now.leastVersion(model, times.demandMillis(), steadyMillis.getAsLong());
-        boolean foundAtStart =
-                now.newestTarget(model).filter(target -> !target.seenNamed()).isPresent();
+        long due = now.minVersion(model, times.demandMillis(), steadyMillis.getAsLong());
+        boolean foundAtStart = now.newestTarget(model)
+                .filter(target -> !target.namingObserved())
+                .isPresent();
         return foundAtStart ? Math.max(due, newestHeld(now, request, model)) : due;
     }
 
@@ -90,7 +91,7 @@
     /** Whether an endpoint holds an older version than was named, for so long that its agent is to be asked first. */
     boolean askDue(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
-                .filter(newer -> steadyMillis.getAsLong() - newer.learnedMillis() >= times.askMillis())
+                .filter(newer -> steadyMillis.getAsLong() - newer.learnedAtMillis() >= times.askMillis())
                 .isPresent();
     }
 
@@ -101,7 +102,7 @@
 
     /** The oldest version that is newer than an endpoint's; empty if it holds the newest. */
     Optional<View.Target> newerNamed(ClientRequest request, EndpointRegistration endpoint) {
-        return model(request).flatMap(model -> view.get().newerNamed(model.model(), held(endpoint, model)));
+        return model(request).flatMap(model -> view.get().nextTarget(model.model(), held(endpoint, model)));
     }
 
     /** Whether an endpoint holds an older version than one. */
@@ -120,7 +121,7 @@
 
     /** How long a request may still wait at an endpoint that holds an older version, in milliseconds; not above 0 if no more. */
     long millisToBegin(View.Target newer) {
-        return newer.learnedMillis() + times.cancelMillis() - steadyMillis.getAsLong();
+        return newer.learnedAtMillis() + times.cancelMillis() - steadyMillis.getAsLong();
     }
 
     /** The version that an endpoint's entry names, or a newer one by which it has answered or of which its agent told. */
--- a/src/main/java/org/micabarrow/steps/Steps.java
+++ b/src/main/java/org/micabarrow/steps/RepeatedTasks.java
@@ -10,25 +10,25 @@
  * later runs are not affected.
  *
  * <pre>{@code
- * Steps.start("report", 150, endpoint::refresh);
+ * RepeatedTasks.start("report", 150, endpoint::refresh);
  * }</pre>
  */
-public final class Steps {
+public final class RepeatedTasks {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Steps.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RepeatedTasks.class);
 
-    private Steps() {}
+    private RepeatedTasks() {}
 
     /** A task that is run repeatedly. */
     @FunctionalInterface
-    public interface Step {
+    public interface Task {
 
         /**
          * Runs the task once.
          *
          * @throws InterruptedException if the thread is to end
          */
-        void take() throws InterruptedException;
+        void run() throws InterruptedException;
     }
 
     /**
@@ -39,7 +39,7 @@
      * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, long pauseMillis, Step task) {
+    public static Thread start(String name, long pauseMillis, Task task) {
         return start(name, () -> pauseMillis, task);
     }
 
@@ -51,7 +51,7 @@
      * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, LongSupplier pauseMillis, Step task) {
+    public static Thread start(String name, LongSupplier pauseMillis, Task task) {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(pauseMillis, "pauseMillis is null");
         Objects.requireNonNull(task, "task is null");
@@ -64,7 +64,7 @@
      * @param name the name of the task, for the log
      * @param task the task
      */
-    public static void guarded(String name, Runnable task) {
+    public static void runGuarded(String name, Runnable task) {
         try {
             task.run();
         } catch (RuntimeException | Error e) {
@@ -72,10 +72,10 @@
         }
     }
 
-    private static void runRepeatedly(String name, LongSupplier pauseMillis, Step task) {
+    private static void runRepeatedly(String name, LongSupplier pauseMillis, Task task) {
         try {
             while (true) {
-                guarded(name, task);
+                runGuarded(name, task);
                 Thread.sleep(pauseMillis.getAsLong());
             }
         } catch (InterruptedException e) {
@@ -83,9 +83,9 @@
         }
     }
 
-    private static void guarded(String name, Step task) throws InterruptedException {
+    private static void runGuarded(String name, Task task) throws InterruptedException {
         try {
-            task.take();
+            task.run();
         } catch (RuntimeException | Error e) {
             LOG.error("event=step_failed work={}", name, e);
         }
--- a/src/main/java/org/micabarrow/steps/OwnedThread.java
+++ b/src/main/java/org/micabarrow/steps/StoppableThread.java
@@ -10,13 +10,13 @@
  * calls on connections or executors that are about to be closed.
  *
  * <pre>{@code
- * OwnedThread reader = new OwnedThread("configuration-reader", this::run);
+ * StoppableThread reader = new StoppableThread("configuration-reader", this::run);
  * reader.start();
  * }</pre>
  */
-public final class OwnedThread implements AutoCloseable {
+public final class StoppableThread implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(OwnedThread.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StoppableThread.class);
 
     /**
      * The maximum time to wait for the thread to end. An interrupted call ends within some milliseconds; only work that
@@ -33,7 +33,7 @@
      * @param name the name of the thread
      * @param work the work, which checks {@link #isClosing} before each call and ends when it is interrupted
      */
-    public OwnedThread(String name, Runnable work) {
+    public StoppableThread(String name, Runnable work) {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(work, "work is null");
         this.thread = Thread.ofPlatform().name(name).daemon().unstarted(work);
@@ -49,7 +49,7 @@
      *
      * @return whether {@link #close} was called or a pause was interrupted
      */
-    public boolean closing() {
+    public boolean isClosing() {
         return closing;
     }
 
@@ -58,7 +58,7 @@
      *
      * @param duration the duration of the pause
      */
-    public void rest(Duration duration) {
+    public void pause(Duration duration) {
         try {
             Thread.sleep(duration);
         } catch (InterruptedException e) {
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpCaller.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.LongAdder;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Result;
@@ -53,7 +53,7 @@
         this.ownWorker = ownWorker;
         this.shared = new HttpExchange.Shared(
                 new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_KEPT, BUFFERS_KEPT_BY_THREAD),
-                new KeptConnections(mostIdle, SteadyClock::millis),
+                new KeptConnections(mostIdle, MonotonicClock::millis),
                 new LongAdder(),
                 new LongAdder());
     }
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -23,7 +23,7 @@
 import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -142,7 +142,7 @@
     // -- questions, on the thread for traffic
 
     private void askAll(Runnable afterRound) {
-        Steps.guarded("load-feed", () -> round(afterRound));
+        RepeatedTasks.runGuarded("load-feed", () -> round(afterRound));
         parts.traffic().executeAfter(() -> askAll(afterRound), NEAR_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -270,7 +270,7 @@
 
     private void receive() {
         while (channel.isOpen()) {
-            Steps.guarded("load-feed", this::receiveOne);
+            RepeatedTasks.runGuarded("load-feed", this::receiveOne);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -13,8 +13,8 @@
 import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 /**
  * The datagrams by which entries ask agents how their endpoints are. One that is lost is made up for by the next. Numbers are
@@ -194,11 +194,11 @@
 
     private static StoreNews news(ByteBuffer datagram) {
         int port = datagram.getInt();
-        LastChanges changes = new LastChanges(datagram.getLong(), datagram.getLong(), datagram.getLong());
+        ChangeOffsets changes = new ChangeOffsets(datagram.getLong(), datagram.getLong(), datagram.getLong());
         long knownMillisAgo = age(datagram);
         boolean direct = flag(datagram);
-        Optional<ManifestPlace> manifest = flag(datagram)
-                ? Optional.of(new ManifestPlace(datagram.getLong(), datagram.getLong()))
+        Optional<ManifestPosition> manifest = flag(datagram)
+                ? Optional.of(new ManifestPosition(datagram.getLong(), datagram.getLong()))
                 : Optional.empty();
         return new StoreNews(port, changes, manifest, knownMillisAgo, direct);
     }
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -11,7 +11,7 @@
 import org.micabarrow.admission.SlotAllotment;
 import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.transport.EntriesHeard.Heard;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -95,7 +95,7 @@
 
     private void serve() {
         while (channel.isOpen()) {
-            Steps.guarded("load-server", this::serveOne);
+            RepeatedTasks.runGuarded("load-server", this::serveOne);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -11,13 +11,13 @@
 import java.util.Objects;
 import java.util.OptionalLong;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.views.LeavingBound;
+import org.micabarrow.views.DrainTimeBudget;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
@@ -44,7 +44,7 @@
      * @param caller sends its requests
      */
     public PeerRecords(HttpCaller caller) {
-        this(caller, SteadyClock::millis);
+        this(caller, MonotonicClock::millis);
     }
 
     /**
@@ -83,7 +83,10 @@
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sent = steadyMillis.getAsLong();
-        return caller.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, within))
+        return caller.call(
+                        call,
+                        new AnswerLimits(
+                                DrainTimeBudget.PEER_RESPONSE_TIMEOUT, DrainTimeBudget.PEER_RESPONSE_TIMEOUT, within))
                 .flatMap(answer -> answer.status() == OK
                         ? read(peer, answer.body(), sent)
                         : Result.failure(
--- a/src/main/java/org/micabarrow/views/LastChanges.java
+++ b/src/main/java/org/micabarrow/views/ChangeOffsets.java
@@ -11,7 +11,7 @@
  * @param weights the offset after the last operator record that agents use: a named weight version, or a manifest whose
  *     services differ from those of the previous one
  */
-public record LastChanges(long operator, long endpoints, long weights) {
+public record ChangeOffsets(long operator, long endpoints, long weights) {
 
     /**
      * Creates offsets where the last operator record is one that agents use.
@@ -19,7 +19,7 @@
      * @param operator the offset after the last operator record
      * @param endpoints the offset after the last endpoint record that changed the view
      */
-    public LastChanges(long operator, long endpoints) {
+    public ChangeOffsets(long operator, long endpoints) {
         this(operator, endpoints, operator);
     }
 
@@ -37,12 +37,12 @@
         };
     }
 
-    LastChanges withOperator(List<StoredRecord> changed, List<StoredRecord> changedWeights) {
-        return new LastChanges(offsetAfter(operator, changed), endpoints, offsetAfter(weights, changedWeights));
+    ChangeOffsets withOperator(List<StoredRecord> changed, List<StoredRecord> changedWeights) {
+        return new ChangeOffsets(offsetAfter(operator, changed), endpoints, offsetAfter(weights, changedWeights));
     }
 
-    LastChanges withEndpoints(List<StoredRecord> changed) {
-        return new LastChanges(operator, offsetAfter(endpoints, changed), weights);
+    ChangeOffsets withEndpoints(List<StoredRecord> changed) {
+        return new ChangeOffsets(operator, offsetAfter(endpoints, changed), weights);
     }
 
     private static long offsetAfter(long known, List<StoredRecord> changed) {
--- a/src/main/java/org/micabarrow/views/LeavingBound.java
+++ b/src/main/java/org/micabarrow/views/DrainTimeBudget.java
@@ -8,16 +8,16 @@
  * the pause between two reads of the store, the time for which the store holds a read, its response, and the response
  * of a peer if the store fails.
  */
-public final class LeavingBound {
+public final class DrainTimeBudget {
 
     /**
      * How long the store's response may take beyond the requested wait. It normally responds within a few milliseconds;
      * a slow store takes some fifty times as long, and after this time it counts as unresponsive.
      */
-    public static final Duration STORE_ANSWER = Duration.ofMillis(700);
+    public static final Duration STORE_RESPONSE_TIMEOUT = Duration.ofMillis(700);
 
     /** How long a peer's response may take: one round trip between regions and a few milliseconds of processing. */
-    public static final Duration PEER_ANSWER = Duration.ofMillis(400);
+    public static final Duration PEER_RESPONSE_TIMEOUT = Duration.ofMillis(400);
 
     /**
      * The pause between two reads, as a fraction of the bound. Endpoints write their entries often, and the pause lets
@@ -34,7 +34,7 @@
      */
     private static final Duration MIN_HOLD = Duration.ofMillis(100);
 
-    private LeavingBound() {}
+    private DrainTimeBudget() {}
 
     /**
      * Returns how entries poll the entries of endpoints. In the worst case an endpoint starts draining at the beginning
@@ -45,11 +45,13 @@
      * @param bound the time after which a draining endpoint must get no new requests
      * @return the poll timing
      */
-    public static StoreFollower.Pace pace(Duration bound) {
+    public static StoreFollower.PollTiming pollTiming(Duration bound) {
         Objects.requireNonNull(bound, "bound is null");
         Duration pause = Duration.ofMillis(Math.round(bound.toMillis() * PAUSE_FRACTION));
-        Duration hold =
-                bound.minus(pause).minus(STORE_ANSWER).minus(PEER_ANSWER).minus(RESERVE);
-        return new StoreFollower.Pace(hold.compareTo(MIN_HOLD) < 0 ? MIN_HOLD : hold, pause);
+        Duration hold = bound.minus(pause)
+                .minus(STORE_RESPONSE_TIMEOUT)
+                .minus(PEER_RESPONSE_TIMEOUT)
+                .minus(RESERVE);
+        return new StoreFollower.PollTiming(hold.compareTo(MIN_HOLD) < 0 ? MIN_HOLD : hold, pause);
     }
 }
--- a/src/main/java/org/micabarrow/views/EndpointListUpdater.java
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -42,7 +42,8 @@
     }
 
     /** Returns the list without the endpoints whose pending removal is due; empty if none is due. */
-    Optional<Map<String, EndpointRegistration>> withoutDueRemovals(Map<String, EndpointRegistration> endpoints, long nowMillis) {
+    Optional<Map<String, EndpointRegistration>> withoutDueRemovals(
+            Map<String, EndpointRegistration> endpoints, long nowMillis) {
         List<String> due = pendingRemovals.removeDue(nowMillis);
         if (due.isEmpty()) {
             return Optional.empty();
@@ -68,7 +69,7 @@
     /** Prepares for a batch of records, each of which is passed to {@link #apply} afterwards. */
     void prepareBatch(List<StoredRecord> records, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         Set<String> removedIds = records.stream()
-                .filter(StoredRecord::dropped)
+                .filter(StoredRecord::isTombstone)
                 .map(StoredRecord::key)
                 .filter(endpoints::containsKey)
                 .collect(Collectors.toSet());
@@ -77,12 +78,13 @@
 
     /** Applies a record to the given endpoints. Returns the line to log if anything changed. */
     Optional<String> apply(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
-        return record.dropped()
+        return record.isTombstone()
                 ? applyTombstone(record, endpoints, nowMillis)
                 : applyEntry(record, endpoints, nowMillis);
     }
 
-    private Optional<String> applyTombstone(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+    private Optional<String> applyTombstone(
+            StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         String id = record.key();
         EndpointRegistration listed = endpoints.get(id);
         if (listed != null && pendingRemovals.defer(listed, nowMillis)) {
@@ -95,8 +97,9 @@
                 : Optional.of("event=endpoint_gone endpoint=" + id + " offset=" + record.offset());
     }
 
-    private Optional<String> applyEntry(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
-        return switch (decoder.endpoint(record)) {
+    private Optional<String> applyEntry(
+            StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        return switch (decoder.decodeEndpointRegistration(record)) {
             case Result.Failure<EndpointRegistration>(Fault fault) -> removeInvalid(record, fault.message(), endpoints);
             case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when lateEntries.lacksStart(entry) ->
@@ -105,7 +108,8 @@
             when lateEntries.isSuperseded(entry, nowMillis) ->
                 Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + startedText(entry)
                         + " leaving=" + entry.draining() + " offset=" + record.offset());
-            case Result.Success<EndpointRegistration>(EndpointRegistration entry) -> applyValid(record, entry, endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry) ->
+                applyValid(record, entry, endpoints);
         };
     }
 
@@ -113,13 +117,14 @@
      * Removes an endpoint whose new entry is invalid. Its previous entry is outdated, and it is unknown whether the
      * endpoint is still running or draining.
      */
-    private Optional<String> removeInvalid(StoredRecord record, String why, Map<String, EndpointRegistration> endpoints) {
+    private Optional<String> removeInvalid(
+            StoredRecord record, String why, Map<String, EndpointRegistration> endpoints) {
         String id = record.key();
         pendingRemovals.cancel(id);
         boolean firstTime = invalidKeys.add(id);
         boolean listed = endpoints.remove(id) != null;
         return firstTime || listed
-                ? Optional.of("event=entry_refused endpoint=" + record.shownKey() + " known=" + listed + " offset="
+                ? Optional.of("event=entry_refused endpoint=" + record.loggableKey() + " known=" + listed + " offset="
                         + record.offset() + " why=\"" + why + "\"")
                 : Optional.empty();
     }
@@ -136,7 +141,7 @@
         String event = restarted ? "endpoint_restarted" : "endpoint_changed";
         return Optional.of("event=" + event + " endpoint=" + entry.id() + " address=" + entry.address() + " leaving="
                 + entry.draining() + " models="
-                + StoredRecord.shown(entry.models().toString()) + " started=" + startedText(entry) + " offset="
+                + StoredRecord.loggable(entry.models().toString()) + " started=" + startedText(entry) + " offset="
                 + record.offset());
     }
 
--- a/src/main/java/org/micabarrow/views/ManifestPlace.java
+++ b/src/main/java/org/micabarrow/views/ManifestPosition.java
@@ -6,4 +6,4 @@
  * @param version the version of the manifest
  * @param offset its offset in the topic
  */
-public record ManifestPlace(long version, long offset) {}
+public record ManifestPosition(long version, long offset) {}
--- a/src/main/java/org/micabarrow/views/ManifestTracker.java
+++ b/src/main/java/org/micabarrow/views/ManifestTracker.java
@@ -26,7 +26,7 @@
     private Optional<StoredRecord> activeRecord = Optional.empty();
 
     /** The position of the newest known manifest, whether or not this process has it. */
-    private Optional<ManifestPlace> newestPosition = Optional.empty();
+    private Optional<ManifestPosition> newestPosition = Optional.empty();
 
     private long savedVersion = NONE;
     private long savedOffset = NONE;
@@ -50,24 +50,24 @@
         LOG.info("event=manifest_in_force version={} offset={} before={}", version, record.offset(), activeVersion);
         activeVersion = version;
         activeRecord = Optional.of(record);
-        recordPosition(new ManifestPlace(version, record.offset()));
+        recordPosition(new ManifestPosition(version, record.offset()));
         return true;
     }
 
     /** Records the position of a manifest. */
-    void recordPosition(ManifestPlace position) {
+    void recordPosition(ManifestPosition position) {
         if (newestVersion() <= position.version()) {
             newestPosition = Optional.of(position);
         }
     }
 
     /** The position of the newest known manifest; empty if none is known. */
-    Optional<ManifestPlace> newestPosition() {
+    Optional<ManifestPosition> newestPosition() {
         return newestPosition;
     }
 
     private long newestVersion() {
-        return newestPosition.map(ManifestPlace::version).orElse(NONE);
+        return newestPosition.map(ManifestPosition::version).orElse(NONE);
     }
 
     /** The record of the active manifest, if its offset is at or after the given one. */
@@ -80,7 +80,7 @@
     /** Applies manifest positions read from the store. */
     void applySaved(List<OperatorRecord> saved) {
         for (OperatorRecord item : saved) {
-            if (item instanceof OperatorRecord.ManifestKept(long version, long offset) && version > savedVersion) {
+            if (item instanceof OperatorRecord.SavedManifest(long version, long offset) && version > savedVersion) {
                 savedVersion = version;
                 savedOffset = offset;
             }
@@ -97,12 +97,12 @@
     }
 
     /** The newest manifest, if it is not known to be saved in the store under its own key. */
-    Optional<Unkept> unsaved(TopicCopy savedCopy) {
+    Optional<UnsavedItem> unsaved(TopicCopy savedCopy) {
         return newestPosition
                 .filter(position -> savedCopy
                         .record(VersionKeys.ofManifest(position.version()))
                         .isEmpty())
-                .map(position -> new Unkept.Manifest(
+                .map(position -> new UnsavedItem.Manifest(
                         position.version(),
                         position.offset(),
                         VersionKeys.outdatedManifests(savedCopy.keys(), position.version())));
--- a/src/main/java/org/micabarrow/views/OperatorLog.java
+++ b/src/main/java/org/micabarrow/views/OperatorLog.java
@@ -20,7 +20,7 @@
     }
 
     static void invalidRecord(StoredRecord record, Fault fault) {
-        LOG.error("event=record_refused key={} offset={} why=\"{}\"", record.shownKey(), record.offset(), fault);
+        LOG.error("event=record_refused key={} offset={} why=\"{}\"", record.loggableKey(), record.offset(), fault);
     }
 
     static void targetNamed(String model, View.Target target, long millisAgo, String source) {
@@ -28,7 +28,7 @@
                 "event=weights_named model={} version={} seen={} msAgo={} from={}",
                 model,
                 target.version(),
-                target.seenNamed(),
+                target.namingObserved(),
                 millisAgo,
                 source);
     }
--- a/src/main/java/org/micabarrow/views/OperatorState.java
+++ b/src/main/java/org/micabarrow/views/OperatorState.java
@@ -55,23 +55,23 @@
 
     /** Applies an operator record. */
     Change apply(StoredRecord record, View view) {
-        if (record.dropped()) {
+        if (record.isTombstone()) {
             OperatorLog.ignoredDeletion(record);
             return new Change(view, false);
         }
-        return switch (decoder.operator(record)) {
+        return switch (decoder.decodeOperatorRecord(record)) {
             case Result.Failure<OperatorRecord>(Fault fault) -> {
                 OperatorLog.invalidRecord(record, fault);
                 manifestInvalid |= decoder.isManifest(record.key());
                 yield new Change(view, false);
             }
-            case Result.Success<OperatorRecord>(OperatorRecord.ManifestSet(RouteManifest manifest)) ->
+            case Result.Success<OperatorRecord>(OperatorRecord.ManifestPublished(RouteManifest manifest)) ->
                 applyManifest(record, manifest, view);
             case Result.Success<OperatorRecord>(
                     OperatorRecord.WeightsNamed(String model, long version, OptionalLong ignored)) ->
                 applyWeights(record, model, version, view);
-            case Result.Success<OperatorRecord>(OperatorRecord.ManifestKept ignored) -> ignore(record, view);
-            case Result.Success<OperatorRecord>(OperatorRecord.Unused ignored) -> ignore(record, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.SavedManifest ignored) -> ignore(record, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.UnusedRecord ignored) -> ignore(record, view);
         };
     }
 
@@ -109,7 +109,7 @@
     private View withTarget(String model, View.Target target, View view, String source) {
         View after = view.withTarget(model, target);
         if (after != view) {
-            OperatorLog.targetNamed(model, target, monotonicMillis.getAsLong() - target.learnedMillis(), source);
+            OperatorLog.targetNamed(model, target, monotonicMillis.getAsLong() - target.learnedAtMillis(), source);
         }
         return after;
     }
@@ -119,8 +119,8 @@
     /** Applies records that processes saved. */
     View applySaved(List<StoredRecord> records, View view) {
         List<OperatorRecord> saved = records.stream()
-                .filter(record -> !record.dropped())
-                .map(decoder::operator)
+                .filter(record -> !record.isTombstone())
+                .map(decoder::decodeOperatorRecord)
                 .flatMap(result -> result.toOptional().stream())
                 .toList();
         manifests.applySaved(saved);
@@ -132,7 +132,7 @@
     }
 
     /** The newest versions that are not known to be saved in the store under their own keys. */
-    List<Unkept> unsavedVersions(TopicCopy savedCopy) {
+    List<UnsavedItem> unsavedVersions(TopicCopy savedCopy) {
         return targets.unsaved(savedCopy);
     }
 
@@ -147,15 +147,15 @@
         return manifestInvalid || manifests.missingOffset(readTo).isPresent();
     }
 
-    void recordManifestPosition(ManifestPlace position) {
+    void recordManifestPosition(ManifestPosition position) {
         manifests.recordPosition(position);
     }
 
-    Optional<ManifestPlace> newestManifestPosition() {
+    Optional<ManifestPosition> newestManifestPosition() {
         return manifests.newestPosition();
     }
 
-    Optional<Unkept> unsavedManifest(TopicCopy savedCopy) {
+    Optional<UnsavedItem> unsavedManifest(TopicCopy savedCopy) {
         return manifests.unsaved(savedCopy);
     }
 
--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/PeerFirstReader.java
@@ -17,15 +17,15 @@
  * region reads the store on behalf of the others. Agents are notified by all nearby entries, and only of the records
  * that they use.
  */
-public final class NewsReader implements TopicReader {
+public final class PeerFirstReader implements TopicReader {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NewsReader.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerFirstReader.class);
 
     /** How long a response to an agent may take while data keeps arriving: a large manifest over a slow link. */
     private static final Duration AGENT_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
 
     private final TopicReader store;
-    private final Peers peers;
+    private final PeerSource peers;
     private final Role role;
     private final LongSupplier monotonicMillis;
     private final PeerUpdates updates;
@@ -35,7 +35,7 @@
 
     /** Requests records from peers. */
     @FunctionalInterface
-    public interface Peers {
+    public interface PeerSource {
 
         /**
          * Requests the latest records of a topic at or after an offset from a peer.
@@ -93,7 +93,7 @@
      * @param role determines the peers to rely on
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public NewsReader(TopicReader store, Peers peers, Role role, LongSupplier monotonicMillis) {
+    public PeerFirstReader(TopicReader store, PeerSource peers, Role role, LongSupplier monotonicMillis) {
         this.store = Objects.requireNonNull(store, "store is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.role = Objects.requireNonNull(role, "role is null");
@@ -110,7 +110,7 @@
      * @param changes the offsets of the last changes that the peer knows
      * @param asOfMillis the time on the monotonic clock up to which the peer knows all operator records
      */
-    public synchronized void told(String peer, LastChanges changes, long asOfMillis) {
+    public synchronized void onUpdate(String peer, ChangeOffsets changes, long asOfMillis) {
         if (updates.add(peer, changes, asOfMillis, monotonicMillis.getAsLong())) {
             notifyAll();
         }
@@ -122,7 +122,7 @@
      *
      * @return false before the first read, while the process relies on a peer, and while the store does not respond
      */
-    public synchronized boolean direct() {
+    public synchronized boolean readsStoreDirectly() {
         return readsStore;
     }
 
@@ -155,8 +155,8 @@
     // -- reading
 
     @Override
-    public Result<Batch> newest(Topic topic) {
-        return recordStoreResult(topic, store.newest(topic));
+    public Result<Batch> readLatest(Topic topic) {
+        return recordStoreResult(topic, store.readLatest(topic));
     }
 
     @Override
--- a/src/main/java/org/micabarrow/views/PeerUpdates.java
+++ b/src/main/java/org/micabarrow/views/PeerUpdates.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
-import org.micabarrow.views.NewsReader.Role;
+import org.micabarrow.views.PeerFirstReader.Role;
 
 /** Updates that peers sent about the store, and which of them are valid for how long. Not thread-safe. */
 final class PeerUpdates {
@@ -35,14 +35,14 @@
     /** Whether the store responded to this process at the last read. */
     private boolean storeResponds = true;
 
-    private record Update(String peer, LastChanges changes, long asOfMillis, long receivedAtMillis) {}
+    private record Update(String peer, ChangeOffsets changes, long asOfMillis, long receivedAtMillis) {}
 
     PeerUpdates(Role role) {
         this.role = role;
     }
 
     /** Records an update from a peer. Returns whether it differs from the previous one. */
-    boolean add(String peer, LastChanges changes, long asOfMillis, long nowMillis) {
+    boolean add(String peer, ChangeOffsets changes, long asOfMillis, long nowMillis) {
         Update previous = updates.put(peer, new Update(peer, changes, asOfMillis, nowMillis));
         return previous == null || !previous.changes().equals(changes);
     }
@@ -132,7 +132,7 @@
     }
 
     /** The offset of the last change that this process needs. */
-    private long neededOffset(LastChanges changes, Topic topic) {
+    private long neededOffset(ChangeOffsets changes, Topic topic) {
         return topic == Topic.OPERATOR && role instanceof Role.Agent ? changes.weights() : changes.of(topic);
     }
 }
--- a/src/main/java/org/micabarrow/views/RecordDecoder.java
+++ b/src/main/java/org/micabarrow/views/RecordDecoder.java
@@ -16,7 +16,7 @@
          *
          * @param manifest the manifest
          */
-        record ManifestSet(RouteManifest manifest) implements OperatorRecord {}
+        record ManifestPublished(RouteManifest manifest) implements OperatorRecord {}
 
         /**
          * The weight version that the endpoints of a model should hold.
@@ -34,10 +34,10 @@
          * @param version the version of the manifest
          * @param offset its offset among the operator records
          */
-        record ManifestKept(long version, long offset) implements OperatorRecord {}
+        record SavedManifest(long version, long offset) implements OperatorRecord {}
 
         /** A record that this system does not use. */
-        record Unused() implements OperatorRecord {}
+        record UnusedRecord() implements OperatorRecord {}
     }
 
     /**
@@ -54,7 +54,7 @@
      * @param record the record, which must not be a tombstone
      * @return the content, or why the record is invalid
      */
-    Result<OperatorRecord> operator(StoredRecord record);
+    Result<OperatorRecord> decodeOperatorRecord(StoredRecord record);
 
     /**
      * Decodes the entry of an endpoint.
@@ -62,5 +62,5 @@
      * @param record the record, which must not be a tombstone
      * @return the entry, or why the record is invalid
      */
-    Result<EndpointRegistration> endpoint(StoredRecord record);
+    Result<EndpointRegistration> decodeEndpointRegistration(StoredRecord record);
 }
--- a/src/main/java/org/micabarrow/views/StoreFollower.java
+++ b/src/main/java/org/micabarrow/views/StoreFollower.java
@@ -33,9 +33,9 @@
 
     private final Topic topic;
     private final TopicReader reader;
-    private final ViewKeeper views;
+    private final ViewMaintainer views;
     private final Consumer<Topic> requestFromPeer;
-    private final Pace timing;
+    private final PollTiming timing;
     private volatile boolean loaded;
     private volatile boolean reachable = true;
     private volatile boolean initialized;
@@ -54,7 +54,7 @@
      * @param hold how long the store may hold a read that finds no records
      * @param pause the pause after a read that returned records, so that topics with many writes are read in batches
      */
-    public record Pace(Duration hold, Duration pause) {}
+    public record PollTiming(Duration hold, Duration pause) {}
 
     /**
      * Creates a follower.
@@ -66,7 +66,7 @@
      * @param timing the timing of reads
      */
     public StoreFollower(
-            Topic topic, TopicReader reader, ViewKeeper views, Consumer<Topic> requestFromPeer, Pace timing) {
+            Topic topic, TopicReader reader, ViewMaintainer views, Consumer<Topic> requestFromPeer, PollTiming timing) {
         this.topic = Objects.requireNonNull(topic, "topic is null");
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.views = Objects.requireNonNull(views, "views is null");
@@ -79,7 +79,7 @@
      *
      * @return false before the first read, and while the store does not respond
      */
-    public boolean inTouch() {
+    public boolean isConnected() {
         return loaded && reachable;
     }
 
@@ -89,7 +89,7 @@
      *
      * @return true from then on
      */
-    public boolean hasTried() {
+    public boolean isInitialized() {
         return initialized;
     }
 
@@ -114,7 +114,7 @@
      */
     private long runGuarded() {
         try {
-            return once();
+            return readOnce();
         } catch (RuntimeException e) {
             LOG.error("event=read_failed topic={}", topic, e);
             return RETRY_MILLIS;
@@ -126,7 +126,7 @@
      *
      * @return how long to wait before the next read, in milliseconds
      */
-    public long once() {
+    public long readOnce() {
         views.removeDueEndpoints();
         // An entry that was disconnected reads at once when peers send updates again: waiting for its turn would take
         // up to 1.9 s of the 3 s allowed for a manifest.
@@ -151,7 +151,7 @@
     }
 
     private Result<Long> load() {
-        return reader.newest(topic).map(batch -> {
+        return reader.readLatest(topic).map(batch -> {
             onStoreReachable();
             views.replace(topic, batch.records(), batch.end());
             confirm(batch);
--- a/src/main/java/org/micabarrow/views/StoredRecord.java
+++ b/src/main/java/org/micabarrow/views/StoredRecord.java
@@ -25,7 +25,7 @@
      *
      * @return true if the value is empty
      */
-    public boolean dropped() {
+    public boolean isTombstone() {
         return value.length == 0;
     }
 
@@ -34,8 +34,8 @@
      *
      * @return the key, truncated, with control characters and quotes replaced
      */
-    public String shownKey() {
-        return shown(key);
+    public String loggableKey() {
+        return loggable(key);
     }
 
     /**
@@ -44,7 +44,7 @@
      * @param text the text
      * @return the text, truncated, with control characters and quotes replaced
      */
-    public static String shown(String text) {
+    public static String loggable(String text) {
         String safe = text.replaceAll("[^ -~]", "?").replace('"', '\'');
         return safe.length() <= MAX_LOGGED_CHARS ? safe : safe.substring(0, MAX_LOGGED_CHARS) + "...";
     }
--- a/src/main/java/org/micabarrow/views/TopicCopy.java
+++ b/src/main/java/org/micabarrow/views/TopicCopy.java
@@ -58,7 +58,7 @@
         records.forEach(record -> present.add(record.key()));
         List<StoredRecord> updates = new ArrayList<>(records);
         for (StoredRecord current : List.copyOf(latest.values())) {
-            if (!current.dropped() && !present.contains(current.key()) && current.offset() < endBeforeRead) {
+            if (!current.isTombstone() && !present.contains(current.key()) && current.offset() < endBeforeRead) {
                 updates.add(new StoredRecord(current.key(), endBeforeRead - 1, EMPTY));
             }
         }
@@ -103,7 +103,7 @@
      * @return the record, empty if the key is unknown or was deleted
      */
     public Optional<StoredRecord> record(String key) {
-        return Optional.ofNullable(latest.get(key)).filter(current -> !current.dropped());
+        return Optional.ofNullable(latest.get(key)).filter(current -> !current.isTombstone());
     }
 
     /**
@@ -113,7 +113,7 @@
      */
     public Set<String> keys() {
         return latest.values().stream()
-                .filter(current -> !current.dropped())
+                .filter(current -> !current.isTombstone())
                 .map(StoredRecord::key)
                 .collect(Collectors.toUnmodifiableSet());
     }
--- a/src/main/java/org/micabarrow/views/TopicReader.java
+++ b/src/main/java/org/micabarrow/views/TopicReader.java
@@ -56,7 +56,7 @@
      * @param topic the topic
      * @return the records, with the end of the topic before the first of them was read
      */
-    Result<Batch> newest(Topic topic);
+    Result<Batch> readLatest(Topic topic);
 
     /**
      * Reads the records from an offset on, and waits if there are none yet.
--- a/src/main/java/org/micabarrow/views/Unkept.java
+++ b/src/main/java/org/micabarrow/views/UnsavedItem.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 
 /** A fact from operator records that is not known to be saved in {@link Topic#NAMED}, where it has its own key. */
-public sealed interface Unkept {
+public sealed interface UnsavedItem {
 
     /**
      * The key under which it is saved.
@@ -30,7 +30,7 @@
      *     if it was already named when this process first read it
      * @param outdated keys of versions of the model that are no longer needed
      */
-    record Weights(String model, long version, OptionalLong namedMillis, List<String> outdated) implements Unkept {
+    record Weights(String model, long version, OptionalLong namedMillis, List<String> outdated) implements UnsavedItem {
 
         /** Copies the keys. */
         public Weights {
@@ -41,7 +41,7 @@
 
         @Override
         public String key() {
-            return VersionKeys.of(model, version);
+            return VersionKeys.ofVersion(model, version);
         }
     }
 
@@ -52,7 +52,7 @@
      * @param offset its offset among the operator records
      * @param outdated keys of manifests that are no longer needed
      */
-    record Manifest(long version, long offset, List<String> outdated) implements Unkept {
+    record Manifest(long version, long offset, List<String> outdated) implements UnsavedItem {
 
         /** Copies the keys. */
         public Manifest {
--- a/src/main/java/org/micabarrow/views/VersionKeys.java
+++ b/src/main/java/org/micabarrow/views/VersionKeys.java
@@ -11,10 +11,10 @@
 public final class VersionKeys {
 
     /** The prefix of keys of weight versions, the same as in the records that operators write. */
-    public static final String VERSIONS = "version/";
+    public static final String VERSION_PREFIX = "version/";
 
     /** The prefix of keys of manifest positions. */
-    public static final String MANIFESTS = "manifest/";
+    public static final String MANIFEST_PREFIX = "manifest/";
 
     private static final char SEPARATOR = '/';
 
@@ -33,8 +33,8 @@
      * @param version the version
      * @return the key
      */
-    public static String of(String model, long version) {
-        return VERSIONS + model + SEPARATOR + version;
+    public static String ofVersion(String model, long version) {
+        return VERSION_PREFIX + model + SEPARATOR + version;
     }
 
     /**
@@ -44,14 +44,14 @@
      * @return the key
      */
     public static String ofManifest(long version) {
-        return MANIFESTS + version;
+        return MANIFEST_PREFIX + version;
     }
 
     /** Returns the keys of manifests that are older than the given version; only the newest manifest is needed. */
     static List<String> outdatedManifests(Collection<String> keys, long newest) {
         return keys.stream()
-                .filter(key -> key.startsWith(MANIFESTS))
-                .filter(key -> version(key.substring(MANIFESTS.length())).orElse(newest) < newest)
+                .filter(key -> key.startsWith(MANIFEST_PREFIX))
+                .filter(key -> version(key.substring(MANIFEST_PREFIX.length())).orElse(newest) < newest)
                 .sorted()
                 .toList();
     }
@@ -65,7 +65,7 @@
      * @return the keys of versions that are too old to be retained
      */
     static List<String> outdatedVersions(Collection<String> keys, String model, long newest) {
-        String prefix = VERSIONS + model + SEPARATOR;
+        String prefix = VERSION_PREFIX + model + SEPARATOR;
         return keys.stream()
                 .filter(key -> key.startsWith(prefix))
                 .filter(key -> version(key.substring(prefix.length())).orElse(newest) < newest - RETAINED_VERSIONS)
--- a/src/main/java/org/micabarrow/views/NamedVersions.java
+++ b/src/main/java/org/micabarrow/views/VersionPersistence.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,9 +22,9 @@
  * endpoints from loading an older version and serving it after all processes have restarted, and prevents processes
  * from starting with an older manifest than the others use.
  */
-public final class NamedVersions implements TopicReader {
+public final class VersionPersistence implements TopicReader {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NamedVersions.class);
+    private static final Logger LOG = LoggerFactory.getLogger(VersionPersistence.class);
 
     /**
      * The pause between two checks, in milliseconds: a version is saved half a second after it becomes known, and an
@@ -46,8 +46,8 @@
 
     private final TopicReader reader;
     private final VersionWriter writer;
-    private final ViewKeeper views;
-    private final Supplier<Duty> role;
+    private final ViewMaintainer views;
+    private final Supplier<WriteRole> role;
     private final Runnable requestFromPeer;
     private final AtomicBoolean restored = new AtomicBoolean();
     private long checks;
@@ -55,14 +55,14 @@
     private long checksWithoutManifest;
 
     /** Whether a process saves the versions that it knows. Every write costs calls to the store. */
-    public enum Duty {
+    public enum WriteRole {
         /** Saves versions at once. A few such processes are sufficient. */
-        WRITES,
+        PRIMARY,
         /**
          * Saves versions if no other process has done so after a while: the primary writers may be disconnected or
          * gone.
          */
-        STANDS_IN,
+        BACKUP,
         /** Never saves versions. */
         NONE
     }
@@ -77,7 +77,7 @@
          * @param item the version or manifest position to save
          * @return the records as stored in the topic, or why they may not have been stored
          */
-        Result<List<StoredRecord>> write(Unkept item);
+        Result<List<StoredRecord>> write(UnsavedItem item);
     }
 
     /**
@@ -88,8 +88,8 @@
      * @param views knows which versions were named
      * @param primary whether this process is a primary writer; otherwise it is a backup
      */
-    public NamedVersions(TopicReader reader, VersionWriter writer, ViewKeeper views, BooleanSupplier primary) {
-        this(reader, writer, views, () -> primary.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
+    public VersionPersistence(TopicReader reader, VersionWriter writer, ViewMaintainer views, BooleanSupplier primary) {
+        this(reader, writer, views, () -> primary.getAsBoolean() ? WriteRole.PRIMARY : WriteRole.BACKUP, () -> {});
     }
 
     /**
@@ -101,8 +101,12 @@
      * @param role whether this process saves versions
      * @param requestFromPeer requests operator records from a peer, starting at {@link ViewMaintainer#peerReadOffset}
      */
-    public NamedVersions(
-            TopicReader reader, VersionWriter writer, ViewKeeper views, Supplier<Duty> role, Runnable requestFromPeer) {
+    public VersionPersistence(
+            TopicReader reader,
+            VersionWriter writer,
+            ViewMaintainer views,
+            Supplier<WriteRole> role,
+            Runnable requestFromPeer) {
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.writer = Objects.requireNonNull(writer, "writer is null");
         this.views = Objects.requireNonNull(views, "views is null");
@@ -117,13 +121,13 @@
      * are restored.
      */
     @Override
-    public Result<Batch> newest(Topic topic) {
+    public Result<Batch> readLatest(Topic topic) {
         if (topic != Topic.OPERATOR) {
-            return reader.newest(topic);
+            return reader.readLatest(topic);
         }
         restored.set(false);
         restore();
-        return reader.newest(topic).map(this::withReplacedManifest).map(this::withTimeIfRestored);
+        return reader.readLatest(topic).map(this::withReplacedManifest).map(this::withTimeIfRestored);
     }
 
     /** Adds the newest manifest if it is missing from the latest records because an older one was written after it. */
@@ -195,7 +199,7 @@
     }
 
     private void restore() {
-        switch (reader.newest(Topic.NAMED)) {
+        switch (reader.readLatest(Topic.NAMED)) {
             case Result.Success<Batch>(Batch batch) -> {
                 views.replace(Topic.NAMED, batch.records(), batch.end());
                 restored.set(true);
@@ -208,7 +212,7 @@
 
     /** Starts periodic checks on a separate thread, which run until the process ends. */
     public void start() {
-        Steps.start("named-versions", CHECK_INTERVAL_MILLIS, this::check);
+        RepeatedTasks.start("named-versions", CHECK_INTERVAL_MILLIS, this::check);
     }
 
     /** Restores the saved versions when due, and saves those that are not known to be in the store. */
@@ -219,9 +223,9 @@
         checks++;
         boolean anyUnsaved =
                 !views.unsavedVersions().isEmpty() || views.unsavedManifest().isPresent();
-        Duty activeRole = anyUnsaved ? role.get() : Duty.NONE;
+        WriteRole activeRole = anyUnsaved ? role.get() : WriteRole.NONE;
         boolean versionsUnsaved =
-                activeRole != Duty.NONE && !views.unsavedVersions().isEmpty();
+                activeRole != WriteRole.NONE && !views.unsavedVersions().isEmpty();
         checksWithUnsaved = versionsUnsaved ? checksWithUnsaved + 1 : 0;
         if (!restored.get() || restoreDueAfterStartup() || checksWithUnsaved == BACKUP_DELAY_CHECKS) {
             restore();
@@ -232,11 +236,12 @@
         readMissingManifest();
     }
 
-    private void save(Duty activeRole) {
-        if (activeRole == Duty.WRITES || activeRole == Duty.STANDS_IN && checksWithUnsaved > BACKUP_DELAY_CHECKS) {
+    private void save(WriteRole activeRole) {
+        if (activeRole == WriteRole.PRIMARY
+                || activeRole == WriteRole.BACKUP && checksWithUnsaved > BACKUP_DELAY_CHECKS) {
             views.unsavedVersions().forEach(this::write);
         }
-        if (activeRole == Duty.WRITES) {
+        if (activeRole == WriteRole.PRIMARY) {
             views.unsavedManifest().ifPresent(this::write);
         }
     }
@@ -266,7 +271,7 @@
                 && Long.numberOfTrailingZeros(checks) % 2 == 0;
     }
 
-    private void write(Unkept item) {
+    private void write(UnsavedItem item) {
         switch (writer.write(item)) {
             case Result.Success<List<StoredRecord>>(List<StoredRecord> records) -> {
                 views.apply(Topic.NAMED, records, 0);
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -37,7 +37,7 @@
      * @param learnedAtMillis when this process learned of it, on its monotonic clock
      * @param source how this process learned of it
      */
-    public record Target(long version, long learnedMillis, TargetSource source) {
+    public record Target(long version, long learnedAtMillis, TargetSource source) {
 
         /**
          * Whether this process observed that the version was named, as opposed to reading at startup that it was
@@ -45,7 +45,7 @@
          *
          * @return whether it did
          */
-        public boolean seenNamed() {
+        public boolean namingObserved() {
             return source == TargetSource.OBSERVED;
         }
     }
@@ -119,9 +119,9 @@
      * @param nowMillis the time on the monotonic clock
      * @return the version, 0 if any may serve
      */
-    public long leastVersion(String model, long boundMillis, long nowMillis) {
+    public long minVersion(String model, long boundMillis, long nowMillis) {
         return Stream.concat(targetsOf(model).stream(), Optional.ofNullable(supersededTargets.get(model)).stream())
-                .filter(target -> nowMillis - target.learnedMillis() > boundMillis)
+                .filter(target -> nowMillis - target.learnedAtMillis() > boundMillis)
                 .mapToLong(Target::version)
                 .max()
                 .orElse(0);
@@ -134,7 +134,7 @@
      * @param version the version that is loaded
      * @return the first target named after it; empty if none is newer
      */
-    public Optional<Target> newerNamed(String model, long version) {
+    public Optional<Target> nextTarget(String model, long version) {
         return targetsOf(model).stream()
                 .filter(target -> target.version() > version)
                 .findFirst();
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewMaintainer.java
@@ -19,16 +19,16 @@
  * Maintains copies of the store's topics and publishes the resulting view. Records may come from the store or from
  * peers, in any order. Changes are made under one lock; readers see immutable views.
  */
-public final class ViewKeeper {
+public final class ViewMaintainer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ViewKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ViewMaintainer.class);
 
     private final LongSupplier monotonicMillis;
     private final Map<Topic, TopicCopy> copies = new HashMap<>();
     private final EndpointListUpdater endpointList;
     private final OperatorState operatorState;
     private final OperatorFreshness freshness = new OperatorFreshness();
-    private volatile LastChanges changes = new LastChanges(0, 0, 0);
+    private volatile ChangeOffsets changes = new ChangeOffsets(0, 0, 0);
     private volatile View view = View.empty();
     private volatile Consumer<List<StoredRecord>> crashListener = newRecords -> {};
 
@@ -38,7 +38,7 @@
      * @param decoder decodes records
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public ViewKeeper(RecordDecoder decoder, LongSupplier monotonicMillis) {
+    public ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis) {
         this(decoder, monotonicMillis, System::currentTimeMillis);
     }
 
@@ -49,7 +49,7 @@
      * @param monotonicMillis a monotonic clock, in milliseconds
      * @param unixMillis the time of day, in milliseconds, which may be off by some seconds
      */
-    ViewKeeper(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
+    ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
         Objects.requireNonNull(decoder, "decoder is null");
         this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
         this.operatorState =
@@ -74,7 +74,7 @@
      *
      * @return the offsets
      */
-    public LastChanges changes() {
+    public ChangeOffsets changes() {
         return changes;
     }
 
@@ -83,7 +83,7 @@
      *
      * @param listener receives the records; it is called under the lock of this object and must not block
      */
-    public void onCrashNews(Consumer<List<StoredRecord>> listener) {
+    public void onCrashRecords(Consumer<List<StoredRecord>> listener) {
         crashListener = Objects.requireNonNull(listener, "listener is null");
     }
 
@@ -171,7 +171,7 @@
      * @param topic the topic
      * @return the offset
      */
-    public synchronized long askFrom(Topic topic) {
+    public synchronized long peerReadOffset(Topic topic) {
         long end = end(topic);
         return topic == Topic.OPERATOR ? Math.min(end, missingManifestOffset().orElse(end)) : end;
     }
@@ -245,7 +245,7 @@
      * @param model the model
      * @param version the version; has no effect if a newer one is known
      */
-    public synchronized void want(String model, long version) {
+    public synchronized void addPeerTarget(String model, long version) {
         view = operatorState.addPeerTarget(model, version, view);
     }
 
@@ -262,7 +262,7 @@
      *
      * @param position the position
      */
-    public synchronized void manifestStands(ManifestPlace position) {
+    public synchronized void recordManifestPosition(ManifestPosition position) {
         operatorState.recordManifestPosition(position);
     }
 
@@ -271,12 +271,12 @@
      *
      * @return the position, empty if none is known
      */
-    public synchronized Optional<ManifestPlace> newestManifest() {
+    public synchronized Optional<ManifestPosition> newestManifestPosition() {
         return operatorState.newestManifestPosition();
     }
 
     /** The newest manifest, if it is not known to be saved. */
-    synchronized Optional<Unkept> unsavedManifest() {
+    synchronized Optional<UnsavedItem> unsavedManifest() {
         return operatorState.unsavedManifest(copies.get(Topic.NAMED));
     }
 
@@ -286,7 +286,7 @@
     }
 
     /** The newest versions that are not known to be saved in the store under their own keys. */
-    synchronized List<Unkept> unsavedVersions() {
+    synchronized List<UnsavedItem> unsavedVersions() {
         return operatorState.unsavedVersions(copies.get(Topic.NAMED));
     }
 
--- a/src/main/java/org/micabarrow/views/WeightTargets.java
+++ b/src/main/java/org/micabarrow/views/WeightTargets.java
@@ -83,19 +83,19 @@
      * The newest versions that are not known to be saved in the store under their own keys. Versions that were reported
      * only by a peer are excluded: a wrong report would outlive all processes.
      */
-    List<Unkept> unsaved(TopicCopy savedCopy) {
-        List<Unkept> unsaved = new ArrayList<>();
+    List<UnsavedItem> unsaved(TopicCopy savedCopy) {
+        List<UnsavedItem> unsaved = new ArrayList<>();
         newestByModel.forEach((model, newest) -> {
-            if (savedCopy.record(VersionKeys.of(model, newest.version())).isEmpty()) {
+            if (savedCopy.record(VersionKeys.ofVersion(model, newest.version())).isEmpty()) {
                 List<String> outdated = VersionKeys.outdatedVersions(savedCopy.keys(), model, newest.version());
-                unsaved.add(new Unkept.Weights(model, newest.version(), namedMillis(newest), outdated));
+                unsaved.add(new UnsavedItem.Weights(model, newest.version(), namedMillis(newest), outdated));
             }
         });
         return unsaved;
     }
 
     private OptionalLong namedMillis(View.Target target) {
-        long elapsedMillis = monotonicMillis.getAsLong() - target.learnedMillis();
-        return target.seenNamed() ? OptionalLong.of(unixMillis.getAsLong() - elapsedMillis) : OptionalLong.empty();
+        long elapsedMillis = monotonicMillis.getAsLong() - target.learnedAtMillis();
+        return target.namingObserved() ? OptionalLong.of(unixMillis.getAsLong() - elapsedMillis) : OptionalLong.empty();
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -64,12 +64,12 @@
     /** The minimum version that an endpoint may serve or load after {@code aheadMillis} milliseconds. */
     long minAllowedVersion(String model, long aheadMillis) {
         View current = view.get();
-        long minVersion = current.leastVersion(model, retireAfterMillis(), monotonicMillis.getAsLong() + aheadMillis);
+        long minVersion = current.minVersion(model, retireAfterMillis(), monotonicMillis.getAsLong() + aheadMillis);
         return sawNewestBeingNamed(current, model) ? minVersion : Math.max(minVersion, newestInUse(current, model));
     }
 
     private static boolean sawNewestBeingNamed(View current, String model) {
-        return current.newestTarget(model).filter(View.Target::seenNamed).isPresent();
+        return current.newestTarget(model).filter(View.Target::namingObserved).isPresent();
     }
 
     /**
@@ -99,7 +99,7 @@
      */
     long firstNewer(String model, long version) {
         return view.get()
-                .newerNamed(model, version)
+                .nextTarget(model, version)
                 .map(View.Target::version)
                 .orElseGet(() -> minAllowedVersion(model, Cordon.LEAD_MILLIS));
     }
@@ -117,8 +117,8 @@
     /** When an endpoint must stop serving versions that are older than the given one. */
     long retireAt(String model, long version) {
         return view.get()
-                .newerNamed(model, version - 1)
-                .map(target -> target.learnedMillis() + retireAfterMillis())
+                .nextTarget(model, version - 1)
+                .map(target -> target.learnedAtMillis() + retireAfterMillis())
                 .orElse(Long.MIN_VALUE);
     }
 
@@ -127,8 +127,8 @@
      */
     long servesUntil(String model, long version) {
         return view.get()
-                .newerNamed(model, version)
-                .map(target -> target.learnedMillis() + retireAfterMillis() - Cordon.LEAD_MILLIS)
+                .nextTarget(model, version)
+                .map(target -> target.learnedAtMillis() + retireAfterMillis() - Cordon.LEAD_MILLIS)
                 .orElse(Long.MAX_VALUE / 2);
     }
 
@@ -143,8 +143,8 @@
     OptionalLong oldestUsableBeforeNewest(String model, long held) {
         View current = view.get();
         long newest = newest(model);
-        long minVersion = current.leastVersion(model, maxStalenessMillis, monotonicMillis.getAsLong());
-        return current.newerNamed(model, held).stream()
+        long minVersion = current.minVersion(model, maxStalenessMillis, monotonicMillis.getAsLong());
+        return current.nextTarget(model, held).stream()
                 .mapToLong(View.Target::version)
                 .filter(version -> version < newest && version >= minVersion)
                 .findFirst();
@@ -161,9 +161,9 @@
     /** When an agent is scheduled to order its endpoint to load a version newer than the held one. */
     long orderAt(String model, long held, ReplicaController.RegionPosition position) {
         return view.get()
-                .newerNamed(model, held)
+                .nextTarget(model, held)
                 .map(target -> OrderSchedule.orderMillis(
-                        target.learnedMillis(), maxStalenessMillis, position.index(), position.count()))
+                        target.learnedAtMillis(), maxStalenessMillis, position.index(), position.count()))
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/src/test/java/org/micabarrow/platform/KnownMomentTest.java
+++ b/src/test/java/org/micabarrow/platform/KnownMomentTest.java
@@ -125,7 +125,7 @@
         store.append(OPERATOR, "b", "1");
         store.append(OPERATOR, "c", "1");
         answerMillis = 10;
-        Batch batch = client.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        Batch batch = client.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
         assertEquals(3, batch.records().size());
         assertEquals(OptionalLong.of(SENT), batch.asOfMillis());
     }
--- a/src/test/java/org/micabarrow/platform/SilentStoreTest.java
+++ b/src/test/java/org/micabarrow/platform/SilentStoreTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** What is believed of a store whose open connections fall silent for good, while new ones work. */
 class SilentStoreTest {
@@ -30,7 +30,7 @@
     private static final Duration WITHIN = Duration.ofSeconds(3);
 
     private final HostedStoreStandin store = new HostedStoreStandin();
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
     private final List<Topic> asked = new ArrayList<>();
     private HttpListener listener;
     private SilentRelay relay;
@@ -61,19 +61,19 @@
 
     private StoreFollower follower(Topic topic) {
         StoreClient client = new StoreClient(caller, relay.address(), WITHIN);
-        return new StoreFollower(topic, client, keeper, asked::add, new StoreFollower.Pace(HOLD, Duration.ZERO));
+        return new StoreFollower(topic, client, keeper, asked::add, new StoreFollower.PollTiming(HOLD, Duration.ZERO));
     }
 
     @Test
     void shouldTakeManifestInTheTurnInWhichConnectionTurnsOutSilent() {
         StoreFollower follower = follower(Topic.OPERATOR);
         manifest(1);
-        follower.once();
-        follower.once();
+        follower.readOnce();
+        follower.readOnce();
         assertEquals(Optional.of(1L), version());
         relay.silence();
         manifest(2);
-        follower.once();
+        follower.readOnce();
         assertEquals(Optional.of(2L), version());
         assertEquals(List.of(), asked, "the store itself answers on a new connection");
         assertEquals(2, relay.accepted());
@@ -86,13 +86,13 @@
                 "keyed.servers",
                 "a",
                 "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\"}");
-        follower.once();
-        follower.once();
+        follower.readOnce();
+        follower.readOnce();
         assertEquals(Set.of("a"), keeper.view().endpoints().keySet());
         relay.silence();
         store.append("keyed.servers", "a", "");
-        follower.once();
-        follower.once();
+        follower.readOnce();
+        follower.readOnce();
         assertEquals(Set.of(), keeper.view().endpoints().keySet());
     }
 }
--- a/src/test/java/org/micabarrow/platform/StoreClientTest.java
+++ b/src/test/java/org/micabarrow/platform/StoreClientTest.java
@@ -114,7 +114,7 @@
     }
 
     private Batch newest() {
-        return client.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        return client.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
     }
 
     @Test
@@ -149,7 +149,7 @@
                 .batch()
                 .records()
                 .getFirst()
-                .dropped());
+                .isTombstone());
     }
 
     @Test
@@ -175,7 +175,7 @@
     @ValueSource(ints = {429, 503, 500, 400})
     void shouldFailWhenStoreRefuses(int status) {
         store.refuse(Optional.of(status));
-        assertTrue(client.newest(Topic.OPERATOR).cause().isPresent());
+        assertTrue(client.readLatest(Topic.OPERATOR).cause().isPresent());
         assertTrue(client.read(Topic.OPERATOR, 0, Duration.ZERO).cause().isPresent());
     }
 
@@ -241,7 +241,7 @@
         String body = "{\"items\":[" + String.format(Locale.ROOT, good, "a", 0) + "," + item + ","
                 + String.format(Locale.ROOT, good, "z", 2) + "],\"has_more\":false,\"end\":3}";
         StoreClient odd = serve(exchange -> exchange.getResponseSender().send(body, IoCallback.END_EXCHANGE));
-        Batch batch = odd.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        Batch batch = odd.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
         assertEquals(List.of("a", "z"), keys(batch));
         assertEquals(3, batch.end());
     }
@@ -262,7 +262,7 @@
         StoreClient odd = serve(exchange -> exchange.getResponseSender().send(body, IoCallback.END_EXCHANGE));
         assertEquals(
                 Fault.Reason.CORRUPT,
-                odd.newest(Topic.OPERATOR).cause().orElseThrow().reason());
+                odd.readLatest(Topic.OPERATOR).cause().orElseThrow().reason());
     }
 
     @Test
--- a/src/test/java/org/micabarrow/platform/StoreRecordsProperties.java
+++ b/src/test/java/org/micabarrow/platform/StoreRecordsProperties.java
@@ -57,22 +57,27 @@
 
     @Property(tries = 5_000, seed = "7331")
     void shouldGiveWholeEntryOrReasonWhateverBytesAreChanged(@ForAll("changes") List<Change> changes) {
-        Result<EndpointRegistration> read = records.endpoint(new StoredRecord("i-1", 0, changed(changes)));
+        Result<EndpointRegistration> read =
+                records.decodeEndpointRegistration(new StoredRecord("i-1", 0, changed(changes)));
         read.toOptional().ifPresent(StoreRecordsProperties::whole);
     }
 
     @Property(tries = 2_000, seed = "7331")
     void shouldGiveReasonWhateverTheBytes(@ForAll byte[] bytes, @ForAll String key) {
-        assertTrue(records.endpoint(new StoredRecord(key, 0, bytes)).cause().isPresent());
-        records.operator(new StoredRecord("config", 0, bytes));
-        records.operator(new StoredRecord("version/m", 0, bytes));
+        assertTrue(records.decodeEndpointRegistration(new StoredRecord(key, 0, bytes))
+                .cause()
+                .isPresent());
+        records.decodeOperatorRecord(new StoredRecord("config", 0, bytes));
+        records.decodeOperatorRecord(new StoredRecord("version/m", 0, bytes));
     }
 
     @Property(tries = 500, seed = "7331")
     void shouldGiveReasonWhereverEntryIsCut(@ForAll("lengths") int length) {
         byte[] cut = new byte[length];
         System.arraycopy(ENTRY, 0, cut, 0, length);
-        assertTrue(records.endpoint(new StoredRecord("i-1", 0, cut)).cause().isPresent());
+        assertTrue(records.decodeEndpointRegistration(new StoredRecord("i-1", 0, cut))
+                .cause()
+                .isPresent());
     }
 
     @Provide
--- a/src/test/java/org/micabarrow/platform/StoreRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/StoreRecordsTest.java
@@ -35,9 +35,10 @@
     }
 
     private RouteManifest manifest(String json) {
-        OperatorRecord read =
-                records.operator(record("config", json)).toOptional().orElseThrow();
-        return assertInstanceOf(OperatorRecord.ManifestSet.class, read).manifest();
+        OperatorRecord read = records.decodeOperatorRecord(record("config", json))
+                .toOptional()
+                .orElseThrow();
+        return assertInstanceOf(OperatorRecord.ManifestPublished.class, read).manifest();
     }
 
     @ParameterizedTest
@@ -85,7 +86,7 @@
         "'{\"version\":', JSON"
     })
     void shouldNameWhatIsWrongWithManifest(String json, String named) {
-        Result<OperatorRecord> read = records.operator(record("config", json));
+        Result<OperatorRecord> read = records.decodeOperatorRecord(record("config", json));
         assertTrue(read.cause().orElseThrow().message().contains(named), () -> read.toString());
     }
 
@@ -97,7 +98,7 @@
 
     @Test
     void shouldReadNamedWeights() {
-        OperatorRecord read = records.operator(record("version/m", "{\"model\":\"m\",\"version\":3}"))
+        OperatorRecord read = records.decodeOperatorRecord(record("version/m", "{\"model\":\"m\",\"version\":3}"))
                 .toOptional()
                 .orElseThrow();
         assertEquals(new OperatorRecord.WeightsNamed("m", 3, OptionalLong.empty()), read);
@@ -121,7 +122,8 @@
                 "3"
             })
     void shouldRefuseNamedWeightsWhenFieldIsMissingOrOfAnotherType(String json) {
-        assertTrue(records.operator(record("version/m", json)).cause().isPresent());
+        assertTrue(
+                records.decodeOperatorRecord(record("version/m", json)).cause().isPresent());
     }
 
     @ParameterizedTest
@@ -140,7 +142,7 @@
                         + "\"services\":[]}"
             })
     void shouldRefuseManifestWhenFieldIsOfAnotherType(String json) {
-        assertTrue(records.operator(record("config", json)).cause().isPresent());
+        assertTrue(records.decodeOperatorRecord(record("config", json)).cause().isPresent());
     }
 
     // -- what endpoints write
@@ -149,7 +151,7 @@
             "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"slots\":16,\"state\":\"ready\"}";
 
     private boolean refused(StoredRecord record) {
-        return records.endpoint(record).cause().isPresent();
+        return records.decodeEndpointRegistration(record).cause().isPresent();
     }
 
     /** One field of a good entry is put in place of another; a value of "-" leaves it out. */
@@ -269,7 +271,7 @@
     @Test
     void shouldSayOnOneShortLineWhyEntryIsRefused() {
         String state = "x\\n\\\"".repeat(1_000);
-        String why = records.endpoint(record("i\n1", ENTRY.replace("}", state)))
+        String why = records.decodeEndpointRegistration(record("i\n1", ENTRY.replace("}", state)))
                 .cause()
                 .orElseThrow()
                 .toString();
@@ -280,11 +282,13 @@
     @Test
     void shouldReadWhenEndpointWasStarted() {
         String json = ENTRY.replace("}", ",\"born\":1764718674123}");
-        EndpointRegistration entry =
-                records.endpoint(record("i-1", json)).toOptional().orElseThrow();
+        EndpointRegistration entry = records.decodeEndpointRegistration(record("i-1", json))
+                .toOptional()
+                .orElseThrow();
         assertEquals(OptionalLong.of(1_764_718_674_123L), entry.startedMillis());
-        EndpointRegistration older =
-                records.endpoint(record("i-1", ENTRY)).toOptional().orElseThrow();
+        EndpointRegistration older = records.decodeEndpointRegistration(record("i-1", ENTRY))
+                .toOptional()
+                .orElseThrow();
         assertEquals(OptionalLong.empty(), older.startedMillis());
     }
 
@@ -294,7 +298,10 @@
                 "}", ",\"layers\":[{\"from\":0,\"target_version\":5},{\"from\":8,\"target_version\":10}]}");
         assertEquals(
                 7,
-                records.endpoint(record("i-1", json)).toOptional().orElseThrow().layers());
+                records.decodeEndpointRegistration(record("i-1", json))
+                        .toOptional()
+                        .orElseThrow()
+                        .layers());
     }
 
     @Test
@@ -305,15 +312,19 @@
                         + "{\"from\":7,\"target_version\":16,\"version\":2}]}");
         assertEquals(
                 9,
-                records.endpoint(record("i-1", json)).toOptional().orElseThrow().layers());
+                records.decodeEndpointRegistration(record("i-1", json))
+                        .toOptional()
+                        .orElseThrow()
+                        .layers());
     }
 
     @Test
     void shouldReadEntryOfEndpoint() {
-        EndpointRegistration entry =
-                records.endpoint(record("i-1", """
+        EndpointRegistration entry = records.decodeEndpointRegistration(record("i-1", """
                         {"service":"s","address":"10.0.0.1:80","zone":"z","slots":16,"state":"draining",
-                        "models":[{"name":"m","version":2}],"layers":{"from":0,"target_version":5,"version":2}}""")).toOptional().orElseThrow();
+                        "models":[{"name":"m","version":2}],"layers":{"from":0,"target_version":5,"version":2}}"""))
+                .toOptional()
+                .orElseThrow();
         assertEquals("10.0.0.1", entry.instanceHost());
         assertTrue(entry.draining());
         assertEquals(2, entry.models().get("m"));
--- a/src/test/java/org/micabarrow/serving/LateSendingTest.java
+++ b/src/test/java/org/micabarrow/serving/LateSendingTest.java
@@ -164,7 +164,7 @@
     @Test
     void shouldSendNothingWhenOlderVersionMayAnswerNoMore() throws IOException {
         serve(STANDSTILL_MILLIS / 2, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         standStill(STANDSTILL_MILLIS);
         assertEquals(503, ask("/stream/x").status());
         assertEquals(0, received("model-1"));
@@ -173,7 +173,7 @@
     @Test
     void shouldSendNothingWhenOlderVersionMayBeginNoMore() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         standStill(SHORT_MILLIS);
         assertEquals(503, ask("/stream/x").status());
         assertEquals(0, received("model-1"));
@@ -182,7 +182,7 @@
     @Test
     void shouldGoOnElsewhereWhenOlderVersionMayBeginNoMore() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         afterDecision.set(() -> {
             clockMillis.addAndGet(SHORT_MILLIS);
             platform.add("model-2", "models", 2);
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -65,7 +65,7 @@
     @Test
     void shouldAskNobodyWhenNamingIsTooFreshToMatter() throws IOException {
         serve(1, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         agentAnswers.set(false);
         assertEquals(200, ask().status());
         assertEquals(0, questions.get());
@@ -74,7 +74,7 @@
     @Test
     void shouldSendWhenAgentAnswers() throws IOException {
         serve(0, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         assertEquals(200, ask().status());
         assertEquals(1, questions.get());
     }
@@ -82,7 +82,7 @@
     @Test
     void shouldSendNothingWhenAgentDoesNotAnswer() throws IOException {
         serve(0, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         agentAnswers.set(false);
         HttpAnswer refused = ask();
         assertEquals(503, refused.status());
@@ -94,7 +94,7 @@
     void shouldCancelWhatIsNotBegunWhenTimeIsUpAndGoOnElsewhere() throws Exception {
         platform.manifest(2, "key-a", WITHIN.toMillis());
         serve(0, 400);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         platform.next(Behaviour.HANG);
         CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(this::ask);
         Await.until("the sending", () -> platform.endpoint("model-1").hanging() == 1);
@@ -110,7 +110,7 @@
         serve(0, NEVER_MILLIS);
         Await.until("both", () -> views.view().endpoints().size() == 2);
         idleWith("model-2", 2);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         // The endpoint with the newest version refuses, and the question that the other is asked about is never
         // settled.
         agentTells.set(false);
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -22,7 +22,7 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 import org.micabarrow.transport.HttpListener;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /**
@@ -37,7 +37,7 @@
 
     final AtomicLong clockMillis = new AtomicLong(1_000_000);
     final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-    final ViewKeeper views = new ViewKeeper(new StoreRecords(), clockMillis::get);
+    final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clockMillis::get);
 
     HostedSystem platform;
     HostedSettings settings;
--- a/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
@@ -105,7 +105,7 @@
     void shouldTakeBackWhatWaitsWhenVersionIsNamedAfterSending() throws Exception {
         serve(NEVER_MILLIS);
         CompletableFuture<HttpAnswer> answer = sent();
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         standStill(SILENCE_MILLIS);
         assertEquals(BAD_GATEWAY, answer.join().status());
         assertEquals(List.of(), standing.wake());
@@ -163,7 +163,7 @@
     void shouldLeaveWhatWaitsWhenEndpointIsHeard() throws Exception {
         serve(NEVER_MILLIS);
         CompletableFuture<HttpAnswer> answer = sent();
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         clockMillis.addAndGet(SILENCE_MILLIS);
         choice.load("model-1").reported(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
         lookAfterRequests();
@@ -175,7 +175,7 @@
     void shouldTakeBackWhatIsNotBegunInTimeWhenVersionIsNamedAfterSending() throws Exception {
         serve(CANCEL_MILLIS);
         CompletableFuture<HttpAnswer> answer = sent();
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         // The agent is heard all the while, so nothing but the time tells.
         lookAfterRequests();
         assertEquals(BAD_GATEWAY, answer.join().status());
@@ -194,14 +194,14 @@
     @Test
     void shouldTakeBackWhatWaitsWhenSecondVersionIsNamedAfterFirstWasTaken() throws Exception {
         serve(CANCEL_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         CompletableFuture<HttpAnswer> answer = sent();
         // The time for the first version passes while the endpoint holds it already; then another is named.
         choice.load("model-1").reported(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
         CompletableFuture<Void> passed = new CompletableFuture<>();
         worker.getIoThread().executeAfter(() -> passed.complete(null), 2 * CANCEL_MILLIS, TimeUnit.MILLISECONDS);
         passed.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS);
-        views.want(MODEL, 3);
+        views.addPeerTarget(MODEL, 3);
         lookAfterRequests();
         assertEquals(BAD_GATEWAY, answer.join().status());
         assertEquals(List.of(), standing.wake());
--- a/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
@@ -75,7 +75,7 @@
     @Test
     void shouldTakeBackAtOnceWhatOlderVersionMayBeginNoMore() throws Exception {
         serve();
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         CompletableFuture<HttpAnswer> answer = begin();
         suspended(CANCEL_MILLIS + 1);
         Await.until(
--- a/src/test/java/org/micabarrow/steps/StepsTest.java
+++ b/src/test/java/org/micabarrow/steps/RepeatedTasksTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Tests that repeated tasks continue after unexpected exceptions. */
-class StepsTest {
+class RepeatedTasksTest {
 
     /** Only limits the time that a hanging test takes. */
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -35,7 +35,7 @@
     @EnumSource
     void shouldContinueWhenRunsFail(Failure failure) throws Exception {
         CountDownLatch runs = new CountDownLatch(RUNS);
-        Thread work = Steps.start("steps-test", 1, () -> {
+        Thread work = RepeatedTasks.start("steps-test", 1, () -> {
             runs.countDown();
             failure.fail();
         });
@@ -46,7 +46,7 @@
 
     @Test
     void shouldEndWhenInterruptedDuringRun() throws Exception {
-        Thread work = Steps.start("steps-test", 1, () -> {
+        Thread work = RepeatedTasks.start("steps-test", 1, () -> {
             throw new InterruptedException("the thread is to end");
         });
         assertTrue(work.join(TIMEOUT));
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** What processes tell each other of the store's records while they read on, and how old it is. */
 class HostedPeerServerTest {
@@ -26,7 +26,7 @@
     /** Enough that a pair taken at two moments shows: each answer is made while records are taken without a pause. */
     private static final int QUESTIONS = 200;
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 0);
     private final AtomicBoolean ends = new AtomicBoolean();
 
     /** Whoever asks reads on from the end, so that a record before it that is not told is never read. */
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -25,8 +25,8 @@
 import org.micabarrow.transport.LoadMessages.Question;
 import org.micabarrow.transport.LoadMessages.ReaderNews;
 import org.micabarrow.transport.LoadMessages.Received;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 class LoadMessagesTest {
 
@@ -55,7 +55,7 @@
     @Test
     void shouldReadNewsOfStoreWhenQuestionTellsThem() throws IOException {
         StoreNews news = new StoreNews(
-                8_000, new LastChanges(17, 1L << 40, 16), Optional.of(new ManifestPlace(7, 16)), 30, true);
+                8_000, new ChangeOffsets(17, 1L << 40, 16), Optional.of(new ManifestPosition(7, 16)), 30, true);
         Question question = new Question("entry-a", 1_200, 17, 30, true, Optional.of(news), OptionalLong.of(1L << 40));
         assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
     }
@@ -76,7 +76,7 @@
     @Test
     void shouldRefuseDatagramsThatBreakOffOrGoOn() {
         StoreNews news =
-                new StoreNews(8_000, new LastChanges(17, 18), Optional.of(new ManifestPlace(7, 16)), 30, false);
+                new StoreNews(8_000, new ChangeOffsets(17, 18), Optional.of(new ManifestPosition(7, 16)), 30, false);
         ReaderNews reader = new ReaderNews("10.0.0.1:8000", 17, 40);
         Optional<RateLimitUpdate> limit = Optional.of(new RateLimitUpdate(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -23,7 +23,7 @@
 import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.ReaderNews;
-import org.micabarrow.views.LastChanges;
+import org.micabarrow.views.ChangeOffsets;
 
 /** What an agent answers to entries, over real sockets. */
 class LoadServerTest {
@@ -96,7 +96,7 @@
         }
 
         private ByteBuffer question(long knownMillisAgo) {
-            StoreNews news = new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
+            StoreNews news = new StoreNews(port, new ChangeOffsets(17, 0), Optional.empty(), knownMillisAgo, direct);
             return LoadMessages.write(new LoadMessages.Question(
                     name, 0, 0, 0, near, near ? Optional.of(news) : Optional.empty(), stamp.get()));
         }
--- a/src/test/java/org/micabarrow/views/LastChangesTest.java
+++ b/src/test/java/org/micabarrow/views/ChangeOffsetsTest.java
@@ -11,9 +11,9 @@
 import org.micabarrow.platform.StoreRecords;
 
 /** Tests which records change the view: other processes are notified only of those. */
-class LastChangesTest {
+class ChangeOffsetsTest {
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 1_000_000);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -33,7 +33,7 @@
         views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0, 1)), 1);
         View before = views.view();
         views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 1, 2)), 2);
-        assertEquals(new LastChanges(0, 1), views.changes());
+        assertEquals(new ChangeOffsets(0, 1), views.changes());
         assertSame(before, views.view());
     }
 
@@ -42,7 +42,7 @@
         views.apply(Topic.OPERATOR, List.of(record("config", 3, "{\"version\":7,\"routes\":[],\"services\":[]}")), 4);
         views.apply(Topic.ENDPOINTS, List.of(endpoint("a", 0, 1), endpoint("b", 5, 1)), 6);
         views.apply(Topic.ENDPOINTS, List.of(record("a", 8, "")), 9);
-        assertEquals(new LastChanges(4, 9), views.changes());
+        assertEquals(new ChangeOffsets(4, 9), views.changes());
     }
 
     private static StoredRecord manifest(long offset, long version, String route, int slots) {
@@ -58,23 +58,23 @@
     void shouldRecordChangeForAgentsOnlyWhenManifestChangesServices() {
         String route = "{\"host\":\"h\",\"path_prefix\":\"/\",\"kind\":\"idempotent\",\"service\":\"s\"}";
         views.apply(Topic.OPERATOR, List.of(manifest(0, 1, "", 4)), 1);
-        assertEquals(new LastChanges(1, 0, 1), views.changes());
+        assertEquals(new ChangeOffsets(1, 0, 1), views.changes());
         views.apply(Topic.OPERATOR, List.of(manifest(1, 2, route, 4)), 2);
-        assertEquals(new LastChanges(2, 0, 1), views.changes());
+        assertEquals(new ChangeOffsets(2, 0, 1), views.changes());
         views.apply(Topic.OPERATOR, List.of(manifest(2, 3, route, 5)), 3);
-        assertEquals(new LastChanges(3, 0, 3), views.changes());
+        assertEquals(new ChangeOffsets(3, 0, 3), views.changes());
         views.apply(Topic.OPERATOR, List.of(record("version/m", 3, "{\"model\":\"m\",\"version\":2}")), 4);
-        assertEquals(new LastChanges(4, 0, 4), views.changes());
+        assertEquals(new ChangeOffsets(4, 0, 4), views.changes());
     }
 
     /** An agent that skips a manifest still saves its position for processes that start. */
     @Test
     void shouldSavePositionOfManifestWhenOnlyPeerHasIt() {
         views.apply(Topic.OPERATOR, List.of(manifest(0, 1, "", 4)), 1);
-        views.manifestStands(new ManifestPlace(7, 9));
-        assertEquals(Optional.of(new Unkept.Manifest(7, 9, List.of())), views.unsavedManifest());
-        views.manifestStands(new ManifestPlace(6, 8));
-        assertEquals(Optional.of(new ManifestPlace(7, 9)), views.newestManifest());
+        views.recordManifestPosition(new ManifestPosition(7, 9));
+        assertEquals(Optional.of(new UnsavedItem.Manifest(7, 9, List.of())), views.unsavedManifest());
+        views.recordManifestPosition(new ManifestPosition(6, 8));
+        assertEquals(Optional.of(new ManifestPosition(7, 9)), views.newestManifestPosition());
         assertEquals(OptionalLong.empty(), views.missingManifestOffset());
     }
 }
--- a/src/test/java/org/micabarrow/views/FakeKeyedStore.java
+++ b/src/test/java/org/micabarrow/views/FakeKeyedStore.java
@@ -10,7 +10,7 @@
 import org.micabarrow.state.Result;
 
 /** A store of keyed topics that can simulate failures. */
-final class FakeKeyedStore implements TopicReader, NamedVersions.VersionWriter {
+final class FakeKeyedStore implements TopicReader, VersionPersistence.VersionWriter {
 
     final Map<Topic, List<StoredRecord>> topics = new LinkedHashMap<>();
     final List<Topic> latestReads = new ArrayList<>();
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public Result<Batch> newest(Topic topic) {
+    public Result<Batch> readLatest(Topic topic) {
         latestReads.add(topic);
         if (down && topic == Topic.NAMED) {
             return failure();
@@ -35,7 +35,7 @@
         List<StoredRecord> all = topics.getOrDefault(topic, List.of());
         Map<String, StoredRecord> latest = new LinkedHashMap<>();
         all.forEach(record -> latest.put(record.key(), record));
-        latest.values().removeIf(StoredRecord::dropped);
+        latest.values().removeIf(StoredRecord::isTombstone);
         return Result.success(new Batch(List.copyOf(latest.values()), all.size()));
     }
 
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Result<List<StoredRecord>> write(Unkept item) {
+    public Result<List<StoredRecord>> write(UnsavedItem item) {
         writeCount++;
         if (down || refuseWrites) {
             return failure();
@@ -68,15 +68,15 @@
         return Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.TIMEOUT, "no answer"));
     }
 
-    private static String json(Unkept item) {
+    private static String json(UnsavedItem item) {
         return switch (item) {
-            case Unkept.Weights weights -> {
+            case UnsavedItem.Weights weights -> {
                 String named = weights.namedMillis().isPresent()
                         ? ",\"namedMillis\":" + weights.namedMillis().getAsLong()
                         : "";
                 yield named(weights.model(), weights.version()).replace("}", named + "}");
             }
-            case Unkept.Manifest manifest ->
+            case UnsavedItem.Manifest manifest ->
                 "{\"version\":" + manifest.version() + ",\"offset\":" + manifest.offset() + "}";
         };
     }
--- a/src/test/java/org/micabarrow/views/OperatorFreshnessTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorFreshnessTest.java
@@ -18,7 +18,7 @@
     private static final Duration HOLD = Duration.ofMillis(10);
     private static final Duration PAUSE = Duration.ofMillis(5);
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 0);
 
     private static StoredRecord manifest(long version, long offset) {
         String json = "{\"version\":" + version + ",\"routes\":[],\"services\":[]}";
@@ -93,7 +93,7 @@
         private final List<Duration> waits = new ArrayList<>();
 
         @Override
-        public Result<Batch> newest(Topic topic) {
+        public Result<Batch> readLatest(Topic topic) {
             return topic == Topic.OPERATOR
                     ? Result.success(new Batch(List.of(manifest(1, 0)), 1, OptionalLong.of(100)))
                     : Result.success(new Batch(List.of(), 0));
@@ -115,28 +115,28 @@
     private final ScriptedStore store = new ScriptedStore();
 
     private StoreFollower follower(Topic topic) {
-        NamedVersions versions = new NamedVersions(
-                store, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
-        return new StoreFollower(topic, versions, views, queried -> {}, new StoreFollower.Pace(HOLD, PAUSE));
+        VersionPersistence versions = new VersionPersistence(
+                store, item -> Result.success(List.of()), views, () -> VersionPersistence.WriteRole.NONE, () -> {});
+        return new StoreFollower(topic, versions, views, queried -> {}, new StoreFollower.PollTiming(HOLD, PAUSE));
     }
 
     @Test
     void shouldConfirmTimeOfReadWhenLatestRecordsAreRead() {
-        follower(Topic.OPERATOR).once();
+        follower(Topic.OPERATOR).readOnce();
         assertEquals(OptionalLong.of(100), views.operatorAsOfMillis());
     }
 
     @Test
     void shouldConfirmTimeOfEachRead() {
         StoreFollower follower = follower(Topic.OPERATOR);
-        follower.once();
+        follower.readOnce();
         store.addResponse(1, OptionalLong.of(110));
-        follower.once();
+        follower.readOnce();
         assertEquals(OptionalLong.of(110), views.operatorAsOfMillis());
         store.addResponse(2, OptionalLong.empty(), manifest(2, 1));
-        follower.once();
+        follower.readOnce();
         assertEquals(OptionalLong.of(110), views.operatorAsOfMillis(), "the read ended before the end of the topic");
-        follower.once();
+        follower.readOnce();
         assertEquals(OptionalLong.of(110), views.operatorAsOfMillis(), "the store did not respond");
     }
 
@@ -147,14 +147,14 @@
     @Test
     void shouldReadAgainAtOnceWithoutHoldWhenRecordsArrived() {
         StoreFollower follower = follower(Topic.OPERATOR);
-        follower.once();
+        follower.readOnce();
         store.addResponse(2, OptionalLong.of(110), manifest(2, 1));
-        assertEquals(0, follower.once(), "at once");
+        assertEquals(0, follower.readOnce(), "at once");
         store.addResponse(2, OptionalLong.of(120));
-        assertEquals(0, follower.once());
+        assertEquals(0, follower.readOnce());
         assertEquals(OptionalLong.of(120), views.operatorAsOfMillis());
         store.addResponse(2, OptionalLong.of(130));
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD), store.waits);
     }
 
@@ -162,14 +162,14 @@
     @Test
     void shouldHoldNextReadWhenRecordsArrivedInReadWithoutHold() {
         StoreFollower follower = follower(Topic.OPERATOR);
-        follower.once();
+        follower.readOnce();
         for (int offset = 1; offset <= 4; offset++) {
             store.addResponse(offset + 1, OptionalLong.of(100 + offset), manifest(offset + 1, offset));
         }
-        assertEquals(0, follower.once());
-        assertEquals(PAUSE.toMillis(), follower.once());
-        assertEquals(0, follower.once());
-        assertEquals(PAUSE.toMillis(), follower.once());
+        assertEquals(0, follower.readOnce());
+        assertEquals(PAUSE.toMillis(), follower.readOnce());
+        assertEquals(0, follower.readOnce());
+        assertEquals(PAUSE.toMillis(), follower.readOnce());
         assertEquals(List.of(HOLD, Duration.ZERO, HOLD, Duration.ZERO), store.waits);
     }
 
@@ -177,11 +177,11 @@
     @Test
     void shouldNeitherReadAgainNorConfirmWhenEndpointsWrote() {
         StoreFollower follower = follower(Topic.ENDPOINTS);
-        follower.once();
+        follower.readOnce();
         store.addResponse(1, OptionalLong.of(110), new StoredRecord("a", 0, new byte[0]));
-        assertEquals(PAUSE.toMillis(), follower.once());
+        assertEquals(PAUSE.toMillis(), follower.readOnce());
         store.addResponse(1, OptionalLong.of(120));
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(HOLD, HOLD), store.waits);
         assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
@@ -194,7 +194,7 @@
     void shouldKeepTimeWhenReplacedManifestIsAdded() {
         views.apply(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
         store.addResponse(6, OptionalLong.of(90), manifest(2, 5));
-        follower(Topic.OPERATOR).once();
+        follower(Topic.OPERATOR).readOnce();
         assertEquals(2, views.view().manifest().orElseThrow().version());
         assertEquals(OptionalLong.of(100), views.operatorAsOfMillis());
     }
@@ -219,7 +219,7 @@
     void shouldLackManifestWhenPeerReportedOnlyItsPosition() {
         views.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
         views.confirmOperator(90);
-        views.manifestStands(new ManifestPlace(2, 5));
+        views.recordManifestPosition(new ManifestPosition(2, 5));
         views.apply(Topic.NAMED, List.of(savedPosition(2, 5)), 1);
         assertEquals(OptionalLong.of(5), views.missingManifestOffset());
         assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
@@ -230,10 +230,10 @@
     void shouldHaveNoTimeWhileSavedItemsAreUnreadable() {
         TopicReader withoutSaved = new TopicReader() {
             @Override
-            public Result<Batch> newest(Topic topic) {
+            public Result<Batch> readLatest(Topic topic) {
                 return topic == Topic.NAMED
                         ? Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.OVERLOADED, "refused"))
-                        : store.newest(topic);
+                        : store.readLatest(topic);
             }
 
             @Override
@@ -241,9 +241,14 @@
                 return store.read(topic, from, wait);
             }
         };
-        NamedVersions versions = new NamedVersions(
-                withoutSaved, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
-        new StoreFollower(Topic.OPERATOR, versions, views, topic -> {}, new StoreFollower.Pace(HOLD, PAUSE)).once();
+        VersionPersistence versions = new VersionPersistence(
+                withoutSaved,
+                item -> Result.success(List.of()),
+                views,
+                () -> VersionPersistence.WriteRole.NONE,
+                () -> {});
+        new StoreFollower(Topic.OPERATOR, versions, views, topic -> {}, new StoreFollower.PollTiming(HOLD, PAUSE))
+                .readOnce();
         assertEquals(1, views.view().manifest().orElseThrow().version());
         assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
--- a/src/test/java/org/micabarrow/views/PartialOutageTest.java
+++ b/src/test/java/org/micabarrow/views/PartialOutageTest.java
@@ -21,7 +21,7 @@
  */
 class PartialOutageTest {
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 1_000_000);
 
     private static StoredRecord record(String id, long offset, String value) {
         return new StoredRecord(id, offset, value.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/micabarrow/views/NewsReaderTest.java
+++ b/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
@@ -25,7 +25,7 @@
  * must neither make agents miss records nor keep them from reading the store when no updates arrive.
  */
 @Timeout(30)
-class NewsReaderTest {
+class PeerFirstReaderTest {
 
     private static final Duration HOLD = Duration.ofMillis(50);
     private static final String PEER = "10.0.0.1:8000";
@@ -40,7 +40,7 @@
 
     private final TopicReader store = new TopicReader() {
         @Override
-        public Result<Batch> newest(Topic topic) {
+        public Result<Batch> readLatest(Topic topic) {
             requests.add("newest");
             return Result.success(new Batch(List.of(), 7));
         }
@@ -55,13 +55,13 @@
         }
     };
 
-    private final NewsReader reader = new NewsReader(
+    private final PeerFirstReader reader = new PeerFirstReader(
             store,
             (peer, topic, from, timeout) -> {
                 requests.add(peer);
                 return peerResponse;
             },
-            new NewsReader.Role.Agent(),
+            new PeerFirstReader.Role.Agent(),
             now::get);
 
     private Batch read(long from) {
@@ -81,22 +81,22 @@
 
     @Test
     void shouldSendNoRequestWhenNothingIsNewer() {
-        reader.told(PEER, new LastChanges(7, 90), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(7, 90), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), requests);
     }
 
     @Test
     void shouldReadFromPeerWithNewestRecords() {
-        reader.told(OTHER_PEER, new LastChanges(8, 0), now.get());
-        reader.told(PEER, new LastChanges(9, 0), now.get());
+        reader.onUpdate(OTHER_PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0), now.get());
         assertEquals(new Batch(List.of(RECORD), 8), read(7));
         assertEquals(List.of(PEER), requests);
     }
 
     @Test
     void shouldReadStoreWhenUpdatesHaveExpired() {
-        reader.told(PEER, new LastChanges(7, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         now.addAndGet(1_000);
         read(7);
         assertEquals(List.of("store"), requests);
@@ -105,7 +105,7 @@
     @Test
     void shouldReadStoreWhenPeerDoesNotRespond() {
         peerResponse = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
         assertEquals(List.of(PEER, "store"), requests);
     }
@@ -114,7 +114,7 @@
     @Test
     void shouldReadStoreWhenPeerLacksEarlierRecords() {
         peerResponse = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
         assertEquals(List.of(PEER, "store"), requests);
     }
@@ -122,8 +122,8 @@
     @Test
     void shouldNotRequestAgainWhenPeerDidNotReturnAnnouncedRecords() {
         peerResponse = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
-        reader.told(OTHER_PEER, new LastChanges(7, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(OTHER_PEER, new ChangeOffsets(7, 0), now.get());
         read(7);
         read(7);
         assertEquals(List.of(PEER, "store"), requests);
@@ -135,8 +135,8 @@
      */
     @Test
     void shouldUseLastUpdateOfPeer() {
-        reader.told(PEER, new LastChanges(8, 0), now.get());
-        reader.told(PEER, new LastChanges(0, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(0, 0), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), requests);
     }
@@ -144,36 +144,36 @@
     @Test
     void shouldTrackTopicsSeparately() {
         peerResponse = Result.success(new Batch(List.of(), 90));
-        reader.told(PEER, new LastChanges(7, 90), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(7, 90), now.get());
         reader.read(Topic.ENDPOINTS, 80, Duration.ZERO);
         assertEquals(List.of(PEER), requests);
     }
 
     @Test
     void shouldReadLatestRecordsFromStore() {
-        reader.told(PEER, new LastChanges(8, 8), now.get());
-        reader.newest(Topic.OPERATOR);
-        reader.newest(Topic.NAMED);
+        reader.onUpdate(PEER, new ChangeOffsets(8, 8), now.get());
+        reader.readLatest(Topic.OPERATOR);
+        reader.readLatest(Topic.NAMED);
         assertEquals(List.of("newest", "newest"), requests);
     }
 
     @Test
     void shouldReadAtOnceWhenUpdateArrivesDuringWait() throws Exception {
-        reader.told(PEER, new LastChanges(7, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         CompletableFuture<Read> waiting = CompletableFuture.supplyAsync(() ->
                 reader.read(Topic.OPERATOR, 7, Duration.ofDays(1)).toOptional().orElseThrow());
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), waiting.get(20, TimeUnit.SECONDS));
     }
 
     @Test
     void shouldEndWaitWhenItTimesOut() {
-        NewsReader realTimeReader = new NewsReader(
+        PeerFirstReader realTimeReader = new PeerFirstReader(
                 store,
                 (peer, topic, from, timeout) -> peerResponse,
-                new NewsReader.Role.Agent(),
+                new PeerFirstReader.Role.Agent(),
                 () -> System.nanoTime() / 1_000_000);
-        realTimeReader.told(PEER, new LastChanges(7, 0), now.get());
+        realTimeReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         assertEquals(
                 new Read.Records(new Batch(List.of(), 7)),
                 realTimeReader.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
@@ -187,7 +187,7 @@
      */
     @Test
     void shouldNotReadManifestWhenItChangesNothingThatAgentsUse() {
-        reader.told(PEER, new LastChanges(9, 0, 7), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0, 7), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), requests);
     }
@@ -195,7 +195,7 @@
     /** The latest record of a model alone may name an older version that was written late. */
     @Test
     void shouldReadSkippedRecordsWhenUpdatesHaveExpired() {
-        reader.told(PEER, new LastChanges(9, 0, 7), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0, 7), now.get());
         now.addAndGet(1_000);
         read(7);
         read(9);
@@ -207,13 +207,13 @@
     private static final String SELF = "10.0.0.1:9000";
     private static final long MAX_AGE_MILLIS = 1_500;
 
-    private final NewsReader entryReader = new NewsReader(
+    private final PeerFirstReader entryReader = new PeerFirstReader(
             store,
             (peer, topic, from, timeout) -> {
                 requests.add(peer);
                 return peerResponse;
             },
-            new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS),
+            new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS),
             now::get);
 
     private Read readByEntry(long from) {
@@ -225,19 +225,19 @@
 
     @Test
     void shouldReadFromReaderOfRegionWhenItsAddressSortsFirst() {
-        entryReader.told(PEER, new LastChanges(8, 0, 0), now.get());
+        entryReader.onUpdate(PEER, new ChangeOffsets(8, 0, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
         assertEquals(List.of(PEER), requests);
-        assertFalse(entryReader.direct());
+        assertFalse(entryReader.readsStoreDirectly());
     }
 
     /** Two entries that relied on each other would both learn nothing. */
     @Test
     void shouldReadStoreWhenAddressOfReaderSortsLater() {
-        entryReader.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+        entryReader.onUpdate("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         readByEntry(7);
         assertEquals(List.of("store"), requests);
-        assertTrue(entryReader.direct());
+        assertTrue(entryReader.readsStoreDirectly());
     }
 
     /**
@@ -246,14 +246,14 @@
      */
     @Test
     void shouldReadStoreWhenKnowledgeOfReaderIsTooOld() {
-        entryReader.told(PEER, new LastChanges(7, 0), now.get() - MAX_AGE_MILLIS);
+        entryReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get() - MAX_AGE_MILLIS);
         readByEntry(7);
         assertEquals(List.of("store"), requests);
     }
 
     @Test
     void shouldReadStoreWhenReaderStopsSendingUpdates() {
-        entryReader.told(PEER, new LastChanges(7, 0), now.get());
+        entryReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         readByEntry(7);
         now.addAndGet(1_000);
         readByEntry(7);
@@ -265,10 +265,10 @@
     void shouldReadFromAnyReaderWhenStoreDoesNotRespond() {
         storeDown = true;
         entryReader.read(Topic.OPERATOR, 7, Duration.ZERO);
-        entryReader.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+        entryReader.onUpdate("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
         assertEquals(List.of("store", "10.0.0.2:8000"), requests);
-        assertFalse(entryReader.direct());
+        assertFalse(entryReader.readsStoreDirectly());
     }
 
     /**
@@ -283,7 +283,7 @@
         AtomicLong waited = new AtomicLong();
         TopicReader quiet = new TopicReader() {
             @Override
-            public Result<Batch> newest(Topic topic) {
+            public Result<Batch> readLatest(Topic topic) {
                 return Result.success(new Batch(List.of(), 7));
             }
 
@@ -293,13 +293,13 @@
                 return Result.success(new Read.Records(new Batch(List.of(), from)));
             }
         };
-        NewsReader follower = new NewsReader(
+        PeerFirstReader follower = new PeerFirstReader(
                 quiet,
                 (peer, topic, from, timeout) -> peerResponse,
-                new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS),
+                new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS),
                 now::get);
         long asOf = now.get();
-        follower.told(PEER, new LastChanges(7, 0), asOf);
+        follower.onUpdate(PEER, new ChangeOffsets(7, 0), asOf);
         now.addAndGet(MAX_AGE_MILLIS);
         follower.read(Topic.OPERATOR, 7, hold);
         long age = now.get() + waited.get() - asOf;
@@ -313,12 +313,13 @@
     @Test
     void shouldReadStoreWhenResponseOfReaderOutlastsItsUpdate() {
         List<Duration> timeouts = new ArrayList<>();
-        NewsReader.Peers slow = (peer, topic, from, timeout) -> {
+        PeerFirstReader.PeerSource slow = (peer, topic, from, timeout) -> {
             timeouts.add(timeout);
             return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the response stopped"));
         };
-        NewsReader follower = new NewsReader(store, slow, new NewsReader.Role.Entry(SELF, MAX_AGE_MILLIS), now::get);
-        follower.told(PEER, new LastChanges(8, 0), now.get() - 1_000);
+        PeerFirstReader follower =
+                new PeerFirstReader(store, slow, new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS), now::get);
+        follower.onUpdate(PEER, new ChangeOffsets(8, 0), now.get() - 1_000);
         follower.read(Topic.OPERATOR, 7, HOLD);
         assertEquals(List.of(Duration.ofMillis(MAX_AGE_MILLIS - 1_000)), timeouts);
         assertEquals(List.of("store"), requests);
@@ -330,7 +331,7 @@
      */
     @Test
     void shouldReadStoreAsAgentWhenKnowledgeOfEntriesIsTooOld() {
-        reader.told(PEER, new LastChanges(7, 0), now.get() - 10_000);
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get() - 10_000);
         read(7);
         assertEquals(List.of("store"), requests);
     }
@@ -342,11 +343,11 @@
      */
     @Test
     void shouldReadReplacedManifestAsAgentWhenServicesChangedBeforeIt() {
-        ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer views = new ViewMaintainer(new StoreRecords(), now::get);
         StoredRecord third = new StoredRecord("config", 2, manifest(3));
         TopicReader history = new TopicReader() {
             @Override
-            public Result<Batch> newest(Topic topic) {
+            public Result<Batch> readLatest(Topic topic) {
                 byte[] place = "{\"version\":3,\"offset\":2}".getBytes(StandardCharsets.UTF_8);
                 return Result.success(
                         topic == Topic.NAMED
@@ -359,15 +360,15 @@
                 return Result.success(new Read.Records(new Batch(List.of(third), 3)));
             }
         };
-        NewsReader agent = new NewsReader(
+        PeerFirstReader agent = new PeerFirstReader(
                 history,
                 (peer, topic, from, timeout) -> Result.success(new Batch(List.of(third), 4)),
-                new NewsReader.Role.Agent(),
+                new PeerFirstReader.Role.Agent(),
                 now::get);
-        NamedVersions persistence = new NamedVersions(
-                agent, item -> Result.success(List.of()), views, () -> NamedVersions.Duty.NONE, () -> {});
-        agent.told(PEER, new LastChanges(4, 0, 2), now.get());
-        Batch newest = persistence.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        VersionPersistence persistence = new VersionPersistence(
+                agent, item -> Result.success(List.of()), views, () -> VersionPersistence.WriteRole.NONE, () -> {});
+        agent.onUpdate(PEER, new ChangeOffsets(4, 0, 2), now.get());
+        Batch newest = persistence.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
         assertTrue(newest.records().contains(third), "found: " + newest.records());
     }
 
--- a/src/test/java/org/micabarrow/views/RemovalDelayTest.java
+++ b/src/test/java/org/micabarrow/views/RemovalDelayTest.java
@@ -58,7 +58,7 @@
         private final Failure failure;
         private final long failsAtMillis;
         private final boolean firstPeerDown;
-        private final ViewKeeper views;
+        private final ViewMaintainer views;
         private final StoreFollower follower;
         private long nowMillis;
         private boolean removed;
@@ -70,21 +70,21 @@
             this.nowMillis = startedMillis;
             this.failsAtMillis = failsAtMillis;
             this.firstPeerDown = firstPeerDown;
-            this.views = new ViewKeeper(new StoreRecords(), () -> nowMillis);
+            this.views = new ViewMaintainer(new StoreRecords(), () -> nowMillis);
             this.follower = new StoreFollower(
                     Topic.ENDPOINTS,
                     this,
                     views,
                     topic -> queryPeers(),
-                    LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
+                    DrainTimeBudget.pollTiming(Duration.ofMillis(BOUND_MILLIS)));
         }
 
         /** The time between the removal of the endpoint's entry and its removal from the view. */
         private long delayMillis() {
-            long pause = follower.once();
+            long pause = follower.readOnce();
             while (views.view().endpoints().containsKey("a")) {
                 advance(pause);
-                pause = follower.once();
+                pause = follower.readOnce();
                 assertTrue(nowMillis < REMOVED_AT_MILLIS + 20_000, "the entry never learns of the removal");
             }
             return (removed ? removedAtMillis : nowMillis) - REMOVED_AT_MILLIS;
@@ -137,7 +137,7 @@
         }
 
         @Override
-        public Result<Batch> newest(Topic topic) {
+        public Result<Batch> readLatest(Topic topic) {
             advance(ROUND_TRIP_MILLIS);
             return Result.success(
                     new Batch(List.of(endpoint("a", 0), endpoint("b", 1), endpoint("c", 2)), FIRST_OFFSET));
@@ -145,7 +145,7 @@
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
-            long timeout = wait.plus(LeavingBound.STORE_ANSWER).toMillis();
+            long timeout = wait.plus(DrainTimeBudget.STORE_RESPONSE_TIMEOUT).toMillis();
             long respondsAt = respondsAtMillis(from, wait);
             boolean failsDuringRead = failsAtMillis > nowMillis && failsAtMillis <= respondsAt;
             if (failsDuringRead || isFailing()) {
@@ -177,7 +177,7 @@
         }
 
         private void queryPeers() {
-            advance((firstPeerDown ? LeavingBound.PEER_ANSWER.toMillis() : 0) + ROUND_TRIP_MILLIS);
+            advance((firstPeerDown ? DrainTimeBudget.PEER_RESPONSE_TIMEOUT.toMillis() : 0) + ROUND_TRIP_MILLIS);
             Batch batch = recordsFrom(views.end(Topic.ENDPOINTS), nowMillis);
             views.apply(Topic.ENDPOINTS, batch.records(), batch.end());
         }
@@ -232,7 +232,7 @@
 
         private long nowMillis = REMOVED_AT_MILLIS;
         private int reads;
-        private ViewKeeper views;
+        private ViewMaintainer views;
         private long removedAtMillis = Long.MAX_VALUE;
 
         private void advance(long millis) {
@@ -243,7 +243,7 @@
         }
 
         @Override
-        public Result<Batch> newest(Topic topic) {
+        public Result<Batch> readLatest(Topic topic) {
             return Result.success(new Batch(
                     List.of(
                             SimulatedEntry.endpoint("a", 0),
@@ -279,17 +279,21 @@
     @Test
     void shouldRemoveEndpointWhenPendingRemovalIsDueBetweenReads() {
         ExpiredEntries store = new ExpiredEntries();
-        ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> store.nowMillis);
+        ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> store.nowMillis);
         store.views = views;
         StoreFollower follower = new StoreFollower(
-                Topic.ENDPOINTS, store, views, topic -> {}, LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
-        store.advance(follower.once());
-        store.advance(follower.once());
+                Topic.ENDPOINTS,
+                store,
+                views,
+                topic -> {},
+                DrainTimeBudget.pollTiming(Duration.ofMillis(BOUND_MILLIS)));
+        store.advance(follower.readOnce());
+        store.advance(follower.readOnce());
         long regained = store.nowMillis;
-        store.advance(follower.once());
+        store.advance(follower.readOnce());
         assertTrue(views.view().endpoints().containsKey("a"), "the removal is pending at first");
         while (views.view().endpoints().containsKey("a")) {
-            store.advance(follower.once());
+            store.advance(follower.readOnce());
         }
         long maxDelay = PendingRemovals.REMOVAL_DELAY_MILLIS + 2 * ROUND_TRIP_MILLIS;
         store.advance(0);
@@ -299,6 +303,9 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 500, 1_600, 2_000, 10_000})
     void shouldHoldReadsForAnyBound(long boundMillis) {
-        assertTrue(LeavingBound.pace(Duration.ofMillis(boundMillis)).hold().toMillis() >= 100);
+        assertTrue(DrainTimeBudget.pollTiming(Duration.ofMillis(boundMillis))
+                        .hold()
+                        .toMillis()
+                >= 100);
     }
 }
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -24,7 +24,7 @@
 class StoreFollowerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -57,7 +57,7 @@
         private final List<Duration> holds = new ArrayList<>();
 
         @Override
-        public Result<Batch> newest(Topic topic) {
+        public Result<Batch> readLatest(Topic topic) {
             if (throwOnce) {
                 throwOnce = false;
                 throw new IllegalStateException("simulated failure");
@@ -99,13 +99,13 @@
             reader,
             views,
             queriedTopics::add,
-            new StoreFollower.Pace(Duration.ofMillis(10), Duration.ofMillis(5)));
+            new StoreFollower.PollTiming(Duration.ofMillis(10), Duration.ofMillis(5)));
 
     @Test
     void shouldContinueFromEndOfLatestRecords() {
-        follower.once();
+        follower.readOnce();
         assertEquals(4, manifestVersion());
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L), reader.readFrom);
     }
 
@@ -121,19 +121,19 @@
     @Test
     void shouldQueryPeerWhileStoreIsDown() {
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next read");
+        assertTrue(follower.readOnce() > 0, "it pauses before the next read");
         assertEquals(List.of(Topic.OPERATOR), queriedTopics);
         reader.down = false;
-        follower.once();
+        follower.readOnce();
         assertEquals(4, manifestVersion());
         assertEquals(1, queriedTopics.size());
     }
 
     @Test
     void shouldRetryAtOnceWhenOneReadTimesOut() {
-        follower.once();
+        follower.readOnce();
         reader.timeOutOnce = true;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L), reader.readFrom, "the store may respond on a new connection");
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
         assertEquals(List.of(), queriedTopics);
@@ -141,24 +141,24 @@
 
     @Test
     void shouldRetryAtOnceWhenConnectionWasReset() {
-        follower.once();
+        follower.readOnce();
         reader.reason = Fault.Reason.UNREACHABLE;
         reader.timeOutOnce = true;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
         assertEquals(List.of(), queriedTopics);
     }
 
     @Test
     void shouldReadInEveryThirdRoundWhileStoreIsUnreachable() {
-        follower.once();
+        follower.readOnce();
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next read");
+        assertTrue(follower.readOnce() > 0, "it pauses before the next read");
         assertEquals(List.of(10L, 10L), reader.readFrom);
-        follower.once();
-        follower.once();
+        follower.readOnce();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three rounds only a peer is queried");
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "in the third round the store is read once");
         assertEquals(Collections.nCopies(4, Topic.OPERATOR), queriedTopics, "a peer is queried in each round");
     }
@@ -166,34 +166,34 @@
     /** An entry that was disconnected receives updates from agents before its next read of the store is due. */
     @Test
     void shouldReadInNextRoundWhenPeersSendUpdatesAgain() {
-        follower.once();
+        follower.readOnce();
         reader.down = true;
-        follower.once();
+        follower.readOnce();
         reader.peerUpdates = true;
         reader.down = false;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L, 10L), reader.readFrom);
-        assertTrue(follower.inTouch());
+        assertTrue(follower.isConnected());
     }
 
     @Test
     void shouldNotRetryAtOnceWhenStoreRefuses() {
-        follower.once();
+        follower.readOnce();
         reader.down = true;
         reader.reason = Fault.Reason.OVERLOADED;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L), reader.readFrom);
         assertEquals(List.of(Topic.OPERATOR), queriedTopics);
     }
 
     @Test
     void shouldReadLatestRecordsAgainWhenHistoryExpired() {
-        follower.once();
+        follower.readOnce();
         reader.expired = true;
-        follower.once();
+        follower.readOnce();
         reader.expired = false;
-        follower.once();
-        follower.once();
+        follower.readOnce();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L), reader.readFrom, "the third round reads the latest records again");
     }
 }
--- a/src/test/java/org/micabarrow/views/TopicCopyTest.java
+++ b/src/test/java/org/micabarrow/views/TopicCopyTest.java
@@ -56,7 +56,7 @@
         copy.apply(List.of(record("a", 1, "x")), 2);
         copy.apply(List.of(record("a", 4, "")), 5);
         assertEquals(1, copy.since(3).size());
-        assertTrue(copy.since(3).getFirst().dropped());
+        assertTrue(copy.since(3).getFirst().isTombstone());
     }
 
     /**
--- a/src/test/java/org/micabarrow/views/NamedVersionsTest.java
+++ b/src/test/java/org/micabarrow/views/VersionPersistenceTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.StoreRecords;
 
 /** Tests how named weight versions are saved and restored with late writes, lost responses and restarting processes. */
-class NamedVersionsTest {
+class VersionPersistenceTest {
 
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final AtomicBoolean primary = new AtomicBoolean(true);
@@ -33,17 +33,17 @@
     /** A process that has read the operator records. */
     private final class TestProcess {
 
-        private final ViewKeeper views = new ViewKeeper(new StoreRecords(), monotonic::get, unix::get);
-        private final NamedVersions persistence = new NamedVersions(store, store, views, primary::get);
+        private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), monotonic::get, unix::get);
+        private final VersionPersistence persistence = new VersionPersistence(store, store, views, primary::get);
         private final StoreFollower follower = new StoreFollower(
                 Topic.OPERATOR,
                 persistence,
                 views,
                 topic -> {},
-                new StoreFollower.Pace(Duration.ofMillis(10), Duration.ofMillis(5)));
+                new StoreFollower.PollTiming(Duration.ofMillis(10), Duration.ofMillis(5)));
 
         private TestProcess() {
-            follower.once();
+            follower.readOnce();
         }
 
         /** The saved versions are read several times after startup. */
@@ -151,7 +151,7 @@
     void shouldRestoreAgainWhenLatestRecordsAreReadAgain() {
         writeNamedVersion(2);
         TestProcess node = new TestProcess();
-        node.persistence.newest(Topic.OPERATOR);
+        node.persistence.readLatest(Topic.OPERATOR);
         assertEquals(
                 List.of(Topic.NAMED, Topic.OPERATOR, Topic.NAMED, Topic.OPERATOR),
                 store.latestReads,
@@ -168,7 +168,11 @@
         assertEquals(30, fresh.newestVersion());
         assertEquals(
                 9,
-                store.newest(Topic.NAMED).toOptional().orElseThrow().records().size());
+                store.readLatest(Topic.NAMED)
+                        .toOptional()
+                        .orElseThrow()
+                        .records()
+                        .size());
     }
 
     @Test
@@ -187,12 +191,12 @@
         writeNamedVersion(2);
         new TestProcess().persistence.check();
         TestProcess fresh = new TestProcess();
-        assertFalse(fresh.views.view().newestTarget("m").orElseThrow().seenNamed());
+        assertFalse(fresh.views.view().newestTarget("m").orElseThrow().namingObserved());
         fresh.views.apply(
                 Topic.OPERATOR,
                 List.of(new StoredRecord("version/m", 7, named("m", 3).getBytes(StandardCharsets.UTF_8))),
                 8);
-        assertTrue(fresh.views.view().newestTarget("m").orElseThrow().seenNamed());
+        assertTrue(fresh.views.view().newestTarget("m").orElseThrow().namingObserved());
     }
 
     // -- the time at which a version was named
@@ -203,7 +207,7 @@
     }
 
     private long minVersion(TestProcess node) {
-        return node.views.view().leastVersion("m", 8_000, monotonic.get());
+        return node.views.view().minVersion("m", 8_000, monotonic.get());
     }
 
     /** A running process observes that version 2 is named, and saves it. */
@@ -271,7 +275,7 @@
         TestProcess fresh = new TestProcess();
         store.down = false;
         fresh.persistence.check();
-        assertFalse(fresh.views.view().newestTarget("m").orElseThrow().seenNamed());
+        assertFalse(fresh.views.view().newestTarget("m").orElseThrow().namingObserved());
     }
 
     /** A request for chunks from an agent states a version, which must not be saved for all later processes. */
@@ -279,7 +283,7 @@
     void shouldNotSaveVersionWhenOnlyPeerReportedIt() {
         writeNamedVersion(2);
         TestProcess node = new TestProcess();
-        node.views.want("m", 999);
+        node.views.addPeerTarget("m", 999);
         node.persistence.check();
         assertEquals(2, new TestProcess().newestVersion());
     }
@@ -314,7 +318,7 @@
         store.append(Topic.OPERATOR, "config", "{\"version\":" + version + ",\"routes\":[],\"services\":[]}");
     }
 
-    private static long manifestVersion(ViewKeeper views) {
+    private static long manifestVersion(ViewMaintainer views) {
         return views.view().manifest().orElseThrow().version();
     }
 
@@ -325,18 +329,22 @@
         TestProcess running = new TestProcess();
         running.persistence.check();
         writeManifest(1);
-        running.follower.once();
+        running.follower.readOnce();
         store.historyExpired = true;
-        ViewKeeper fresh = new ViewKeeper(new StoreRecords(), monotonic::get, unix::get);
+        ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), monotonic::get, unix::get);
         Runnable requestFromPeer = () -> {
-            TopicReader.Batch batch = running.views.since(Topic.OPERATOR, fresh.askFrom(Topic.OPERATOR));
+            TopicReader.Batch batch = running.views.since(Topic.OPERATOR, fresh.peerReadOffset(Topic.OPERATOR));
             fresh.apply(Topic.OPERATOR, batch.records(), batch.end());
         };
-        NamedVersions persistence =
-                new NamedVersions(store, store, fresh, () -> NamedVersions.Duty.NONE, requestFromPeer);
+        VersionPersistence persistence =
+                new VersionPersistence(store, store, fresh, () -> VersionPersistence.WriteRole.NONE, requestFromPeer);
         fresh.replace(
                 Topic.OPERATOR,
-                persistence.newest(Topic.OPERATOR).toOptional().orElseThrow().records(),
+                persistence
+                        .readLatest(Topic.OPERATOR)
+                        .toOptional()
+                        .orElseThrow()
+                        .records(),
                 2);
         assertEquals(2, manifestVersion(fresh));
     }
@@ -362,8 +370,8 @@
         new TestProcess().persistence.check();
         writeManifest(1);
         for (int i = 0; i < 200; i++) {
-            ViewKeeper fresh = new ViewKeeper(new StoreRecords(), monotonic::get, unix::get);
-            NamedVersions persistence = new NamedVersions(store, store, fresh, primary::get);
+            ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), monotonic::get, unix::get);
+            VersionPersistence persistence = new VersionPersistence(store, store, fresh, primary::get);
             CompletableFuture<Long> first = CompletableFuture.supplyAsync(() -> {
                 while (fresh.view().manifest().isEmpty()) {
                     Thread.onSpinWait();
@@ -373,7 +381,7 @@
             fresh.replace(
                     Topic.OPERATOR,
                     persistence
-                            .newest(Topic.OPERATOR)
+                            .readLatest(Topic.OPERATOR)
                             .toOptional()
                             .orElseThrow()
                             .records(),
@@ -405,7 +413,7 @@
         }
         assertEquals(
                 List.of("manifest/9"),
-                store.newest(Topic.NAMED).toOptional().orElseThrow().records().stream()
+                store.readLatest(Topic.NAMED).toOptional().orElseThrow().records().stream()
                         .map(StoredRecord::key)
                         .toList());
     }
@@ -423,15 +431,15 @@
 
     @Test
     void shouldEnforceDeadlineOfSupersededTarget() {
-        ViewKeeper fresh = new ViewKeeper(new StoreRecords(), monotonic::get, unix::get);
+        ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), monotonic::get, unix::get);
         fresh.replace(Topic.NAMED, List.of(record("version/m/3", 0, named("m", 3))), 1);
         advance(5_000);
         fresh.replace(Topic.OPERATOR, List.of(record("version/m", 0, named("m", 4))), 1);
-        assertEquals(4, fresh.view().newerNamed("m", 2).orElseThrow().version(), "version 3 must not be fetched");
+        assertEquals(4, fresh.view().nextTarget("m", 2).orElseThrow().version(), "version 3 must not be fetched");
         advance(3_001);
-        assertEquals(3, fresh.view().leastVersion("m", 8_000, monotonic.get()), "8 s after version 3 was first read");
+        assertEquals(3, fresh.view().minVersion("m", 8_000, monotonic.get()), "8 s after version 3 was first read");
         advance(5_000);
-        assertEquals(4, fresh.view().leastVersion("m", 8_000, monotonic.get()));
+        assertEquals(4, fresh.view().minVersion("m", 8_000, monotonic.get()));
     }
 
     private static StoredRecord record(String key, long offset, String value) {
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewMaintainerTest.java
@@ -21,10 +21,10 @@
 import org.slf4j.LoggerFactory;
 
 /** Tests the view through store outages, expired history and updates from peers. */
-class ViewKeeperTest {
+class ViewMaintainerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -100,45 +100,45 @@
     @Test
     void shouldLearnNewestVersionFromPeerWhenOlderOneWasWrittenLate() {
         views.apply(Topic.OPERATOR, List.of(named(3, 5), named(2, 6)), 7);
-        ViewKeeper reader = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer reader = new ViewMaintainer(new StoreRecords(), now::get);
         TopicReader.Batch batch = views.since(Topic.OPERATOR, 0);
         reader.apply(Topic.OPERATOR, batch.records(), batch.end());
         assertEquals(3, reader.view().newestTarget("m").orElseThrow().version());
         assertEquals(
                 List.of(3L),
                 reader.unsavedVersions().stream()
-                        .map(one -> ((Unkept.Weights) one).version())
+                        .map(one -> ((UnsavedItem.Weights) one).version())
                         .toList());
     }
 
     @Test
     void shouldRequireVersionWhenItsBoundHasPassed() {
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         now.addAndGet(3_000);
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         now.addAndGet(5_500);
-        assertEquals(2, views.view().leastVersion("m", 8_000, now.get()));
+        assertEquals(2, views.view().minVersion("m", 8_000, now.get()));
         now.addAndGet(3_000);
-        assertEquals(3, views.view().leastVersion("m", 8_000, now.get()));
+        assertEquals(3, views.view().minVersion("m", 8_000, now.get()));
     }
 
     @Test
     void shouldKeepTimeOfNamingWhenVersionIsReportedAgain() {
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         now.addAndGet(9_000);
-        views.want("m", 2);
-        views.want("m", 1);
-        assertEquals(2, views.view().leastVersion("m", 8_000, now.get()));
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 1);
+        assertEquals(2, views.view().minVersion("m", 8_000, now.get()));
     }
 
     @Test
     void shouldDistinguishObservedNamingFromEarlierNaming() {
         StoredRecord found = record("version/m", 1, "{\"model\":\"m\",\"version\":2}");
         views.replace(Topic.OPERATOR, List.of(found), 2);
-        assertFalse(views.view().newestTarget("m").orElseThrow().seenNamed());
+        assertFalse(views.view().newestTarget("m").orElseThrow().namingObserved());
         StoredRecord named = record("version/m", 2, "{\"model\":\"m\",\"version\":3}");
         views.apply(Topic.OPERATOR, List.of(named), 3);
-        assertTrue(views.view().newestTarget("m").orElseThrow().seenNamed());
+        assertTrue(views.view().newestTarget("m").orElseThrow().namingObserved());
     }
 
     // -- endpoints
@@ -243,7 +243,7 @@
     @Test
     void shouldLearnOfRemovalWhenPeerStartedAfterIt() {
         endpoints(6, endpoint("a", 5));
-        ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer peer = new ViewMaintainer(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("b", 7)), 8);
         Batch batch = peer.since(Topic.ENDPOINTS, views.end(Topic.ENDPOINTS));
         views.apply(Topic.ENDPOINTS, batch.records(), batch.end());
@@ -254,7 +254,7 @@
     @Test
     void shouldContinueFromEndOfPeerWhenPeerHasReadAllRecords() {
         endpoints(6, endpoint("a", 5));
-        ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer peer = new ViewMaintainer(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("a", 5)), 6);
         peer.apply(Topic.ENDPOINTS, List.of(record("a", 6, ""), endpoint("b", 7)), 8);
         Batch batch = peer.since(Topic.ENDPOINTS, views.end(Topic.ENDPOINTS));
@@ -328,7 +328,7 @@
 
     @Test
     void shouldLogInvalidEntryOnceWhenItIsWrittenRepeatedly() {
-        Logger logger = (Logger) LoggerFactory.getLogger(ViewKeeper.class);
+        Logger logger = (Logger) LoggerFactory.getLogger(ViewMaintainer.class);
         ListAppender<ILoggingEvent> lines = new ListAppender<>();
         lines.start();
         logger.addAppender(lines);
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -16,7 +16,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
 import org.micabarrow.views.StoredRecord;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
@@ -85,7 +85,7 @@
     private final Policy policy;
     private final Random random;
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new EmptyDecoder(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new EmptyDecoder(), now::get);
     private final List<SimulatedAgent> simulatedAgents = new ArrayList<>();
     private final Map<Long, BitSet> servedByOrigin = Map.of(2L, new BitSet(), 3L, new BitSet());
     private double originCredit;
@@ -111,12 +111,12 @@
         }
 
         @Override
-        public Result<OperatorRecord> operator(StoredRecord record) {
-            return Result.success(new OperatorRecord.Unused());
+        public Result<OperatorRecord> decodeOperatorRecord(StoredRecord record) {
+            return Result.success(new OperatorRecord.UnusedRecord());
         }
 
         @Override
-        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+        public Result<EndpointRegistration> decodeEndpointRegistration(StoredRecord record) {
             return notFound();
         }
     }
@@ -283,7 +283,7 @@
         }
 
         private void checkInvariants() {
-            long minVersion = views.view().leastVersion("m", MAX_STALENESS_MILLIS, now.get());
+            long minVersion = views.view().minVersion("m", MAX_STALENESS_MILLIS, now.get());
             if (endpoint.held != 0 && !endpoint.busy && endpoint.held < minVersion) {
                 throw new AssertionError(
                         "serves " + endpoint.held + " although " + minVersion + " is required: " + scenario);
@@ -316,11 +316,11 @@
         int steps = 0;
         for (; now.get() < end; now.addAndGet(STEP_MILLIS)) {
             if (now.get() == secondNamedMillis) {
-                views.want("m", 2);
+                views.addPeerTarget("m", 2);
             }
             if (now.get() >= secondNamedMillis + scenario.thirdNamedAfterMillis()
                     && views.view().newestTarget("m").stream().allMatch(target -> target.version() < 3)) {
-                views.want("m", 3);
+                views.addPeerTarget("m", 3);
             }
             if (random.nextDouble() < scenario.failureRate()) {
                 simulatedAgents.get(random.nextInt(simulatedAgents.size())).injectFailure();
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
@@ -39,7 +39,7 @@
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final FakeOrigin origin = new FakeOrigin(now);
     private final Peer peer = new Peer();
-    private final ViewKeeper views = new ViewKeeper(new OverlapSimulation.EmptyDecoder(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new OverlapSimulation.EmptyDecoder(), now::get);
     private final VersionDeadlines deadlines =
             new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, MAX_STALENESS_MILLIS, now::get);
     private final VersionFetches fetches = new VersionFetches(
@@ -103,10 +103,10 @@
 
     @BeforeEach
     void nameTwoVersionsAndStopOrigin() {
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         putFirst(2, 3);
         now.addAndGet(2_000);
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         origin.maxServedVersion = 1;
         peer.heldChunks.put(2L, FakeOrigin.CHUNKS);
     }
@@ -147,7 +147,7 @@
 
     @Test
     void shouldReturnToAbandonedVersionWhenNewestIsStalled() throws Exception {
-        views.want("m", 4);
+        views.addPeerTarget("m", 4);
         now.addAndGet(MAX_STALENESS_MILLIS - 500);
         peer.chunkMillis = 400;
         peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
@@ -155,7 +155,7 @@
         AtomicInteger servedChunks = new AtomicInteger();
         peer.onServed = version -> {
             if (version == 4 && servedChunks.incrementAndGet() == 3) {
-                views.want("m", 5);
+                views.addPeerTarget("m", 5);
             }
         };
         fetches.fetchNewerThan("m", 3);
@@ -172,7 +172,7 @@
         peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
         peer.onRequest = version -> {
             if (version == 3) {
-                views.want("m", 4);
+                views.addPeerTarget("m", 4);
             }
         };
         fetches.fetchNewerThan("m", 1);
--- a/src/test/java/org/micabarrow/weights/ReplicaControllerTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerTest.java
@@ -18,7 +18,7 @@
         endpoint.held = 1;
         controller.refresh();
         assertTrue(controller.isUpToDate());
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         assertFalse(controller.isUpToDate(), "a newer version is named");
     }
 
@@ -32,8 +32,8 @@
     @Test
     void shouldFetchPreviousVersionWhenNoSourceKnowsNewest() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 3);
         origin.maxKnownVersion = 2;
         fetch();
         assertEquals(
@@ -44,8 +44,8 @@
     @Test
     void shouldFetchPreviousVersionWhenNewestIsStalled() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 3);
         origin.maxServedVersion = 2;
         fetch();
         assertEquals(0, controller.chunkSet("m", 3).map(ChunkSet::presentCount).orElse(-1));
@@ -63,10 +63,10 @@
     /** Version 2 is complete, and six of eight chunks of version 3 are present one second after its fetch started. */
     private Thread fetchMostOfThirdVersion() throws InterruptedException {
         endpoint.held = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         origin.servedEnd = FakeOrigin.CHUNKS - 2;
         Thread fetching = fetchInBackground(3, FakeOrigin.CHUNKS - 2);
         now.addAndGet(1_000);
@@ -113,8 +113,8 @@
     @Test
     void shouldFetchOnlyNewestWhenPreviousVersionHasExpired() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 3);
         now.addAndGet(MAX_STALENESS_MILLIS + 1);
         origin.maxKnownVersion = 2;
         fetch();
@@ -133,7 +133,7 @@
     @Test
     void shouldWaitForScheduledTimeWhenEndpointServesOlderVersion() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetch();
         controller.step();
         assertEquals(List.of(), endpoint.orders);
@@ -145,7 +145,7 @@
     @Test
     void shouldCloseCordonBeforeOrder() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
@@ -166,7 +166,7 @@
     void shouldCloseCordonWhileLastChunksArrive() throws Exception {
         endpoint.held = 1;
         origin.servedEnd = FakeOrigin.CHUNKS - 2;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         Thread fetching = fetchInBackground(2, FakeOrigin.CHUNKS - 2);
         controller.step();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
@@ -190,7 +190,7 @@
     void shouldNotCloseCordonEarlyWhenManyChunksAreStagedAtOnce() throws Exception {
         endpoint.held = 1;
         origin.servedEnd = FakeOrigin.CHUNKS - 2;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         Thread fetching = fetchInBackground(2, FakeOrigin.CHUNKS - 2);
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
@@ -204,7 +204,7 @@
     @Test
     void shouldLiftCordonWhenEndpointHoldsVersionBeforeOrder() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         controller.step();
@@ -219,7 +219,7 @@
     @Test
     void shouldRepairCorruptedChunkBeforeOrder() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetch();
         controller.step();
         endpoint.staged.put(3, new byte[] {0});
@@ -245,8 +245,8 @@
     @Test
     void shouldLoadNewestVersionWhenTwoWereNamed() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 3);
         fetch();
         now.addAndGet(MAX_STALENESS_MILLIS / 2);
         stepThroughCordon();
@@ -271,7 +271,7 @@
         controller.readBack();
         origin.servedEnd = 5;
         origin.servedStart = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         Thread fetching = fetchInBackground(2, 4);
         controller.refresh();
         controller.step();
--- a/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
@@ -43,10 +43,10 @@
         }
         secondNamedMillis = now.get();
         thirdNamedMillis = now.get() + random.nextInt((int) FAILING_MILLIS);
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         for (long endMillis = now.get() + FAILING_MILLIS; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
             if (now.get() >= thirdNamedMillis) {
-                views.want("m", 3);
+                views.addPeerTarget("m", 3);
             }
             injectFailure(random);
             LongStream.of(2, 3)
@@ -54,7 +54,7 @@
                     .forEach(version -> addChunk(version, random));
             stepAndCheck();
         }
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         for (long endMillis = now.get() + RECOVERY_MILLIS; now.get() < endMillis; now.addAndGet(STEP_MILLIS)) {
             addChunk(3, random);
             stepAndCheck();
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -44,7 +44,7 @@
     /** The initial state of most cases: the endpoint holds version 1, and version 2 is named. */
     private void nameSecondWhileFirstIsHeld() {
         holdFirstVersion();
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
     }
 
     /** All chunks of version 2 arrive except the last. */
@@ -73,11 +73,11 @@
     void shouldRetireTowardsAnyNewerVersionWithCompleteLayer() throws Exception {
         endpoint.held = 1;
         origin.servedEnd = 2;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetchInBackground(2, 2);
         now.addAndGet(2_000);
         origin.servedEnd = 0;
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         fetchInBackground(3, 0);
         stepFor(STOP_MILLIS - 2_000);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
@@ -87,7 +87,7 @@
     void shouldStopInTimeWhenNoChunkOfNewerVersionHasArrived() throws Exception {
         holdFirstVersion();
         origin.servedEnd = 0;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetchInBackground(2, 0);
         stepFor(STOP_MILLIS);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
@@ -98,7 +98,7 @@
     void shouldStopInTimeWhenNoSourceHasDigestsOfNewerVersion() {
         holdFirstVersion();
         origin.maxKnownVersion = 1;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         stepFor(STOP_MILLIS);
         assertEquals(0, endpoint.held);
         stepFor(STOP_MILLIS);
@@ -108,8 +108,8 @@
     @Test
     void shouldNotLoadExpiredVersionWhenNoSourceHasDigestsOfNewest() throws Exception {
         endpoint.held = 1;
-        views.want("m", 2);
-        views.want("m", 3);
+        views.addPeerTarget("m", 2);
+        views.addPeerTarget("m", 3);
         origin.maxKnownVersion = 2;
         fetch();
         stepFor(2_000);
@@ -140,7 +140,7 @@
     @Test
     void shouldLoadNewestVersionDirectlyWhenUnverifiedLayerIsOfAnother() throws Exception {
         nameSecondWhileFirstIsHeld();
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         stepFor(STOP_MILLIS);
         fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 3"), endpoint.orders);
@@ -150,7 +150,7 @@
     @Test
     void shouldDiscardLayersLoadedBeforeAgentStarted() throws Exception {
         endpoint.loadLayer("m", 2, 0, 0);
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         fetchAll();
         assertEquals(List.of("start 2 layer 0", "start 1 layer 0", "start 2"), endpoint.orders);
         assertFalse(endpoint.servesUnverifiedLayer());
@@ -189,7 +189,7 @@
     void shouldRetryWhenOrderIsRefused() {
         holdFirstVersion();
         endpoint.refusals = 2;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         stepFor(STOP_MILLIS);
         assertEquals(List.of("start 2 layer 0"), endpoint.orders);
     }
@@ -211,7 +211,7 @@
     void shouldNotServeUnverifiedLayerWhenAnswersToOrdersAreLost() throws Exception {
         holdFirstVersion();
         endpoint.lostAnswers = 2;
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         stepFor(STOP_MILLIS);
         assertEquals(0, endpoint.held);
         fetchAll();
@@ -273,7 +273,7 @@
     void shouldNotStopImmediatelyWhenAgentSawNewerVersionBeingNamed() {
         holdFirstVersion();
         views.replace(Topic.OPERATOR, List.of(), 0);
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         addOtherEndpoint(2, FakeEndpoint.LAYERS);
         stepFor(1_000);
         assertEquals(List.of(), endpoint.orders);
