--- /dev/null
+++ b/src/main/java/org/micabarrow/views/ChangeOffsets.java
@@ -0,0 +1,52 @@
+package org.micabarrow.views;
+
+import java.util.List;
+
+/**
+ * Offsets up to which a process knows the records that changed its view. Endpoints rewrite their entries regularly,
+ * mostly without a change, and most manifests change nothing that agents use.
+ *
+ * @param operator the offset after the last operator record that changed the view
+ * @param endpoints the offset after the last endpoint record that changed the view
+ * @param weights the offset after the last operator record that agents use: a named weight version, or a manifest whose
+ *     services differ from those of the previous one
+ */
+public record ChangeOffsets(long operator, long endpoints, long weights) {
+
+    /**
+     * Creates offsets where the last operator record is one that agents use.
+     *
+     * @param operator the offset after the last operator record
+     * @param endpoints the offset after the last endpoint record that changed the view
+     */
+    public ChangeOffsets(long operator, long endpoints) {
+        this(operator, endpoints, operator);
+    }
+
+    /**
+     * Returns the offset of one topic.
+     *
+     * @param topic the topic
+     * @return the offset after the last change; 0 for a topic whose changes are not tracked
+     */
+    public long of(Topic topic) {
+        return switch (topic) {
+            case OPERATOR -> operator;
+            case ENDPOINTS -> endpoints;
+            case NAMED, CRASHES -> 0;
+        };
+    }
+
+    ChangeOffsets withOperator(List<StoredRecord> changed, List<StoredRecord> changedWeights) {
+        return new ChangeOffsets(offsetAfter(operator, changed), endpoints, offsetAfter(weights, changedWeights));
+    }
+
+    ChangeOffsets withEndpoints(List<StoredRecord> changed) {
+        return new ChangeOffsets(operator, offsetAfter(endpoints, changed), weights);
+    }
+
+    private static long offsetAfter(long known, List<StoredRecord> changed) {
+        long last = changed.stream().mapToLong(StoredRecord::offset).max().orElse(-1);
+        return Math.max(known, last + 1);
+    }
+}
--- /dev/null
+++ b/src/main/java/org/micabarrow/views/EndpointListUpdater.java
@@ -0,0 +1,153 @@
+package org.micabarrow.views;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Result;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Applies endpoint entries from the store to the list of endpoints, and handles entries that were written late, are
+ * invalid, or expired during a store outage. Not thread-safe.
+ */
+final class EndpointListUpdater {
+
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListUpdater.class);
+
+    private final RecordDecoder decoder;
+    private final PendingRemovals pendingRemovals = new PendingRemovals();
+    private final LateEntryFilter lateEntries = new LateEntryFilter();
+
+    /** Keys with an invalid entry. An invalid entry is logged once per key, however often it is written. */
+    private final Set<String> invalidKeys = new HashSet<>();
+
+    EndpointListUpdater(RecordDecoder decoder) {
+        this.decoder = decoder;
+    }
+
+    // -- store outages
+
+    /** Records that the store is reachable again after an outage. */
+    void onStoreReachable(long nowMillis) {
+        pendingRemovals.onStoreReachable(nowMillis);
+    }
+
+    /** Returns the list without the endpoints whose pending removal is due; empty if none is due. */
+    Optional<Map<String, EndpointRegistration>> withoutDueRemovals(
+            Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        List<String> due = pendingRemovals.removeDue(nowMillis);
+        if (due.isEmpty()) {
+            return Optional.empty();
+        }
+        Map<String, EndpointRegistration> remaining = new HashMap<>(endpoints);
+        due.forEach(id -> {
+            remaining.remove(id);
+            LOG.info("event=endpoint_gone endpoint={} after=doubt", id);
+        });
+        return Optional.of(remaining);
+    }
+
+    /** Returns the given wait, shortened to the time until the first pending removal is due. */
+    Duration untilNextRemoval(Duration wait, long nowMillis) {
+        OptionalLong dueMillis = pendingRemovals.nextDueMillis();
+        return dueMillis.isEmpty()
+                ? wait
+                : Duration.ofMillis(Math.clamp(dueMillis.getAsLong() - nowMillis, 0, wait.toMillis()));
+    }
+
+    // -- records
+
+    /** Prepares for a batch of records, each of which is passed to {@link #apply} afterwards. */
+    void prepareBatch(List<StoredRecord> records, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        Set<String> removedIds = records.stream()
+                .filter(StoredRecord::isTombstone)
+                .map(StoredRecord::key)
+                .filter(endpoints::containsKey)
+                .collect(Collectors.toSet());
+        pendingRemovals.prepareBatch(removedIds, endpoints.size(), nowMillis);
+    }
+
+    /** Applies a record to the given endpoints. Returns the line to log if anything changed. */
+    Optional<String> apply(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        return record.isTombstone()
+                ? applyTombstone(record, endpoints, nowMillis)
+                : applyEntry(record, endpoints, nowMillis);
+    }
+
+    private Optional<String> applyTombstone(
+            StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        String id = record.key();
+        EndpointRegistration listed = endpoints.get(id);
+        if (listed != null && pendingRemovals.defer(listed, nowMillis)) {
+            return Optional.of("event=endpoint_doubted endpoint=" + id + " offset=" + record.offset());
+        }
+        pendingRemovals.cancel(id);
+        invalidKeys.remove(id);
+        return endpoints.remove(id) == null
+                ? Optional.empty()
+                : Optional.of("event=endpoint_gone endpoint=" + id + " offset=" + record.offset());
+    }
+
+    private Optional<String> applyEntry(
+            StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
+        return switch (decoder.decodeEndpointRegistration(record)) {
+            case Result.Failure<EndpointRegistration>(Fault fault) -> removeInvalid(record, fault.message(), endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
+            when lateEntries.lacksStart(entry) ->
+                removeInvalid(record, "the start time of the endpoint is missing", endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
+            when lateEntries.isSuperseded(entry, nowMillis) ->
+                Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + startedText(entry)
+                        + " leaving=" + entry.draining() + " offset=" + record.offset());
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry) ->
+                applyValid(record, entry, endpoints);
+        };
+    }
+
+    /**
+     * Removes an endpoint whose new entry is invalid. Its previous entry is outdated, and it is unknown whether the
+     * endpoint is still running or draining.
+     */
+    private Optional<String> removeInvalid(
+            StoredRecord record, String why, Map<String, EndpointRegistration> endpoints) {
+        String id = record.key();
+        pendingRemovals.cancel(id);
+        boolean firstTime = invalidKeys.add(id);
+        boolean listed = endpoints.remove(id) != null;
+        return firstTime || listed
+                ? Optional.of("event=entry_refused endpoint=" + record.loggableKey() + " known=" + listed + " offset="
+                        + record.offset() + " why=\"" + why + "\"")
+                : Optional.empty();
+    }
+
+    private Optional<String> applyValid(
+            StoredRecord record, EndpointRegistration entry, Map<String, EndpointRegistration> endpoints) {
+        pendingRemovals.cancel(entry.id());
+        invalidKeys.remove(entry.id());
+        EndpointRegistration previous = endpoints.put(entry.id(), entry);
+        if (previous != null && entry.sameContentAs(previous)) {
+            return Optional.empty();
+        }
+        boolean restarted = previous != null && !previous.start().equals(entry.start());
+        String event = restarted ? "endpoint_restarted" : "endpoint_changed";
+        return Optional.of("event=" + event + " endpoint=" + entry.id() + " address=" + entry.address() + " leaving="
+                + entry.draining() + " models="
+                + StoredRecord.loggable(entry.models().toString()) + " started=" + startedText(entry) + " offset="
+                + record.offset());
+    }
+
+    private static String startedText(EndpointRegistration entry) {
+        return entry.startedMillis().isEmpty()
+                ? "-"
+                : String.valueOf(entry.startedMillis().getAsLong());
+    }
+}
--- a/src/main/java/org/micabarrow/views/ManifestPlace.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package org.micabarrow.views;
-
-/**
- * Where a manifest stands among what operators wrote.
- *
- * @param version its version
- * @param offset its offset
- */
-public record ManifestPlace(long version, long offset) {}
--- /dev/null
+++ b/src/main/java/org/micabarrow/views/ViewMaintainer.java
@@ -0,0 +1,311 @@
+package org.micabarrow.views;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import org.micabarrow.routing.EndpointRegistration;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Maintains copies of the store's topics and publishes the resulting view. Records may come from the store or from
+ * peers, in any order. Changes are made under one lock; readers see immutable views.
+ */
+public final class ViewMaintainer {
+
+    private static final Logger LOG = LoggerFactory.getLogger(ViewMaintainer.class);
+
+    private final LongSupplier monotonicMillis;
+    private final Map<Topic, TopicCopy> copies = new HashMap<>();
+    private final EndpointListUpdater endpointList;
+    private final OperatorState operatorState;
+    private final OperatorFreshness freshness = new OperatorFreshness();
+    private volatile ChangeOffsets changes = new ChangeOffsets(0, 0, 0);
+    private volatile View view = View.empty();
+    private volatile Consumer<List<StoredRecord>> crashListener = newRecords -> {};
+
+    /**
+     * Creates an instance without any records.
+     *
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     */
+    public ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis) {
+        this(decoder, monotonicMillis, System::currentTimeMillis);
+    }
+
+    /**
+     * Creates an instance without any records, with a given time of day.
+     *
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param unixMillis the time of day, in milliseconds, which may be off by some seconds
+     */
+    ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
+        Objects.requireNonNull(decoder, "decoder is null");
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        this.operatorState =
+                new OperatorState(decoder, monotonicMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
+        this.endpointList = new EndpointListUpdater(decoder);
+        for (Topic topic : Topic.values()) {
+            copies.put(topic, new TopicCopy());
+        }
+    }
+
+    /**
+     * The current view.
+     *
+     * @return an immutable view
+     */
+    public View view() {
+        return view;
+    }
+
+    /**
+     * The offsets up to which the records that changed the view are known.
+     *
+     * @return the offsets
+     */
+    public ChangeOffsets changes() {
+        return changes;
+    }
+
+    /**
+     * Sets the listener for new records of {@link Topic#CRASHES}, which do not change the view.
+     *
+     * @param listener receives the records; it is called under the lock of this object and must not block
+     */
+    public void onCrashRecords(Consumer<List<StoredRecord>> listener) {
+        crashListener = Objects.requireNonNull(listener, "listener is null");
+    }
+
+    // -- records
+
+    /**
+     * Applies records of a topic.
+     *
+     * @param topic the topic
+     * @param records the records
+     * @param readTo the offset up to which the topic is now known
+     */
+    public synchronized void apply(Topic topic, Collection<StoredRecord> records, long readTo) {
+        applyMissingManifest(topic, records);
+        publish(topic, copies.get(topic).apply(records, readTo));
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
+    }
+
+    /**
+     * Applies the latest records of all keys of a topic.
+     *
+     * @param topic the topic
+     * @param records the records
+     * @param endBeforeRead the end of the topic before the first of them was read
+     */
+    public synchronized void replace(Topic topic, Collection<StoredRecord> records, long endBeforeRead) {
+        applyMissingManifest(topic, records);
+        publish(topic, copies.get(topic).replace(records, endBeforeRead));
+        if (topic == Topic.OPERATOR) {
+            operatorState.markLoaded();
+        }
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
+    }
+
+    /**
+     * Records that all operator records up to a time have been applied. Must be called after the records were applied.
+     *
+     * @param asOfMillis the time on the monotonic clock; an earlier time than the known one has no effect
+     */
+    public void confirmOperator(long asOfMillis) {
+        freshness.confirm(asOfMillis);
+    }
+
+    /**
+     * The time up to which all operator records are known. A view that is obtained after this call contains them.
+     *
+     * @return the time on the monotonic clock; empty if there is none, and while a manifest is known to be missing
+     */
+    public OptionalLong operatorAsOfMillis() {
+        return freshness.asOf();
+    }
+
+    /**
+     * The offset from which a topic is to be read next.
+     *
+     * @param topic the topic
+     * @return the offset
+     */
+    public synchronized long end(Topic topic) {
+        return copies.get(topic).end();
+    }
+
+    /**
+     * Returns the latest records of a topic at or after an offset, together with the offset to continue from,
+     * atomically: if the end were read after the records, a process that continues from it would miss records that
+     * arrived in between. For operator records, the batch also has the time up to which all of them are known.
+     *
+     * @param topic the topic
+     * @param offset the offset before which the requesting process knows all records
+     * @return the records, and the offset before which that process then knows all of them
+     */
+    public synchronized TopicReader.Batch since(Topic topic, long offset) {
+        TopicCopy copy = copies.get(topic);
+        List<StoredRecord> records = copy.since(offset);
+        return topic == Topic.OPERATOR
+                ? new TopicReader.Batch(
+                        operatorState.withReplaced(records, offset), copy.continueFrom(offset), operatorAsOfMillis())
+                : new TopicReader.Batch(records, copy.continueFrom(offset));
+    }
+
+    /**
+     * The offset from which a topic is to be requested from a peer: the offset to read from next, or that of a missing
+     * manifest.
+     *
+     * @param topic the topic
+     * @return the offset
+     */
+    public synchronized long peerReadOffset(Topic topic) {
+        long end = end(topic);
+        return topic == Topic.OPERATOR ? Math.min(end, missingManifestOffset().orElse(end)) : end;
+    }
+
+    /**
+     * Records that a topic of the store is readable again after an outage.
+     *
+     * @param topic the topic
+     */
+    public synchronized void onStoreReachable(Topic topic) {
+        if (topic == Topic.ENDPOINTS) {
+            endpointList.onStoreReachable(monotonicMillis.getAsLong());
+        }
+    }
+
+    /** Removes the endpoints whose pending removal is due. */
+    public synchronized void removeDueEndpoints() {
+        endpointList
+                .withoutDueRemovals(view.endpoints(), monotonicMillis.getAsLong())
+                .ifPresent(remaining -> view = view.withEndpoints(remaining));
+    }
+
+    /**
+     * Shortens a wait so that it ends when the first pending removal is due.
+     *
+     * @param wait the wait
+     * @return the wait, or the time until the first pending removal is due if that is less
+     */
+    synchronized Duration untilNextRemoval(Duration wait) {
+        return endpointList.untilNextRemoval(wait, monotonicMillis.getAsLong());
+    }
+
+    // -- updates of the view
+
+    private void publish(Topic topic, List<StoredRecord> newRecords) {
+        if (newRecords.isEmpty()) {
+            return;
+        }
+        switch (topic) {
+            case OPERATOR -> {
+                List<StoredRecord> agentRecords =
+                        newRecords.stream().filter(this::applyOperatorRecord).toList();
+                changes = changes.withOperator(newRecords, agentRecords);
+            }
+            case ENDPOINTS -> applyEndpointRecords(newRecords);
+            case NAMED -> view = operatorState.applySaved(newRecords, view);
+            case CRASHES -> crashListener.accept(newRecords);
+        }
+    }
+
+    /** Applies an operator record, and returns whether agents use it. */
+    private boolean applyOperatorRecord(StoredRecord record) {
+        OperatorState.Change change = operatorState.apply(record, view);
+        view = change.view();
+        return change.relevantToAgents();
+    }
+
+    /**
+     * Applies a missing manifest, which the topic copy ignores because it holds an older one with a greater offset.
+     * This happens before the other records are applied, so that the older one is never active, not even briefly.
+     */
+    private void applyMissingManifest(Topic topic, Collection<StoredRecord> records) {
+        OptionalLong missingOffset = topic == Topic.OPERATOR ? missingManifestOffset() : OptionalLong.empty();
+        missingOffset.ifPresent(offset ->
+                records.stream().filter(record -> record.offset() == offset).forEach(this::applyOperatorRecord));
+    }
+
+    /**
+     * Adds a weight version that a peer reported as a target.
+     *
+     * @param model the model
+     * @param version the version; has no effect if a newer one is known
+     */
+    public synchronized void addPeerTarget(String model, long version) {
+        view = operatorState.addPeerTarget(model, version, view);
+    }
+
+    // -- records saved by processes
+
+    /** The offset of a manifest known to be newer than the active one; empty if there is none. */
+    synchronized OptionalLong missingManifestOffset() {
+        return operatorState.missingManifestOffset(end(Topic.OPERATOR));
+    }
+
+    /**
+     * Records the position of the newest manifest as reported by a peer that has it. A process that does not need the
+     * manifest itself still saves its position for others.
+     *
+     * @param position the position
+     */
+    public synchronized void recordManifestPosition(ManifestPosition position) {
+        operatorState.recordManifestPosition(position);
+    }
+
+    /**
+     * The position of the newest known manifest.
+     *
+     * @return the position, empty if none is known
+     */
+    public synchronized Optional<ManifestPosition> newestManifestPosition() {
+        return operatorState.newestManifestPosition();
+    }
+
+    /** The newest manifest, if it is not known to be saved. */
+    synchronized Optional<UnsavedItem> unsavedManifest() {
+        return operatorState.unsavedManifest(copies.get(Topic.NAMED));
+    }
+
+    /** Whether the operator records have been read. */
+    synchronized boolean isOperatorLoaded() {
+        return operatorState.isLoaded();
+    }
+
+    /** The newest versions that are not known to be saved in the store under their own keys. */
+    synchronized List<UnsavedItem> unsavedVersions() {
+        return operatorState.unsavedVersions(copies.get(Topic.NAMED));
+    }
+
+    // -- endpoints
+
+    private void applyEndpointRecords(List<StoredRecord> newRecords) {
+        Map<String, EndpointRegistration> endpoints = new HashMap<>(view.endpoints());
+        List<StoredRecord> changedRecords = new ArrayList<>();
+        List<String> logLines = new ArrayList<>();
+        long now = monotonicMillis.getAsLong();
+        endpointList.prepareBatch(newRecords, endpoints, now);
+        newRecords.forEach(record -> endpointList.apply(record, endpoints, now).ifPresent(line -> {
+            changedRecords.add(record);
+            logLines.add(line);
+        }));
+        if (!changedRecords.isEmpty()) {
+            view = view.withEndpoints(endpoints);
+            changes = changes.withEndpoints(changedRecords);
+            logLines.forEach(LOG::info);
+        }
+    }
+}
