--- a/src/main/java/org/micabarrow/transport/Addresses.java
+++ b/src/main/java/org/micabarrow/transport/Addresses.java
@@ -3,16 +3,16 @@
 import java.net.InetSocketAddress;
 import java.util.Objects;
 
-/** Reads addresses of the form {@code host:port}. */
+/** Parses addresses of the form {@code host:port}. */
 public final class Addresses {
 
     private Addresses() {}
 
     /**
-     * An address by its IP number, as others see where messages come from.
+     * Resolves the host of an address to its IP address, which other processes see as the sender of messages.
      *
      * @param address the host and port
-     * @return the number and port; the same address if its host has none
+     * @return the IP address and port; the same address if its host cannot be resolved
      */
     public static String numeric(String address) {
         InetSocketAddress parsed = parse(address);
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
      * @param address the host and port
      * @return the address
--- a/src/main/java/org/micabarrow/transport/AnswerLimits.java
+++ b/src/main/java/org/micabarrow/transport/AnswerLimits.java
@@ -5,42 +5,42 @@
 import java.time.Duration;
 
 /**
- * How long an answer may take. An answer that keeps coming is not lost by being large: over a narrow link a whole manifest
- * takes seconds, and whoever gives it up and asks again fills the link for all others too.
+ * Timeouts for an HTTP response. A large response does not time out while data keeps arriving: over a narrow link a
+ * complete manifest takes seconds, and a client that gives up and requests it again fills the link for all others too.
  *
- * @param begin until it begins
- * @param pause from one part to the next
- * @param whole altogether
+ * @param firstPart how long the response may take to begin
+ * @param nextPart how long it may take from one part of the response to the next
+ * @param total how long the complete response may take
  */
-public record AnswerLimits(Duration begin, Duration pause, Duration whole) {
+public record AnswerLimits(Duration firstPart, Duration nextPart, Duration total) {
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public AnswerLimits {
-        requireNonNull(begin, "begin is null");
-        requireNonNull(pause, "pause is null");
-        requireNonNull(whole, "whole is null");
+        requireNonNull(firstPart, "firstPart is null");
+        requireNonNull(nextPart, "nextPart is null");
+        requireNonNull(total, "total is null");
     }
 
     /**
-     * Limits for answers so small that only the whole counts.
+     * Creates timeouts for small responses, for which only the total time matters.
      *
-     * @param within how long the answer may take altogether
-     * @return the limits
+     * @param within how long the complete response may take
+     * @return the timeouts
      */
-    public static AnswerLimits whole(Duration within) {
+    public static AnswerLimits total(Duration within) {
         return new AnswerLimits(within, within, within);
     }
 
     /**
-     * Until when an answer must have moved on.
+     * Returns the time by which the next part of the response must have arrived.
      *
-     * @param askedNanos when it was asked for
-     * @param movedNanos when its last part came; {@code askedNanos} if none has
-     * @return the time, on the same clock
+     * @param startNanos when the wait began
+     * @param lastPartNanos when the last part arrived; {@code startNanos} if none has
+     * @return the deadline, on the same clock
      */
-    long deadlineNanos(long askedNanos, long movedNanos) {
-        long next = movedNanos == askedNanos ? askedNanos + begin.toNanos() : movedNanos + pause.toNanos();
-        long last = askedNanos + whole.toNanos();
-        return next - last < 0 ? next : last;
+    long deadlineNanos(long startNanos, long lastPartNanos) {
+        long nextDeadline = lastPartNanos == startNanos ? startNanos + firstPart.toNanos() : lastPartNanos + nextPart.toNanos();
+        long totalDeadline = startNanos + total.toNanos();
+        return nextDeadline - totalDeadline < 0 ? nextDeadline : totalDeadline;
     }
 }
--- a/src/main/java/org/micabarrow/transport/EndpointClient.java
+++ b/src/main/java/org/micabarrow/transport/EndpointClient.java
@@ -14,43 +14,43 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
 
-/** The endpoint beside an agent, over HTTP. */
+/** Calls the endpoint next to an agent over HTTP. */
 public final class EndpointClient implements Endpoint, EndpointCalls {
 
-    /** Names the attempt; an endpoint that knows the header sends it back. */
+    /** The id of the attempt; an endpoint that supports the header returns it in the response. */
     public static final String ATTEMPT = "X-Attempt";
 
-    /** Names the version that must answer, and in the answer the one that did. */
+    /** In a request, the weight version that must answer it; in the response, the version that did. */
     public static final String VERSION = "X-Weights-Version";
 
-    /** 0 for the most urgent requests. */
+    /** The priority of the request; 0 is the most urgent. */
     public static final String PRIORITY = "X-Priority";
 
-    /** In an answer of status 503: the request has truly not run. */
+    /** In a response with status 503: the request was certainly not executed. */
     public static final String NOT_RUN = "X-Not-Run";
 
-    /** How long an endpoint may take for a report. */
-    private static final Duration REPORT_WITHIN = Duration.ofSeconds(1);
+    /** The timeout for a report. */
+    private static final Duration REPORT_TIMEOUT = Duration.ofSeconds(1);
 
-    /** How long an endpoint may take for a chunk. */
-    private static final Duration STAGE_WITHIN = Duration.ofSeconds(10);
+    /** The timeout for staging a chunk. */
+    private static final Duration STAGE_TIMEOUT = Duration.ofSeconds(10);
 
-    /** How long an endpoint may take for an order, which may load a whole version. */
-    private static final Duration ORDER_WITHIN = Duration.ofSeconds(30);
+    /** The timeout for an order, which may load a complete version. */
+    private static final Duration ORDER_TIMEOUT = Duration.ofSeconds(30);
 
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    private final HttpCaller caller;
+    private final HttpCaller client;
     private final String url;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller sends the requests
-     * @param url the endpoint's base address
+     * @param client sends the requests
+     * @param url the endpoint's base URL
      */
-    public EndpointClient(HttpCaller caller, String url) {
-        this.caller = Objects.requireNonNull(caller, "caller is null");
+    public EndpointClient(HttpCaller client, String url) {
+        this.client = Objects.requireNonNull(client, "client is null");
         this.url = Objects.requireNonNull(url, "url is null");
     }
 
@@ -59,23 +59,23 @@
     @Override
     public Result<Report> report() {
         HttpCall call = HttpCall.get(Step.STATUS, URI.create(url + "/report"));
-        return caller.call(call, REPORT_WITHIN).flatMap(answer -> PlatformClient.read(call, answer, Report.class));
+        return client.call(call, REPORT_TIMEOUT).flatMap(response -> PlatformClient.read(call, response, Report.class));
     }
 
     @Override
     public Result<Integer> stage(String artifact, int index, byte[] data) {
         URI uri = URI.create(url + "/weights/" + artifact + "/chunks/" + index);
         HttpCall call = new HttpCall(Step.STAGE, "PUT", uri, Map.of(), data);
-        return caller.call(call, STAGE_WITHIN)
-                .flatMap(answer -> PlatformClient.read(call, answer, PlatformMessages.Staged.class))
+        return client.call(call, STAGE_TIMEOUT)
+                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.Staged.class))
                 .map(PlatformMessages.Staged::chunks);
     }
 
     @Override
     public Result<Boolean> order(Order order) {
         HttpCall call = HttpCall.post(Step.ORDER, URI.create(url + "/orders"), CanonicalJson.write(order));
-        return caller.call(call, ORDER_WITHIN)
-                .flatMap(answer -> PlatformClient.read(call, answer, PlatformMessages.Ordered.class))
+        return client.call(call, ORDER_TIMEOUT)
+                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.Ordered.class))
                 .flatMap(ordered -> ordered.accepted()
                         ? Result.success(true)
                         : Result.failure(Fault.of(Step.ORDER, call.peer(), Reason.CONFLICT, ordered.reason())));
@@ -85,7 +85,7 @@
 
     @Override
     public Runnable send(Call call, Listener listener) {
-        HttpCall http = new HttpCall(
+        HttpCall request = new HttpCall(
                 Step.RUN,
                 call.method(),
                 URI.create(url + call.path()),
@@ -99,25 +99,27 @@
                         PRIORITY,
                         Integer.toString(call.priority())),
                 call.body());
-        return caller.send(http, new Passing(http, listener));
+        return client.send(request, new ResponseForwarder(request, listener));
     }
 
-    /** Passes an answer on, and turns an endpoint's "not run" into a failure. */
-    private static final class Passing implements HttpCaller.Listener {
+    /**
+     * Forwards a response to the listener, and reports one that says that the request was not executed as a failure.
+     */
+    private static final class ResponseForwarder implements HttpCaller.Listener {
 
         private final HttpCall call;
         private final Listener listener;
-        private boolean refused;
+        private boolean notExecuted;
 
-        private Passing(HttpCall call, Listener listener) {
+        private ResponseForwarder(HttpCall call, Listener listener) {
             this.call = call;
             this.listener = listener;
         }
 
         @Override
         public void onHead(int status, Map<String, String> headers) {
-            refused = status == UNAVAILABLE && headers.containsKey(NOT_RUN);
-            if (!refused) {
+            notExecuted = status == SERVICE_UNAVAILABLE && headers.containsKey(NOT_RUN);
+            if (!notExecuted) {
                 listener.onHead(
                         status,
                         headers.getOrDefault("Content-Type", "application/octet-stream"),
@@ -127,17 +129,17 @@
         }
 
         @Override
-        public void onData(byte[] data, Runnable more) {
-            if (refused) {
-                more.run();
+        public void onData(byte[] data, Runnable requestMore) {
+            if (notExecuted) {
+                requestMore.run();
             } else {
-                listener.onData(data, more);
+                listener.onData(data, requestMore);
             }
         }
 
         @Override
         public void onComplete() {
-            if (refused) {
+            if (notExecuted) {
                 Fault fault = Fault.of(Step.RUN, call.peer(), Reason.OVERLOADED, "the endpoint refused the request");
                 listener.onFailed(fault, false);
             } else {
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -22,28 +22,34 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers other processes: records of the store, chunks of weights, and figures. */
+/** Serves records of the store, chunks of weights, and metrics to other processes. */
 public final class HostedPeerServer implements HttpHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger(HostedPeerServer.class);
 
-    /** How long a request is held for a chunk that is still on its way, in milliseconds: a few chunks' time on a link. */
-    private static final long HELD_MILLIS = 500;
+    /**
+     * How long a request waits for a chunk that is still being fetched, in milliseconds: the time of a few chunks on a
+     * link.
+     */
+    private static final long MAX_HOLD_MILLIS = 500;
 
-    /** How often a held request is looked at, in milliseconds: small beside the 50 ms that a chunk takes on a link. */
-    private static final long LOOK_MILLIS = 15;
+    /**
+     * How often a waiting request checks for a chunk, in milliseconds: short compared with the 50 ms that a chunk takes
+     * on a link.
+     */
+    private static final long POLL_MILLIS = 15;
 
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
 
     private final ViewKeeper views;
-    private final Sets sets;
+    private final ChunkSets chunkSets;
     private final MetricRegistry registry;
     private final LinkPacer uplink;
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
 
-    /** Finds the chunks that an agent has. */
-    public interface Sets {
+    /** Finds the chunks that an agent holds. */
+    public interface ChunkSets {
 
         /**
          * The chunks of a version.
@@ -52,37 +58,37 @@
          * @param version the version
          * @return the set, empty if there is none
          */
-        Optional<ChunkSet> set(String model, long version);
+        Optional<ChunkSet> find(String model, long version);
     }
 
     /**
-     * Makes a server's handler.
+     * Creates a handler.
      *
-     * @param views what is known of the store
-     * @param sets the chunks at hand
-     * @param registry the figures
-     * @param uplink holds chunks to what the instance's link can spare
+     * @param views the local view of the store
+     * @param chunkSets finds the chunks held here
+     * @param registry the metrics
+     * @param uplink limits chunks to the bandwidth that the instance's link can spare
      */
-    public HostedPeerServer(ViewKeeper views, Sets sets, MetricRegistry registry, LinkPacer uplink) {
-        this(views, sets, registry, uplink, SteadyClock::millis);
+    public HostedPeerServer(ViewKeeper views, ChunkSets chunkSets, MetricRegistry registry, LinkPacer uplink) {
+        this(views, chunkSets, registry, uplink, SteadyClock::millis);
     }
 
     /**
-     * Makes a server's handler that has a clock of its own.
+     * Creates a handler with a given clock.
      *
-     * @param views what is known of the store
-     * @param sets the chunks at hand
-     * @param registry the figures
-     * @param uplink holds chunks to what the instance's link can spare
-     * @param steadyMillis the clock of the views, in milliseconds
+     * @param views the local view of the store
+     * @param chunkSets finds the chunks held here
+     * @param registry the metrics
+     * @param uplink limits chunks to the bandwidth that the instance's link can spare
+     * @param monotonicMillis the clock of the views, in milliseconds
      */
     HostedPeerServer(
-            ViewKeeper views, Sets sets, MetricRegistry registry, LinkPacer uplink, LongSupplier steadyMillis) {
+            ViewKeeper views, ChunkSets chunkSets, MetricRegistry registry, LinkPacer uplink, LongSupplier monotonicMillis) {
         this.views = Objects.requireNonNull(views, "views is null");
-        this.sets = Objects.requireNonNull(sets, "sets is null");
+        this.chunkSets = Objects.requireNonNull(chunkSets, "chunkSets is null");
         this.registry = Objects.requireNonNull(registry, "registry is null");
         this.uplink = Objects.requireNonNull(uplink, "uplink is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
     }
 
     @Override
@@ -90,11 +96,11 @@
         String path = exchange.getRequestPath();
         try {
             if (path.equals(PeerRecords.PATH)) {
-                records(exchange);
+                handleRecords(exchange);
             } else if (path.startsWith(PeerChunks.CHUNKS)) {
-                chunk(exchange, path.substring(PeerChunks.CHUNKS.length()).split("/"));
+                handleChunk(exchange, path.substring(PeerChunks.CHUNKS.length()).split("/"));
             } else if (path.startsWith(PeerChunks.DIGESTS)) {
-                digests(exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
+                handleDigests(exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
             } else if (path.equals("/metrics")) {
                 send(exchange, Metrics.snapshot(registry));
             } else {
@@ -117,10 +123,10 @@
 
     // -- records
 
-    private void records(HttpServerExchange exchange) {
+    private void handleRecords(HttpServerExchange exchange) {
         Topic topic = Topic.valueOf(parameter(exchange, "topic"));
         long from = Long.parseLong(parameter(exchange, "from"));
-        send(exchange, PeerRecords.write(views.since(topic, from), steadyMillis.getAsLong()));
+        send(exchange, PeerRecords.write(views.since(topic, from), monotonicMillis.getAsLong()));
     }
 
     private static String parameter(HttpServerExchange exchange, String name) {
@@ -133,8 +139,8 @@
 
     // -- chunks
 
-    private void digests(HttpServerExchange exchange, String[] parts) {
-        Optional<ChunkSet> set = sets.set(parts[0], Long.parseLong(parts[1]));
+    private void handleDigests(HttpServerExchange exchange, String[] parts) {
+        Optional<ChunkSet> set = chunkSets.find(parts[0], Long.parseLong(parts[1]));
         if (set.isEmpty()) {
             fail(exchange, NOT_FOUND);
         } else {
@@ -142,29 +148,29 @@
         }
     }
 
-    private void chunk(HttpServerExchange exchange, String[] parts) {
-        Asked asked = new Asked(parts[0], Long.parseLong(parts[1]), PeerChunks.read(parts[2]));
-        // Whoever asks for a version has heard that it is wanted; this agent may not have.
-        views.want(asked.model(), asked.version());
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_MILLIS);
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> look(exchange, asked, until));
+    private void handleChunk(HttpServerExchange exchange, String[] parts) {
+        ChunkRequest request = new ChunkRequest(parts[0], Long.parseLong(parts[1]), PeerChunks.parseChunks(parts[2]));
+        // A request for a version shows that it is wanted, which this agent may not know yet.
+        views.want(request.model(), request.version());
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MILLIS);
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> sendWhenAvailable(exchange, request, deadlineNanos));
     }
 
-    private record Asked(String model, long version, BitSet indexes) {}
+    private record ChunkRequest(String model, long version, BitSet indexes) {}
 
-    private void look(HttpServerExchange exchange, Asked asked, long until) {
-        Optional<ChunkSet> set = sets.set(asked.model(), asked.version());
-        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().give(asked.indexes());
+    private void sendWhenAvailable(HttpServerExchange exchange, ChunkRequest request, long deadlineNanos) {
+        Optional<ChunkSet> set = chunkSets.find(request.model(), request.version());
+        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().give(request.indexes());
         if (index.isPresent()) {
-            give(exchange, index.getAsInt(), set.get().chunk(index.getAsInt()).orElseThrow());
-        } else if (System.nanoTime() - until > 0) {
+            sendChunk(exchange, index.getAsInt(), set.get().chunk(index.getAsInt()).orElseThrow());
+        } else if (System.nanoTime() - deadlineNanos > 0) {
             fail(exchange, set.isPresent() ? PeerChunks.FETCHING : NOT_FOUND);
         } else {
-            exchange.getIoThread().executeAfter(() -> look(exchange, asked, until), LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            exchange.getIoThread().executeAfter(() -> sendWhenAvailable(exchange, request, deadlineNanos), POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void give(HttpServerExchange exchange, int index, byte[] bytes) {
+    private void sendChunk(HttpServerExchange exchange, int index, byte[] bytes) {
         exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), index);
         PacedBody.send(exchange, bytes, uplink.book(bytes.length));
     }
--- a/src/main/java/org/micabarrow/transport/HttpCall.java
+++ b/src/main/java/org/micabarrow/transport/HttpCall.java
@@ -8,25 +8,25 @@
 import org.micabarrow.state.Fault;
 
 /**
- * A request to be sent by {@link HttpCaller}.
+ * An HTTP request that {@link HttpCaller} sends.
  *
  * <pre>{@code
  * HttpCall call = HttpCall.post(Fault.Step.LOG, uri, body).withHeader("Authorization", "Bearer " + token);
  * }</pre>
  *
- * @param step the step to name in faults
+ * @param step the step that faults of this request name
  * @param method the HTTP method
- * @param uri where to
- * @param rawTarget what stands in the request line, if it must be passed on as received; else it follows from the URI
+ * @param uri the target
+ * @param rawTarget the request target as received, if it must be forwarded unchanged; else it is derived from the URI
  * @param headers the headers
  * @param body the body, empty for none
  */
 public record HttpCall(
         Fault.Step step, String method, URI uri, Optional<String> rawTarget, Map<String, String> headers, byte[] body) {
 
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
 
-    /** Copies the headers. */
+    /** Checks the step and the URI, and copies the headers. */
     public HttpCall {
         Objects.requireNonNull(step, "step is null");
         Objects.requireNonNull(uri, "uri is null");
@@ -34,11 +34,11 @@
     }
 
     /**
-     * A request whose request line follows from its URI.
+     * Creates a request whose request target is derived from its URI.
      *
-     * @param step the step to name in faults
+     * @param step the step that faults of this request name
      * @param method the HTTP method
-     * @param uri where to
+     * @param uri the target
      * @param headers the headers
      * @param body the body, empty for none
      */
@@ -47,21 +47,21 @@
     }
 
     /**
-     * A request without a body.
+     * Creates a GET request without a body.
      *
-     * @param step the step to name in faults
-     * @param uri where to
+     * @param step the step that faults of this request name
+     * @param uri the target
      * @return the request
      */
     public static HttpCall get(Fault.Step step, URI uri) {
-        return new HttpCall(step, "GET", uri, Map.of(), NOTHING);
+        return new HttpCall(step, "GET", uri, Map.of(), EMPTY_BODY);
     }
 
     /**
-     * A request with a body.
+     * Creates a POST request.
      *
-     * @param step the step to name in faults
-     * @param uri where to
+     * @param step the step that faults of this request name
+     * @param uri the target
      * @param body the body
      * @return the request
      */
@@ -70,25 +70,25 @@
     }
 
     /**
-     * The same request with one more header.
+     * Returns a copy of this request with one more header.
      *
      * @param name the header
      * @param value its value
      * @return the request
      */
     public HttpCall withHeader(String name, String value) {
-        Map<String, String> more = new HashMap<>(headers);
-        more.put(name, value);
-        return new HttpCall(step, method, uri, rawTarget, more, body);
+        Map<String, String> extended = new HashMap<>(headers);
+        extended.put(name, value);
+        return new HttpCall(step, method, uri, rawTarget, extended, body);
     }
 
-    /** The host and port. */
+    /** The host and port of the target. */
     String authority() {
         return uri.getAuthority();
     }
 
     /**
-     * The peer's name in faults.
+     * Returns the peer's name in faults.
      *
      * @return the host and port
      */
@@ -96,7 +96,7 @@
         return uri.getAuthority();
     }
 
-    /** What stands in the request line. */
+    /** The request target: path and query. */
     String pathAndQuery() {
         if (rawTarget.isPresent()) {
             return rawTarget.get();
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpCaller.java
@@ -24,73 +24,74 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends HTTP requests by Undertow's client, and keeps connections for the next request to the same place.
+ * Sends HTTP requests with Undertow's client, and keeps connections open for further requests to the same address.
  *
  * <pre>{@code
- * Result<HttpAnswer> answer = caller.call(HttpCall.get(Fault.Step.INSTANCES, uri), Duration.ofSeconds(2));
+ * Result<HttpAnswer> response = client.call(HttpCall.get(Fault.Step.INSTANCES, uri), Duration.ofSeconds(2));
  * }</pre>
  */
 public final class HttpCaller implements AutoCloseable {
 
-    /** The size of a buffer, in bytes: about what Undertow's servers take by default. */
+    /** The size of a buffer, in bytes: about the default of Undertow's servers. */
     private static final int BUFFER_BYTES = 16 * 1024;
 
-    /** How many buffers all threads together keep for later use: 4 MiB. */
-    private static final int BUFFERS_KEPT = 256;
+    /** How many buffers the shared pool keeps for reuse: 4 MiB in all. */
+    private static final int POOLED_BUFFERS = 256;
 
-    /** How many of them a thread keeps for itself: as in Undertow's servers by default. */
-    private static final int BUFFERS_KEPT_BY_THREAD = 4;
+    /** How many of them each thread caches: the default of Undertow's servers. */
+    private static final int BUFFERS_PER_THREAD = 4;
 
-    /** How many connections to one place are kept by a caller that is told no number. */
-    private static final int MOST_IDLE = 64;
+    /** How many idle connections per address a client keeps by default. */
+    private static final int DEFAULT_MAX_IDLE = 64;
 
     private final XnioWorker worker;
-    private final boolean ownWorker;
+    private final boolean ownsWorker;
     private final HttpExchange.Shared shared;
 
-    private HttpCaller(XnioWorker worker, boolean ownWorker, int mostIdle) {
+    private HttpCaller(XnioWorker worker, boolean ownsWorker, int maxIdle) {
         this.worker = worker;
-        this.ownWorker = ownWorker;
+        this.ownsWorker = ownsWorker;
         this.shared = new HttpExchange.Shared(
-                new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_KEPT, BUFFERS_KEPT_BY_THREAD),
-                new KeptConnections(mostIdle, SteadyClock::millis),
+                new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD),
+                new ConnectionPool(maxIdle, SteadyClock::millis),
                 new LongAdder(),
                 new LongAdder());
     }
 
     /**
-     * Starts a caller.
+     * Starts a client with its own threads.
      *
      * @param name the name of its threads
-     * @param threads how many threads do its input and output
-     * @return the running caller
+     * @param threads the number of its I/O threads
+     * @return the running client
      */
     public static HttpCaller start(String name, int threads) {
         try {
-            return new HttpCaller(worker(name, threads), true, MOST_IDLE);
+            return new HttpCaller(worker(name, threads), true, DEFAULT_MAX_IDLE);
         } catch (IOException e) {
-            throw new IllegalStateException("no threads for HTTP", e);
+            throw new IllegalStateException("cannot start the threads of the HTTP client", e);
         }
     }
 
     /**
-     * Makes a caller that shares the threads of a server, so that an exchange between the two needs no locks.
+     * Creates a client on the threads of a server, so that exchanges between the two need no locks.
      *
-     * @param worker the threads
-     * @param mostIdle how many connections to one place are kept for later requests; 0 opens one for each request
-     * @return the caller
+     * @param worker the worker whose threads it uses
+     * @param maxIdle how many idle connections per address are kept for later requests; with 0 each request opens its
+     *     own
+     * @return the client
      */
-    public static HttpCaller on(XnioWorker worker, int mostIdle) {
-        return new HttpCaller(Objects.requireNonNull(worker, "worker is null"), false, mostIdle);
+    public static HttpCaller on(XnioWorker worker, int maxIdle) {
+        return new HttpCaller(Objects.requireNonNull(worker, "worker is null"), false, maxIdle);
     }
 
     /**
-     * Starts threads for input and output.
+     * Starts a worker with I/O threads.
      *
-     * @param name their name
-     * @param threads how many
-     * @return the running threads
-     * @throws IOException if the system grants no selector
+     * @param name the name of its threads
+     * @param threads the number of I/O threads
+     * @return the running worker
+     * @throws IOException if no selector can be opened
      */
     public static XnioWorker worker(String name, int threads) throws IOException {
         return Xnio.getInstance()
@@ -105,58 +106,59 @@
     }
 
     /**
-     * An answer read whole.
+     * A complete response.
      *
      * @param status the HTTP status
-     * @param headers the headers, each by its name as sent
+     * @param headers the headers by their names, which are compared without case
      * @param body the body
      */
     public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {}
 
-    /** Receives an answer part by part, on a thread that must not block. */
+    /** Receives a response part by part, on an I/O thread that must not block. */
     public interface Listener {
 
         /**
-         * The connection is up and the request is about to leave. Between this and the decision to send it the process may
-         * have stood still, so this is the moment to look at the decision again.
+         * Called when the connection is open, just before the request is written. The process may have been paused
+         * since it decided to send the request, so that decision can be checked again here.
          *
-         * @param call the request as it was handed over
-         * @return the request as it is to be written now, to the same place; empty to send nothing, after which nothing is told
+         * @param call the request as it was passed to {@link HttpCaller#send}
+         * @return the request to write, to the same address; empty to send nothing, after which the listener is not
+         *     called again
          */
         default Optional<HttpCall> onSending(HttpCall call) {
             return Optional.of(call);
         }
 
         /**
-         * The answer has begun.
+         * Called when the response has begun.
          *
          * @param status the HTTP status
-         * @param headers the headers, each by its name as sent
+         * @param headers the headers by their names, which are compared without case
          */
         void onHead(int status, Map<String, String> headers);
 
         /**
-         * The next part of the body has arrived.
+         * Called when the next part of the body has arrived.
          *
          * @param data the part
-         * @param more to be run when the next may come, on any thread
+         * @param requestMore to be run, on any thread, when the next part may be delivered
          */
-        void onData(byte[] data, Runnable more);
+        void onData(byte[] data, Runnable requestMore);
 
-        /** The answer has ended as it should. */
+        /** Called when the response is complete. */
         void onComplete();
 
         /**
-         * The answer has not come, or has broken off.
+         * Called when no response arrived, or when it broke off.
          *
-         * @param fault why
-         * @param sent whether any byte of the request may have left
+         * @param fault the cause
+         * @param sent whether any byte of the request may have been sent
          */
         void onFailed(Fault fault, boolean sent);
     }
 
     /**
-     * The bytes of bodies sent so far.
+     * The bytes of request bodies sent so far.
      *
      * @return their number
      */
@@ -165,7 +167,7 @@
     }
 
     /**
-     * The bytes of bodies received so far.
+     * The bytes of response bodies received so far.
      *
      * @return their number
      */
@@ -173,71 +175,72 @@
         return shared.receivedBytes().sum();
     }
 
-    // -- whole answers
+    // -- complete responses
 
     /**
-     * Sends a request and waits for the whole answer.
+     * Sends a request and waits for the complete response.
      *
      * @param call the request
-     * @param within how long to wait
-     * @return the answer, whatever its status
+     * @param within the timeout for the complete response
+     * @return the response, whatever its status
      */
     public Result<HttpAnswer> call(HttpCall call, Duration within) {
-        return call(call, AnswerLimits.whole(within));
+        return call(call, AnswerLimits.total(within));
     }
 
     /**
-     * Sends a request and waits for the whole answer, for as long as it keeps coming.
+     * Sends a request and waits for the complete response, for as long as data keeps arriving.
      *
      * @param call the request
-     * @param limits how long to wait
-     * @return the answer, whatever its status
+     * @param timeouts the timeouts for the response
+     * @return the response, whatever its status
      */
-    public Result<HttpAnswer> call(HttpCall call, AnswerLimits limits) {
-        return begin(call).await(limits);
+    public Result<HttpAnswer> call(HttpCall call, AnswerLimits timeouts) {
+        return callAsync(call).await(timeouts);
     }
 
     /**
-     * Sends a request, to wait for its answer later.
+     * Sends a request whose response is awaited later.
      *
      * @param call the request
      * @return the call in progress
      */
-    Pending begin(HttpCall call) {
-        WholeAnswer answer = new WholeAnswer();
-        Runnable cancel = send(call, answer);
-        return new Pending(call, answer, cancel, () -> shared.kept().drop(call.authority()));
+    PendingCall callAsync(HttpCall call) {
+        ResponseCollector collector = new ResponseCollector();
+        Runnable cancel = send(call, collector);
+        return new PendingCall(call, collector, cancel, () -> shared.connections().closeIdle(call.authority()));
     }
 
     /**
-     * A request whose whole answer is waited for.
+     * A request in progress whose complete response is awaited.
      *
      * @param call the request
-     * @param answer collects the answer
+     * @param collector collects the response
      * @param cancel cancels the request
-     * @param dropKept closes the connections that are kept to the same place
+     * @param closeIdle closes the idle connections to the same address
      */
-    record Pending(HttpCall call, WholeAnswer answer, Runnable cancel, Runnable dropKept) {
+    record PendingCall(HttpCall call, ResponseCollector collector, Runnable cancel, Runnable closeIdle) {
 
         Result<HttpAnswer> await(Duration within) {
-            return await(AnswerLimits.whole(within));
+            return await(AnswerLimits.total(within));
         }
 
-        Result<HttpAnswer> await(AnswerLimits limits) {
-            long waitedFrom = System.nanoTime();
+        Result<HttpAnswer> await(AnswerLimits timeouts) {
+            long startNanos = System.nanoTime();
             try {
-                return answer.await(limits);
+                return collector.await(timeouts);
             } catch (InterruptedException e) {
                 cancel.run();
                 Thread.currentThread().interrupt();
                 return failed(Reason.CANCELLED, "interrupted");
             } catch (TimeoutException e) {
                 cancel.run();
-                // What made this connection silent may have made the others so, each for the next request's whole time.
-                dropKept.run();
-                long waited = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - waitedFrom);
-                String what = answer.begun() ? "the answer stopped after " : "no answer within ";
-                return failed(Reason.TIMEOUT, what + waited + " ms");
+                // Whatever made this connection unresponsive may have affected the idle ones too, and each of them
+                // would cost a later request its full timeout.
+                closeIdle.run();
+                long waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
+                String problem = collector.hasBegun() ? "the response stopped after " : "no response within ";
+                return failed(Reason.TIMEOUT, problem + waitedMillis + " ms");
             } catch (ExecutionException e) {
                 return failed(Reason.UNREACHABLE, String.valueOf(e.getCause()));
             }
@@ -248,21 +251,21 @@
         }
     }
 
-    // -- answers part by part
+    // -- streamed responses
 
     /**
      * Sends a request.
      *
      * @param call the request
-     * @param listener receives the answer
+     * @param listener receives the response
      * @return cancels the request when run
      */
     public Runnable send(HttpCall call, Listener listener) {
         Objects.requireNonNull(call, "call is null");
         HttpExchange exchange = new HttpExchange(call, listener, shared);
-        Optional<ClientConnection> idle = shared.kept().take(call.authority());
-        if (idle.isPresent()) {
-            exchange.begin(idle.get());
+        Optional<ClientConnection> idleConnection = shared.connections().acquire(call.authority());
+        if (idleConnection.isPresent()) {
+            exchange.start(idleConnection.get());
         } else {
             connect(call, exchange);
         }
@@ -276,7 +279,7 @@
                         new ClientCallback<>() {
                             @Override
                             public void completed(ClientConnection connection) {
-                                exchange.begin(connection);
+                                exchange.start(connection);
                             }
 
                             @Override
@@ -292,8 +295,8 @@
 
     @Override
     public void close() {
-        shared.kept().close();
-        if (ownWorker) {
+        shared.connections().close();
+        if (ownsWorker) {
             worker.shutdownNow();
         }
     }
--- a/src/main/java/org/micabarrow/transport/HttpExchange.java
+++ b/src/main/java/org/micabarrow/transport/HttpExchange.java
@@ -27,8 +27,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One request and its answer. The connection is kept for the next request once the answer has been read whole, and reset
- * if anything fails before.
+ * One request and its response. The connection returns to the pool once the response has been read completely, and is
+ * reset if anything fails before.
  */
 final class HttpExchange {
 
@@ -46,14 +46,14 @@
     private boolean delivering;
 
     /**
-     * What the exchanges of a caller share.
+     * What the exchanges of a client share.
      *
-     * @param buffers for reading
-     * @param kept takes connections whose answer was read whole
-     * @param sentBytes counts the bytes of bodies sent
-     * @param receivedBytes counts the bytes of bodies received
+     * @param buffers the pool of read buffers
+     * @param connections the pool of idle connections
+     * @param sentBytes counts the bytes of request bodies sent
+     * @param receivedBytes counts the bytes of response bodies received
      */
-    record Shared(ByteBufferPool buffers, KeptConnections kept, LongAdder sentBytes, LongAdder receivedBytes) {}
+    record Shared(ByteBufferPool buffers, ConnectionPool connections, LongAdder sentBytes, LongAdder receivedBytes) {}
 
     HttpExchange(HttpCall call, Listener listener, Shared shared) {
         this.call = call;
@@ -64,7 +64,7 @@
     // -- request
 
     /** Sends the request over a connection. */
-    void begin(ClientConnection opened) {
+    void start(ClientConnection opened) {
         connection = opened;
         if (cancelled) {
             fail(Reason.CANCELLED, "cancelled");
@@ -79,26 +79,26 @@
         }
     }
 
-    /** Ends the exchange with nothing sent. */
+    /** Ends the exchange without sending anything. */
     private void withhold() {
         if (ended.compareAndSet(false, true)) {
-            shared.kept().give(call.authority(), connection);
+            shared.connections().release(call.authority(), connection);
         }
     }
 
-    private void send(HttpCall now) {
-        resetIfClosed(true);
+    private void send(HttpCall current) {
+        setResetOnClose(true);
         sent = true;
-        shared.sentBytes().add(now.body().length);
+        shared.sentBytes().add(current.body().length);
         try {
-            hand(request(now), now.body());
+            submit(toClientRequest(current), current.body());
         } catch (RuntimeException e) {
-            // Undertow's client throws from a kept connection whose peer reset it just before.
+            // Undertow's client throws if the peer of a reused connection has just reset it.
             fail(Reason.UNREACHABLE, "the request was not sent: " + e);
         }
     }
 
-    private static ClientRequest request(HttpCall call) {
+    private static ClientRequest toClientRequest(HttpCall call) {
         ClientRequest request =
                 new ClientRequest().setMethod(new HttpString(call.method())).setPath(call.pathAndQuery());
         request.getRequestHeaders().put(Headers.HOST, call.authority());
@@ -107,7 +107,7 @@
         return request;
     }
 
-    private void hand(ClientRequest request, byte[] body) {
+    private void submit(ClientRequest request, byte[] body) {
         connection.sendRequest(request, new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
@@ -144,7 +144,7 @@
         }
     }
 
-    // -- answer
+    // -- response
 
     private ClientCallback<ClientExchange> responseListener() {
         return new ClientCallback<>() {
@@ -162,7 +162,7 @@
 
             @Override
             public void failed(IOException e) {
-                fail(Reason.UNREACHABLE, "no answer: " + e.getMessage());
+                fail(Reason.UNREACHABLE, "no response: " + e.getMessage());
             }
         };
     }
@@ -189,57 +189,59 @@
             }
             source.suspendReads();
         } catch (IOException e) {
-            fail(Reason.UNREACHABLE, "the answer broke off: " + e.getMessage());
+            fail(Reason.UNREACHABLE, "the response broke off: " + e.getMessage());
         }
     }
 
-    /** Hands a part over; reading goes on when the listener asks for more, at once or later. */
+    /** Delivers a part to the listener. Reading continues when the listener requests more, immediately or later. */
     private void deliver(byte[] data) {
         mayRead = false;
         delivering = true;
-        listener.onData(data, this::more);
+        listener.onData(data, this::requestMore);
         delivering = false;
     }
 
-    private void more() {
+    private void requestMore() {
         if (Thread.currentThread() == source.getIoThread() && delivering) {
             mayRead = true;
         } else {
-            source.getIoThread().execute(this::readOn);
+            source.getIoThread().execute(this::resumeReading);
         }
     }
 
-    private void readOn() {
+    private void resumeReading() {
         mayRead = true;
         read();
     }
 
     private void complete() {
         if (ended.compareAndSet(false, true)) {
-            resetIfClosed(false);
-            shared.kept().give(call.authority(), connection);
+            setResetOnClose(false);
+            shared.connections().release(call.authority(), connection);
             listener.onComplete();
         }
     }
 
-    // -- failing
+    // -- failures
 
     /**
-     * Whether the connection is reset whoever closes it, the operating system at the end of a killed process too. While an answer
-     * is owed it must be: what waits in front of an instance that stands still is begun when that goes on, unless the instance
-     * then finds the connection ended, and an end in good order shows only to one that reads on. Of connections left open,
-     * instances that woke began 34 to 48 requests a run; of those that were reset, or closed at once, none in 16 and 3 runs.
+     * Sets whether the connection is reset whenever it is closed, also if the operating system closes it at the end of
+     * a killed process. It must be reset while a response is outstanding: a request that is queued at a paused instance
+     * is executed when the instance resumes, unless the instance then finds that the connection has ended, and a
+     * graceful close is visible only to a server that goes on reading. With connections left open, resumed instances
+     * executed 34 to 48 such requests per run. They executed none in 16 runs with connections that were reset, and none
+     * in 3 runs with connections that were closed immediately.
      */
-    private void resetIfClosed(boolean reset) {
+    private void setResetOnClose(boolean reset) {
         try {
             connection.setOption(Options.CLOSE_ABORT, reset);
         } catch (IOException e) {
-            // Closed already; the exchange fails by itself.
+            // Already closed; the exchange fails on its own.
             LOG.debug("event=connection_closed_before_use why=\"{}\"", e.toString());
         }
     }
 
-    /** Ends the exchange without a whole answer, unless it has ended. */
+    /** Ends the exchange without a complete response, unless it has already ended. */
     void fail(Reason reason, String message) {
         if (ended.compareAndSet(false, true)) {
             abort(connection);
@@ -248,26 +250,27 @@
     }
 
     /**
-     * Closes the connection at once, which resets it. Undertow's client closes gracefully: with a request under way it waits
-     * for the answer, so the connection below it is taken out and closed.
+     * Closes the connection immediately, which resets it. Undertow's client closes gracefully and waits for the
+     * response to a request in progress, so the underlying connection is detached from it and closed.
      */
-    private static void abort(ClientConnection broken) {
-        if (broken == null) {
+    private static void abort(ClientConnection failed) {
+        if (failed == null) {
             return;
         }
         try {
-            StreamConnection below = broken.performUpgrade();
-            below.setOption(Options.CLOSE_ABORT, true);
-            IoUtils.safeClose(below);
+            StreamConnection underlying = failed.performUpgrade();
+            underlying.setOption(Options.CLOSE_ABORT, true);
+            IoUtils.safeClose(underlying);
         } catch (IOException | RuntimeException e) {
             LOG.warn("event=connection_not_reset why=\"{}\"", e.toString());
         }
-        IoUtils.safeClose(broken);
-        // A channel that a selector knows is closed in full only when the selector runs next, so it is woken.
-        broken.getIoThread().execute(() -> {});
+        IoUtils.safeClose(failed);
+        // A channel that is registered with a selector is fully closed only when the selector runs next, so the
+        // selector is woken up.
+        failed.getIoThread().execute(() -> {});
     }
 
-    /** Ends the exchange, at once or as soon as its connection is up. */
+    /** Cancels the exchange, immediately or as soon as its connection is open. */
     void cancel() {
         cancelled = true;
         if (connection != null) {
--- a/src/main/java/org/micabarrow/transport/HttpListener.java
+++ b/src/main/java/org/micabarrow/transport/HttpListener.java
@@ -18,31 +18,31 @@
 import org.xnio.XnioWorker;
 import org.xnio.channels.AcceptingChannel;
 
-/** An HTTP server on one address, with bounds on what it bears. */
+/** An HTTP server on one address, with limits on what clients may use. */
 public final class HttpListener implements AutoCloseable {
 
     /** How long a client may take to send the head of a request, in milliseconds. */
     private static final int PARSE_MILLIS = 10_000;
 
-    /** The size of a buffer in a process with a small heap, in bytes, as Undertow has it by default. */
+    /** The size of a buffer in a process with a small heap, in bytes: Undertow's default. */
     private static final int SMALL_BUFFER_BYTES = 1_024;
 
-    /** The size of a buffer elsewhere, in bytes, as Undertow has it by default. */
+    /** The size of a buffer in other processes, in bytes: Undertow's default. */
     private static final int BUFFER_BYTES = 16 * 1_024 - 20;
 
     /**
-     * The heap below which buffers are small, in bytes, as by default: one is held while a request is read, and 10,000 connections
-     * that each send a part of one must not exhaust the memory.
+     * The heap size below which buffers are small, in bytes: Undertow's default. A buffer is held while a request is
+     * read, and 10,000 connections that each send part of a request must not exhaust the memory.
      */
     private static final long SMALL_HEAP_BYTES = 128L << 20;
 
-    /** How many of them are kept for later use: any number, as by default. */
-    private static final int BUFFERS_KEPT = -1;
+    /** How many buffers the shared pool keeps for reuse: unlimited, which is Undertow's default. */
+    private static final int POOLED_BUFFERS = -1;
 
-    /** How many of them a thread keeps for itself: as by default. */
-    private static final int BUFFERS_KEPT_BY_THREAD = 4;
+    /** How many of them each thread caches: Undertow's default. */
+    private static final int BUFFERS_PER_THREAD = 4;
 
-    /** How many connections may wait to be accepted: as by default. */
+    /** How many connections may wait to be accepted: Undertow's default. */
     private static final int BACKLOG = 1_000;
 
     private final Runnable stop;
@@ -52,19 +52,19 @@
     }
 
     /**
-     * What a listener bears.
+     * The limits of a listener.
      *
-     * @param bodyBytes the greatest body
-     * @param headerBytes the greatest head
-     * @param connections the most connections at once
-     * @param idleMillis how long a connection may be silent
+     * @param bodyBytes the maximum size of a request body
+     * @param headerBytes the maximum size of a request head
+     * @param connections the maximum number of open connections
+     * @param idleMillis how long a connection may be idle
      */
     public record Bounds(long bodyBytes, int headerBytes, int connections, int idleMillis) {
 
         /**
-         * Bounds that suit operators and stand-ins.
+         * Returns default limits, which suit operators and stand-ins.
          *
-         * @return the bounds
+         * @return the limits
          */
         public static Bounds usual() {
             return new Bounds(64L << 20, 16 * 1024, 10_000, 600_000);
@@ -75,20 +75,20 @@
      * Starts a server.
      *
      * @param address the host and port
-     * @param bounds what it bears
-     * @param threads how many threads do its input and output
+     * @param limits its limits
+     * @param threads the number of its I/O threads
      * @param tls the context for HTTPS, empty for plain HTTP
-     * @param handler answers
+     * @param handler handles the requests
      * @return the running server
      */
     public static HttpListener start(
-            String address, Bounds bounds, int threads, Optional<SSLContext> tls, HttpHandler handler) {
-        InetSocketAddress at = Addresses.parse(address);
-        Undertow.Builder builder = bounded(bounds).setIoThreads(threads).setWorkerThreads(threads * 8);
+            String address, Bounds limits, int threads, Optional<SSLContext> tls, HttpHandler handler) {
+        InetSocketAddress socketAddress = Addresses.parse(address);
+        Undertow.Builder builder = configure(limits).setIoThreads(threads).setWorkerThreads(threads * 8);
         if (tls.isPresent()) {
-            builder.addHttpsListener(at.getPort(), at.getHostString(), tls.get());
+            builder.addHttpsListener(socketAddress.getPort(), socketAddress.getHostString(), tls.get());
         } else {
-            builder.addHttpListener(at.getPort(), at.getHostString());
+            builder.addHttpListener(socketAddress.getPort(), socketAddress.getHostString());
         }
         Undertow server = builder.setHandler(handler).build();
         server.start();
@@ -96,20 +96,20 @@
     }
 
     /**
-     * Starts a server on threads that something else owns, without TLS. Closing it closes its connections too.
+     * Starts a server without TLS on the threads of an existing worker. Closing the server closes its connections too.
      *
      * @param address the host and port
-     * @param bounds what it bears
-     * @param worker the threads
-     * @param handler answers
+     * @param limits its limits
+     * @param worker the worker whose threads it uses
+     * @param handler handles the requests
      * @return the running server
      * @throws IOException if the address cannot be used
      */
-    public static HttpListener on(String address, Bounds bounds, XnioWorker worker, HttpHandler handler)
+    public static HttpListener on(String address, Bounds limits, XnioWorker worker, HttpHandler handler)
             throws IOException {
         HttpOpenListener connections = new HttpOpenListener(
-                new DefaultByteBufferPool(true, bufferBytes(), BUFFERS_KEPT, BUFFERS_KEPT_BY_THREAD),
-                serverOptions(bounds));
+                new DefaultByteBufferPool(true, bufferBytes(), POOLED_BUFFERS, BUFFERS_PER_THREAD),
+                serverOptions(limits));
         connections.setRootHandler(handler);
         AcceptingChannel<StreamConnection> accepting = worker.createStreamConnectionServer(
                 Addresses.parse(address),
@@ -118,7 +118,7 @@
                         .set(Options.WORKER_IO_THREADS, worker.getIoThreadCount())
                         .set(Options.REUSE_ADDRESSES, true)
                         .set(Options.BACKLOG, BACKLOG)
-                        .addAll(socketOptions(bounds))
+                        .addAll(socketOptions(limits))
                         .getMap());
         accepting.resumeAccepts();
         return new HttpListener(() -> {
@@ -131,11 +131,11 @@
         return Runtime.getRuntime().maxMemory() < SMALL_HEAP_BYTES ? SMALL_BUFFER_BYTES : BUFFER_BYTES;
     }
 
-    private static Undertow.Builder bounded(Bounds bounds) {
+    private static Undertow.Builder configure(Bounds limits) {
         Undertow.Builder builder = Undertow.builder();
-        OptionMap server = serverOptions(bounds);
+        OptionMap server = serverOptions(limits);
         server.forEach(option -> setServerOption(builder, option, server));
-        OptionMap socket = socketOptions(bounds);
+        OptionMap socket = socketOptions(limits);
         socket.forEach(option -> setSocketOption(builder, option, socket));
         return builder;
     }
@@ -148,21 +148,21 @@
         builder.setSocketOption(option, options.get(option));
     }
 
-    private static OptionMap serverOptions(Bounds bounds) {
+    private static OptionMap serverOptions(Bounds limits) {
         return OptionMap.builder()
                 .set(UndertowOptions.BUFFER_PIPELINED_DATA, true)
-                .set(UndertowOptions.MAX_ENTITY_SIZE, bounds.bodyBytes())
-                .set(UndertowOptions.MAX_HEADER_SIZE, bounds.headerBytes())
-                .set(UndertowOptions.IDLE_TIMEOUT, bounds.idleMillis())
-                .set(UndertowOptions.NO_REQUEST_TIMEOUT, bounds.idleMillis())
+                .set(UndertowOptions.MAX_ENTITY_SIZE, limits.bodyBytes())
+                .set(UndertowOptions.MAX_HEADER_SIZE, limits.headerBytes())
+                .set(UndertowOptions.IDLE_TIMEOUT, limits.idleMillis())
+                .set(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMillis())
                 .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, PARSE_MILLIS)
                 .getMap();
     }
 
-    private static OptionMap socketOptions(Bounds bounds) {
+    private static OptionMap socketOptions(Bounds limits) {
         return OptionMap.builder()
-                .set(Options.CONNECTION_HIGH_WATER, bounds.connections())
-                .set(Options.CONNECTION_LOW_WATER, bounds.connections())
+                .set(Options.CONNECTION_HIGH_WATER, limits.connections())
+                .set(Options.CONNECTION_LOW_WATER, limits.connections())
                 .set(Options.TCP_NODELAY, true)
                 .getMap();
     }
--- a/src/main/java/org/micabarrow/transport/LinkPacer.java
+++ b/src/main/java/org/micabarrow/transport/LinkPacer.java
@@ -5,8 +5,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Holds the movement of weights to what an instance's link can spare. Threads that ask for more than the rate wait. Safe for
- * any number of threads.
+ * Limits transfers of weights to the bandwidth that an instance's link can spare. Threads that exceed the rate wait.
+ * Thread-safe.
  *
  * <pre>{@code
  * pacer.take(chunk.length);
@@ -14,35 +14,37 @@
  */
 public final class LinkPacer {
 
-    /** How much of its rate an idle pacer may catch up on, in seconds: short beside the time of a chunk on a link. */
+    /**
+     * How long a burst an idle pacer allows, in seconds of its rate: short compared with the time of a chunk on a link.
+     */
     private static final double BURST_SECONDS = 0.02;
 
-    private static final double NANOS_A_SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final double bytesPerSecond;
-    private final DoubleSupplier share;
+    private final DoubleSupplier fraction;
     private long freeAtNanos = System.nanoTime();
 
     /**
-     * Makes a pacer.
+     * Creates a pacer.
      *
-     * @param bytesPerSecond what the link carries
-     * @param share the part of it that weights may take now, from 0 to 1
+     * @param bytesPerSecond the bandwidth of the link
+     * @param fraction the fraction of the bandwidth that weights may use at the moment, from 0 to 1
      */
-    public LinkPacer(double bytesPerSecond, DoubleSupplier share) {
+    public LinkPacer(double bytesPerSecond, DoubleSupplier fraction) {
         this.bytesPerSecond = bytesPerSecond;
-        this.share = Objects.requireNonNull(share, "share is null");
+        this.fraction = Objects.requireNonNull(fraction, "fraction is null");
     }
 
     /**
-     * Waits until bytes may pass.
+     * Waits until a number of bytes may be transferred.
      *
-     * @param bytes how many
+     * @param bytes the number of bytes
      */
     public void take(int bytes) {
-        long until = book(bytes).untilNanos();
-        for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
-            LockSupport.parkNanos(left);
+        long untilNanos = book(bytes).untilNanos();
+        for (long remaining = untilNanos - System.nanoTime(); remaining > 0; remaining = untilNanos - System.nanoTime()) {
+            LockSupport.parkNanos(remaining);
             if (Thread.currentThread().isInterrupted()) {
                 return;
             }
@@ -50,17 +52,17 @@
     }
 
     /**
-     * A time for which the link is booked.
+     * A time span for which the link is reserved.
      *
-     * @param fromNanos when it begins, as {@link System#nanoTime} tells it
+     * @param fromNanos when it begins, as a value of {@link System#nanoTime}
      * @param nanos how long it lasts, in nanoseconds
      */
-    public record Booking(long fromNanos, long nanos) {
+    public record Reservation(long fromNanos, long nanos) {
 
         /**
-         * When it is over.
+         * Returns when it ends.
          *
-         * @return the time, as {@link System#nanoTime} tells it
+         * @return the time, as a value of {@link System#nanoTime}
          */
         public long untilNanos() {
             return fromNanos + nanos;
@@ -68,16 +70,16 @@
     }
 
     /**
-     * Books the link for some bytes without waiting.
+     * Reserves the link for a number of bytes without waiting.
      *
-     * @param bytes how many
-     * @return when they may pass
+     * @param bytes the number of bytes
+     * @return the time span in which they may be transferred
      */
-    public synchronized Booking book(int bytes) {
-        long earliest = System.nanoTime() - (long) (BURST_SECONDS * NANOS_A_SECOND);
-        long from = Math.max(freeAtNanos, earliest);
-        long nanos = (long) (bytes * NANOS_A_SECOND / (bytesPerSecond * share.getAsDouble()));
-        freeAtNanos = from + nanos;
-        return new Booking(from, nanos);
+    public synchronized Reservation book(int bytes) {
+        long earliest = System.nanoTime() - (long) (BURST_SECONDS * NANOS_PER_SECOND);
+        long fromNanos = Math.max(freeAtNanos, earliest);
+        long nanos = (long) (bytes * NANOS_PER_SECOND / (bytesPerSecond * fraction.getAsDouble()));
+        freeAtNanos = fromNanos + nanos;
+        return new Reservation(fromNanos, nanos);
     }
 }
--- a/src/main/java/org/micabarrow/transport/ListenerProbe.java
+++ b/src/main/java/org/micabarrow/transport/ListenerProbe.java
@@ -14,34 +14,34 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** Finds out whether an endpoint's process listens, by a connection on which nothing is sent. */
+/** Checks whether an endpoint's process listens on its port, by opening a connection on which nothing is sent. */
 public final class ListenerProbe implements PortProbe {
 
-    /** How long an instance may take to say whether anybody listens, in milliseconds: a way between regions and back, and more. */
-    private static final long ANSWER_MILLIS = 250;
+    /** The timeout for the connection attempt, in milliseconds: somewhat more than a round trip between regions. */
+    private static final long TIMEOUT_MILLIS = 250;
 
     private final XnioWorker worker;
 
     /**
-     * Makes a probe.
+     * Creates a probe.
      *
-     * @param worker its one thread is that for traffic
+     * @param worker the worker whose only thread is the traffic thread
      */
     public ListenerProbe(XnioWorker worker) {
         this.worker = Objects.requireNonNull(worker, "worker is null");
     }
 
     @Override
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
-        Question question = new Question(then);
+    public void ask(EndpointEntry endpoint, Consumer<Boolean> callback) {
+        PendingProbe probe = new PendingProbe(callback);
         XnioIoThread thread = worker.getIoThread();
-        thread.executeAfter(() -> question.settle(false), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(() -> probe.complete(false), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         IoFuture<StreamConnection> connection =
                 worker.openStreamConnection(Addresses.parse(endpoint.address()), IoUtils::safeClose, OptionMap.EMPTY);
         connection.addNotifier(
                 (outcome, ignored) -> {
                     boolean refused = refused(outcome);
-                    thread.execute(() -> question.settle(refused));
+                    thread.execute(() -> probe.complete(refused));
                 },
                 null);
     }
@@ -50,24 +50,24 @@
         if (outcome.getStatus() != IoFuture.Status.FAILED) {
             return false;
         }
-        IOException why = outcome.getException();
-        return why instanceof ConnectException;
+        IOException cause = outcome.getException();
+        return cause instanceof ConnectException;
     }
 
-    /** Answered once, on the thread for traffic. */
-    private static final class Question {
+    /** A probe in progress. It completes once, on the traffic thread. */
+    private static final class PendingProbe {
 
-        private final Consumer<Boolean> then;
-        private boolean settled;
+        private final Consumer<Boolean> callback;
+        private boolean completed;
 
-        private Question(Consumer<Boolean> then) {
-            this.then = then;
+        private PendingProbe(Consumer<Boolean> callback) {
+            this.callback = callback;
         }
 
-        private void settle(boolean refused) {
-            if (!settled) {
-                settled = true;
-                then.accept(refused);
+        private void complete(boolean refused) {
+            if (!completed) {
+                completed = true;
+                callback.accept(refused);
             }
         }
     }
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -29,51 +29,57 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Asks agents again and again how their endpoints are, and gives the answers to the choice of endpoints. */
+/** Polls agents for the load of their endpoints, and passes the replies to the choice of endpoints. */
 public final class LoadFeed {
 
     private static final Logger LOG = LoggerFactory.getLogger(LoadFeed.class);
 
-    /** How often agents of the entry's region are asked, in milliseconds: about as often as they look themselves. */
-    private static final long NEAR_MILLIS = 150;
+    /**
+     * How often agents of the entry's region are polled, in milliseconds: about as often as they poll their endpoints.
+     */
+    private static final long ROUND_MILLIS = 150;
 
-    /** Every how many rounds agents of other regions are asked: bytes between regions are paid for. */
-    private static final int FAR_ROUNDS = 3;
+    /** Agents of other regions are polled once in this many rounds, since traffic between regions is paid for. */
+    private static final int OTHER_REGION_ROUNDS = 3;
 
-    /** After how many rounds without an endpoint to ask about there seems to be none. */
-    private static final int MOST_ROUNDS_WITHOUT_ENDPOINTS = 3;
+    /** After this many rounds without an endpoint to query, there is assumed to be none. */
+    private static final int MAX_ROUNDS_WITHOUT_ENDPOINTS = 3;
 
     private final Parts parts;
     private final DatagramChannel channel;
-    private final LoadQuestions questions;
+    private final LoadQueries queries;
 
-    /** The endpoints at each host; after one started again there are two for a while, until nothing waits at the former. */
+    /**
+     * The endpoints at each host. After a restart there are two for a while, until no request is in flight at the
+     * former one.
+     */
     private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
 
-    private final Map<EndpointStart, EndpointEntry> asked = new HashMap<>();
+    private final Map<EndpointStart, EndpointEntry> polled = new HashMap<>();
 
-    /** The stamp of the last answer from each host. */
-    private final Map<String, Long> stamps = new ConcurrentHashMap<>();
+    /** The timestamp of the last reply from each host. */
+    private final Map<String, Long> replyTimestamps = new ConcurrentHashMap<>();
 
-    private final Rounds rounds = new Rounds(NEAR_MILLIS);
-    private int round;
-    private boolean askedBefore;
+    private final PauseDetector pauseDetector = new PauseDetector(ROUND_MILLIS);
+    private int roundNumber;
+    private boolean queriedBefore;
     private volatile boolean answersDue;
 
     /**
-     * What a feed works with.
+     * What a poller needs.
      *
      * @param place where the entry runs
-     * @param self the host and port at which this entry is asked for records; its questions leave from this host, by which agents
-     *     know it
+     * @param self the host and port at which this entry serves records; its queries are sent from this host, by which
+     *     agents identify it
      * @param regions the region of each data hall
-     * @param peerPort the port at which agents are asked
-     * @param view what is believed of the store
-     * @param choice takes what agents tell
-     * @param traffic the thread that owns the choice
-     * @param steadyMillis a clock that never steps, in milliseconds
-     * @param news what agents of the region are told of the store; empty while this entry is out of touch with it
-     * @param heard learns what agents tell of the entry that reads the store for the region
+     * @param peerPort the port at which agents receive queries
+     * @param view the current view of the store
+     * @param choice receives what agents report
+     * @param traffic the thread that owns the choice, called the traffic thread
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param storeUpdate what agents of the region are informed of about the store; empty while this entry has no
+     *     contact with the store
+     * @param onReader receives what agents report about the entry that reads the store for the region
      */
     public record Parts(
             Common.Place place,
@@ -83,11 +89,11 @@
             Supplier<View> view,
             EndpointChoice choice,
             XnioIoThread traffic,
-            LongSupplier steadyMillis,
-            Supplier<Optional<StoreNews>> news,
-            Consumer<StoreNews.Heard> heard) {
+            LongSupplier monotonicMillis,
+            Supplier<Optional<StoreNews>> storeUpdate,
+            Consumer<StoreNews.Heard> onReader) {
 
-        /** Checks that nothing is missing. */
+        /** Checks that no component is null. */
         public Parts {
             Objects.requireNonNull(place, "place is null");
             Objects.requireNonNull(self, "self is null");
@@ -95,23 +101,23 @@
             Objects.requireNonNull(view, "view is null");
             Objects.requireNonNull(choice, "choice is null");
             Objects.requireNonNull(traffic, "traffic is null");
-            Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-            Objects.requireNonNull(news, "news is null");
-            Objects.requireNonNull(heard, "heard is null");
+            Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+            Objects.requireNonNull(storeUpdate, "storeUpdate is null");
+            Objects.requireNonNull(onReader, "onReader is null");
         }
     }
 
     private LoadFeed(Parts parts, DatagramChannel channel) {
         this.parts = parts;
         this.channel = channel;
-        this.questions = new LoadQuestions(parts.traffic(), parts.steadyMillis());
+        this.queries = new LoadQueries(parts.traffic(), parts.monotonicMillis());
     }
 
     /**
-     * Makes a feed that asks nothing yet.
+     * Creates a poller that sends no queries yet.
      *
-     * @param parts what it works with
-     * @return the feed
+     * @param parts what it needs
+     * @return the poller
      * @throws IOException if no port is free
      */
     public static LoadFeed open(Parts parts) throws IOException {
@@ -121,69 +127,71 @@
     }
 
     /**
-     * Begins to ask.
+     * Starts polling.
      *
-     * @param afterRound what to do after each round of questions that is on time, on the thread for traffic
+     * @param afterRound run on the traffic thread after each round of queries that began on time
      */
     public void start(Runnable afterRound) {
         Thread.ofPlatform().name("load-feed").daemon().start(this::receive);
-        parts.traffic().execute(() -> askAll(afterRound));
+        parts.traffic().execute(() -> pollAndReschedule(afterRound));
     }
 
     /**
-     * Whether agents have had time to tell what an entry that starts does not know: which endpoints leave or have named limits.
+     * Whether agents have had time to report what a starting entry does not know: which endpoints are draining or have
+     * set rate limits.
      *
-     * @return true from the second round on, or when there seems to be nobody to ask
+     * @return true from the second round on, or if there seem to be no agents to query
      */
     public boolean answersDue() {
         return answersDue;
     }
 
-    // -- questions, on the thread for traffic
+    // -- queries, on the traffic thread
 
-    private void askAll(Runnable afterRound) {
-        Steps.guarded("load-feed", () -> round(afterRound));
-        parts.traffic().executeAfter(() -> askAll(afterRound), NEAR_MILLIS, TimeUnit.MILLISECONDS);
+    private void pollAndReschedule(Runnable afterRound) {
+        Steps.guarded("load-feed", () -> poll(afterRound));
+        parts.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void round(Runnable afterRound) {
-        boolean onTime = rounds.onTime(parts.steadyMillis().getAsLong());
+    private void poll(Runnable afterRound) {
+        boolean onTime = pauseDetector.onTime(parts.monotonicMillis().getAsLong());
         View view = parts.view().get();
-        Map<String, List<EndpointEntry>> hosts = askedByHost(view);
-        // Before the questions: an answer may come at once.
+        Map<String, List<EndpointEntry>> hosts = polledByHost(view);
+        // Set before the queries are sent, since a reply may arrive immediately.
         endpointsByHost = startsOf(hosts);
-        stamps.keySet().retainAll(hosts.keySet());
-        // Stamps before news: an answer that comes in between, while this process stands still, is no proof of what the
-        // news tell.
-        Map<String, Long> answered = Map.copyOf(stamps);
-        Optional<StoreNews> news = parts.news().get();
+        replyTimestamps.keySet().retainAll(hosts.keySet());
+        // The timestamps are read before the store update: a reply that arrived in between, while this process was
+        // paused, would make the update look newer than it is.
+        Map<String, Long> timestamps = Map.copyOf(replyTimestamps);
+        Optional<StoreNews> storeUpdate = parts.storeUpdate().get();
         hosts.forEach((host, endpoints) -> {
-            boolean near = near(endpoints.getFirst());
-            if (near || round % FAR_ROUNDS == 0) {
-                // Agents elsewhere hear it from entries of their region: bytes between regions are paid for.
-                Told told = new Told(near, stamp(answered, host), near ? news : Optional.empty());
-                ask(host, endpointsByHost.get(host), told);
+            boolean sameRegion = isSameRegion(endpoints.getFirst());
+            if (sameRegion || roundNumber % OTHER_REGION_ROUNDS == 0) {
+                // Agents of other regions get store updates from entries of their own region, since traffic between
+                // regions is paid for.
+                StoreStatus storeStatus = new StoreStatus(sameRegion, lastTimestamp(timestamps, host), sameRegion ? storeUpdate : Optional.empty());
+                sendQuery(host, endpointsByHost.get(host), storeStatus);
             }
         });
         parts.choice().keepOnly(view.endpoints().values());
-        answersDue = answersDue || askedBefore || round >= MOST_ROUNDS_WITHOUT_ENDPOINTS;
-        askedBefore = !hosts.isEmpty();
-        round++;
+        answersDue = answersDue || queriedBefore || roundNumber >= MAX_ROUNDS_WITHOUT_ENDPOINTS;
+        queriedBefore = !hosts.isEmpty();
+        roundNumber++;
         if (onTime) {
             afterRound.run();
         }
     }
 
     /**
-     * The endpoints to ask about: those of models that are listed, and those listed no more at which requests still wait, since
-     * an endpoint that is not asked about would seem to have fallen silent.
+     * The endpoints to query: those that are listed for models, and those that are no longer listed but have requests
+     * in flight, since an endpoint that is not queried would seem unresponsive.
      */
-    private Map<String, List<EndpointEntry>> askedByHost(View view) {
-        asked.keySet().removeIf(start -> !parts.choice().awaits(start));
+    private Map<String, List<EndpointEntry>> polledByHost(View view) {
+        polled.keySet().removeIf(start -> !parts.choice().awaits(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
-                .forEach(endpoint -> asked.put(endpoint.start(), endpoint));
-        return asked.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
+                .forEach(endpoint -> polled.put(endpoint.start(), endpoint));
+        return polled.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
     }
 
     private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointEntry>> hosts) {
@@ -202,71 +210,77 @@
                 .isPresent();
     }
 
-    private boolean near(EndpointEntry endpoint) {
+    private boolean isSameRegion(EndpointEntry endpoint) {
         return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
     }
 
     /**
-     * Asks an endpoint's agent now; on the thread for traffic.
+     * Queries an endpoint's agent immediately; to be called on the traffic thread.
      *
      * @param endpoint the endpoint
-     * @param then learns on the same thread, once, whether the agent answered in time
+     * @param callback called on the same thread, once, with whether the agent replied in time
      */
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
+    public void ask(EndpointEntry endpoint, Consumer<Boolean> callback) {
         String host = endpoint.instanceHost();
-        boolean near = near(endpoint);
-        OptionalLong stamp = stamp(stamps, host);
-        Told told = new Told(near, stamp, near ? parts.news().get() : Optional.empty());
-        int number = ask(host, endpointsByHost.getOrDefault(host, List.of(endpoint.start())), told);
-        questions.await(number, then);
+        boolean sameRegion = isSameRegion(endpoint);
+        OptionalLong replyTimestamp = lastTimestamp(replyTimestamps, host);
+        StoreStatus storeStatus = new StoreStatus(sameRegion, replyTimestamp, sameRegion ? parts.storeUpdate().get() : Optional.empty());
+        int number = sendQuery(host, endpointsByHost.getOrDefault(host, List.of(endpoint.start())), storeStatus);
+        queries.await(number, callback);
     }
 
-    /** Asks the agent of some endpoints, which are all those at its host, and tells the question's number. */
-    private int ask(String host, List<EndpointStart> endpoints, Told told) {
-        int number = questions.next();
-        // What waits at a start that is over is read by nobody.
+    /**
+     * Sends a query to the agent of the given endpoints, which are all those at its host, and returns the query's
+     * number.
+     */
+    private int sendQuery(String host, List<EndpointStart> endpoints, StoreStatus storeStatus) {
+        int number = queries.nextNumber();
+        // Prompts sent to a former start of the endpoint are no longer processed.
         int ownPromptTokens = endpoints.stream()
                 .map(parts.choice()::load)
                 .filter(load -> !load.startedAgain())
                 .mapToInt(EndpointLoad::ownPromptTokens)
                 .sum();
-        int unmet = parts.choice().unmet().lately(parts.steadyMillis().getAsLong());
-        ByteBuffer question = LoadMessages.write(new LoadMessages.Question(
+        int unmetRequests = parts.choice().unmet().lately(parts.monotonicMillis().getAsLong());
+        ByteBuffer query = LoadMessages.write(new LoadMessages.Query(
                 parts.place().id(),
                 ownPromptTokens,
                 number,
-                unmet,
-                told.near(),
-                told.news(),
-                told.stamp(),
-                limit(endpoints)));
+                unmetRequests,
+                storeStatus.sameRegion(),
+                storeStatus.storeUpdate(),
+                storeStatus.replyTimestamp(),
+                rateLimit(endpoints)));
         try {
-            channel.send(question, new InetSocketAddress(host, parts.peerPort()));
+            channel.send(query, new InetSocketAddress(host, parts.peerPort()));
         } catch (IOException e) {
             LOG.debug("event=load_question_not_sent host={} why=\"{}\"", host, e.toString());
         }
         return number;
     }
 
-    /** What this entry heard of the limit of the endpoint at a host; of two starts of it the one that said something last. */
-    private Optional<LimitWord> limit(List<EndpointStart> endpoints) {
-        long now = parts.steadyMillis().getAsLong();
+    /**
+     * What this entry knows of the rate limit of the endpoint at a host. If the endpoint has two starts, the most
+     * recent information counts.
+     */
+    private Optional<LimitWord> rateLimit(List<EndpointStart> endpoints) {
+        long now = parts.monotonicMillis().getAsLong();
         return endpoints.stream()
                 .map(start -> parts.choice().load(start).limit().word(now))
                 .flatMap(Optional::stream)
                 .min(Comparator.comparingInt(LimitWord::millisAgo));
     }
 
-    /** What an agent is told of the store, with the stamp that it is newer than. */
-    private record Told(boolean near, OptionalLong stamp, Optional<StoreNews> news) {}
+    /** What a query says of the store, with the timestamp of the reply that precedes it. */
+    private record StoreStatus(boolean sameRegion, OptionalLong replyTimestamp, Optional<StoreNews> storeUpdate) {}
 
-    /** The stamp of the last answer from a host; empty before the first. */
-    private static OptionalLong stamp(Map<String, Long> stamps, String host) {
-        Long stamp = stamps.get(host);
-        return stamp == null ? OptionalLong.empty() : OptionalLong.of(stamp);
+    /** The timestamp of the last reply from a host; empty before the first. */
+    private static OptionalLong lastTimestamp(Map<String, Long> timestamps, String host) {
+        Long timestamp = timestamps.get(host);
+        return timestamp == null ? OptionalLong.empty() : OptionalLong.of(timestamp);
     }
 
-    // -- answers, on a thread of their own
+    // -- replies, on a separate thread
 
     private void receive() {
         while (channel.isOpen()) {
@@ -278,53 +292,56 @@
         try {
             LoadMessages.Received received = LoadMessages.receive(channel);
             String host = received.from().getAddress().getHostAddress();
-            take(host, LoadMessages.answer(received.bytes()));
+            accept(host, LoadMessages.readReply(received.bytes()));
         } catch (IOException e) {
             LOG.warn("event=load_answer_lost why=\"{}\"", e.toString());
         }
     }
 
-    private void take(String host, LoadMessages.Answer answer) {
+    private void accept(String host, LoadMessages.Reply reply) {
         List<EndpointStart> endpoints = endpointsByHost.getOrDefault(host, List.of());
-        stamps.put(host, answer.stampMillis());
-        parts.traffic().execute(() -> tell(endpoints, answer));
+        replyTimestamps.put(host, reply.timestampMillis());
+        parts.traffic().execute(() -> apply(endpoints, reply));
     }
 
-    /** Gives an answer to the choice first, so that what waits for it is decided on what it says. */
-    private void tell(List<EndpointStart> endpoints, LoadMessages.Answer answer) {
-        OptionalLong asked = questions.askedMillis(answer.number());
-        if (asked.isEmpty()) {
+    /**
+     * Applies a reply to the choice of endpoints before the callbacks that wait for it run, so that they decide with
+     * its content.
+     */
+    private void apply(List<EndpointStart> endpoints, LoadMessages.Reply reply) {
+        OptionalLong sentMillis = queries.sentMillis(reply.number());
+        if (sentMillis.isEmpty()) {
             return;
         }
-        long now = parts.steadyMillis().getAsLong();
-        long delay = now - asked.getAsLong();
-        answer.rank().ifPresent(rank -> parts.choice().entries().told(rank.entries(), now));
+        long now = parts.monotonicMillis().getAsLong();
+        long delay = now - sentMillis.getAsLong();
+        reply.rank().ifPresent(rank -> parts.choice().entries().told(rank.entries(), now));
         for (EndpointStart start : endpoints) {
             EndpointLoad load = parts.choice().load(start);
-            if (start.mayBe(answer.told().start())) {
-                load.told(answer.told(), delay, now);
-                answer.rank().ifPresent(load.limit()::ranked);
-                answer.limit()
-                        .filter(word -> word.isOf(start.id()))
-                        .filter(word -> load.limit().told(word.news(asked.getAsLong(), now)))
-                        .ifPresent(word -> load.limit().logChange("agent"));
+            if (start.mayBe(reply.report().start())) {
+                load.told(reply.report(), delay, now);
+                reply.rank().ifPresent(load.limit()::ranked);
+                reply.rateLimit()
+                        .filter(rateLimit -> rateLimit.isOf(start.id()))
+                        .filter(rateLimit -> load.limit().told(rateLimit.news(sentMillis.getAsLong(), now)))
+                        .ifPresent(rateLimit -> load.limit().logChange("agent"));
             } else {
-                toldOfAnotherStart(start, load);
+                handleReportOfAnotherStart(start, load);
             }
         }
-        questions.answered(answer.number());
-        // Counted from the question: the agent's word is at most that much older than it says.
-        answer.reader()
-                .ifPresent(reader -> parts.heard()
+        queries.onReply(reply.number());
+        // Counted from the time of the query: the information is at most that much older than the agent reports.
+        reply.reader()
+                .ifPresent(reader -> parts.onReader()
                         .accept(new StoreNews.Heard(
-                                reader.peer(), reader.operator(), asked.getAsLong() - reader.knownMillisAgo())));
+                                reader.peer(), reader.operatorOffset(), sentMillis.getAsLong() - reader.knownMillisAgo())));
     }
 
     /**
-     * The agent is ahead of the endpoint's entry, or behind it, for a moment. What it tells of one start must not count for
-     * another: that may hold nothing of the version that it names.
+     * The agent is ahead of the endpoint's entry in the store, or behind it, for a moment. A report on one start must
+     * not be applied to another, which may hold nothing of the version that the report names.
      */
-    private static void toldOfAnotherStart(EndpointStart start, EndpointLoad load) {
+    private static void handleReportOfAnotherStart(EndpointStart start, EndpointLoad load) {
         if (!load.startedAgain()) {
             LOG.info(
                     "event=agent_tells_of_another_start endpoint={} listed={}",
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -17,313 +17,319 @@
 import org.micabarrow.views.ManifestPlace;
 
 /**
- * The datagrams by which entries ask agents how their endpoints are. One that is lost is made up for by the next. Numbers are
- * binary, since an agent is asked by every entry several times a second.
+ * The datagrams by which entries query agents for the load of their endpoints. A lost datagram is made up for by the
+ * next one. Numbers are binary, since every entry queries an agent several times a second.
  */
 final class LoadMessages {
 
-    /** The greatest datagram, in bytes; they are well under a hundred. */
-    private static final int MOST_BYTES = 512;
+    /** The maximum size of a datagram, in bytes; actual ones are well under a hundred. */
+    private static final int MAX_BYTES = 512;
 
-    /** What a question takes without its news and the entry's name, in bytes. */
-    private static final int QUESTION_BYTES = 4 * Integer.BYTES + Long.BYTES + 3;
+    /** The size of a query without its store update and the entry's name, in bytes. */
+    private static final int QUERY_BYTES = 4 * Integer.BYTES + Long.BYTES + 3;
 
-    /** What news take without the place of the manifest, in bytes. */
-    private static final int NEWS_BYTES = Integer.BYTES + 4 * Long.BYTES + 2;
+    /** The size of a store update without the position of the manifest, in bytes. */
+    private static final int UPDATE_BYTES = Integer.BYTES + 4 * Long.BYTES + 2;
 
-    private static final int PLACE_BYTES = 2 * Long.BYTES;
+    private static final int MANIFEST_POSITION_BYTES = 2 * Long.BYTES;
 
-    /** What an answer takes without the start of the endpoint and the reader of the region, in bytes. */
-    private static final int ANSWER_BYTES = 4 * Integer.BYTES + 2 * Long.BYTES + 3;
+    /** The size of a reply without the start of the endpoint and the region's reader, in bytes. */
+    private static final int REPLY_BYTES = 4 * Integer.BYTES + 2 * Long.BYTES + 3;
 
-    /** What the reader of the region takes without its address, in bytes. */
+    /** The size of the region's reader without its address, in bytes. */
     private static final int READER_BYTES = Integer.BYTES + 2 * Long.BYTES;
 
-    private static final byte NO = 0;
-    private static final byte YES = 1;
+    private static final byte FALSE = 0;
+    private static final byte TRUE = 1;
 
-    /** The bits of what an endpoint does. */
+    /** The bits of an endpoint's state. */
     private static final int LOADING = 1;
 
-    private static final int LEAVING = 2;
+    private static final int DRAINING = 2;
 
     private LoadMessages() {}
 
-    private interface Reading<T> {
-        T read(ByteBuffer datagram);
+    private interface Decoder<T> {
+        T decode(ByteBuffer datagram);
     }
 
-    /** Whatever another program sends to the port is refused with a reason. */
-    private static <T> T whole(byte[] bytes, Reading<T> reading) throws IOException {
+    /** Decodes a complete datagram. Whatever another program sends to the port is rejected with a reason. */
+    private static <T> T decode(byte[] bytes, Decoder<T> decoder) throws IOException {
         try {
             ByteBuffer datagram = ByteBuffer.wrap(bytes);
-            T message = reading.read(datagram);
+            T message = decoder.decode(datagram);
             if (datagram.hasRemaining()) {
                 throw new IOException("a datagram is longer than its message by " + datagram.remaining() + " bytes");
             }
             return message;
         } catch (BufferUnderflowException e) {
-            throw new IOException("a datagram of " + bytes.length + " bytes breaks off", e);
+            throw new IOException("a datagram of " + bytes.length + " bytes is truncated", e);
         } catch (IllegalArgumentException e) {
-            throw new IOException("a datagram says what cannot be: " + e.getMessage(), e);
+            throw new IOException("a datagram has an invalid value: " + e.getMessage(), e);
         }
     }
 
-    /** An age; one below zero would make whoever hears it sure of what nobody knows yet. */
-    private static long age(ByteBuffer datagram) {
+    /** Reads an age. A negative one would make the receiver rely on information that nobody can have yet. */
+    private static long readAge(ByteBuffer datagram) {
         long millis = datagram.getLong();
         if (millis < 0) {
-            throw new IllegalArgumentException("an age of " + millis + " ms");
+            throw new IllegalArgumentException("invalid age: " + millis + " ms");
         }
         return millis;
     }
 
-    private static boolean flag(ByteBuffer datagram) {
-        return datagram.get() != NO;
+    private static boolean readFlag(ByteBuffer datagram) {
+        return datagram.get() != FALSE;
     }
 
-    private static byte flag(boolean on) {
-        return on ? YES : NO;
+    private static byte toByte(boolean on) {
+        return on ? TRUE : FALSE;
     }
 
-    // -- questions
+    // -- queries
 
     /**
-     * An entry's question, which tells what the entry itself has waiting there.
+     * An entry's query, which also reports the entry's own requests at the endpoint.
      *
      * @param entry the entry's name
-     * @param promptTokens the prompt tokens of its requests whose answers have not begun
-     * @param number tells it from the entry's other questions
-     * @param unmet the requests for models that the entry turned away for want of room in about the last second
-     * @param near whether the agent is of the entry's region
-     * @param news what it tells of the store; empty to agents of other regions, and while it is out of touch
-     * @param stamp the stamp of the last answer that the entry got from the agent: the question was sent after it
-     * @param limit what the entry heard of the limit of the endpoint beside the agent; empty if nothing lately
+     * @param promptTokens the prompt tokens of its requests whose responses have not begun
+     * @param number distinguishes it from the entry's other queries
+     * @param unmetRequests the requests for models that the entry rejected for lack of free slots in about the last
+     *     second
+     * @param sameRegion whether the agent is in the entry's region
+     * @param storeUpdate what the entry knows of the store; empty for agents of other regions, and while the entry has
+     *     no contact with the store
+     * @param replyTimestamp the timestamp of the last reply that the entry received from the agent; the query was sent
+     *     after it
+     * @param rateLimit what the entry knows of the rate limit of the endpoint next to the agent; empty if it received
+     *     nothing recently
      */
-    record Question(
+    record Query(
             String entry,
             int promptTokens,
             int number,
-            int unmet,
-            boolean near,
-            Optional<StoreNews> news,
-            OptionalLong stamp,
-            Optional<LimitWord> limit) {
-
-        /** A question of an entry that has heard of no limit. */
-        Question(
+            int unmetRequests,
+            boolean sameRegion,
+            Optional<StoreNews> storeUpdate,
+            OptionalLong replyTimestamp,
+            Optional<LimitWord> rateLimit) {
+
+        /** Creates a query of an entry that knows of no rate limit. */
+        Query(
                 String entry,
                 int promptTokens,
                 int number,
-                int unmet,
-                boolean near,
-                Optional<StoreNews> news,
-                OptionalLong stamp) {
-            this(entry, promptTokens, number, unmet, near, news, stamp, Optional.empty());
+                int unmetRequests,
+                boolean sameRegion,
+                Optional<StoreNews> storeUpdate,
+                OptionalLong replyTimestamp) {
+            this(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, replyTimestamp, Optional.empty());
         }
 
-        /** A question of an entry that has got no answer yet. */
-        Question(String entry, int promptTokens, int number, int unmet, boolean near, Optional<StoreNews> news) {
-            this(entry, promptTokens, number, unmet, near, news, OptionalLong.empty());
+        /** Creates a query of an entry that has received no reply yet. */
+        Query(String entry, int promptTokens, int number, int unmetRequests, boolean sameRegion, Optional<StoreNews> storeUpdate) {
+            this(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, OptionalLong.empty());
         }
 
-        /** A question to an agent of another region, which is told nothing of the store. */
-        Question(String entry, int promptTokens, int number, int unmet) {
-            this(entry, promptTokens, number, unmet, false, Optional.empty());
+        /** Creates a query to an agent of another region, which gets no store update. */
+        Query(String entry, int promptTokens, int number, int unmetRequests) {
+            this(entry, promptTokens, number, unmetRequests, false, Optional.empty());
         }
     }
 
-    static ByteBuffer write(Question question) {
-        byte[] entry = question.entry().getBytes(StandardCharsets.UTF_8);
-        int newsBytes = question.news().map(LoadMessages::size).orElse(0);
-        int limitBytes = LimitBytes.ofLimit(question.limit());
-        ByteBuffer datagram = ByteBuffer.allocate(QUESTION_BYTES + newsBytes + limitBytes + entry.length);
-        datagram.putInt(question.number());
-        datagram.putInt(question.promptTokens());
-        datagram.putInt(question.unmet());
-        datagram.put(flag(question.near()));
-        datagram.put(flag(question.stamp().isPresent()));
-        datagram.putLong(question.stamp().orElse(0));
-        datagram.put(flag(question.news().isPresent()));
-        question.news().ifPresent(news -> write(datagram, news));
-        LimitBytes.writeLimit(datagram, question.limit());
+    static ByteBuffer write(Query query) {
+        byte[] entry = query.entry().getBytes(StandardCharsets.UTF_8);
+        int updateSize = query.storeUpdate().map(LoadMessages::updateSize).orElse(0);
+        int limitSize = RateLimitCodec.limitSize(query.rateLimit());
+        ByteBuffer datagram = ByteBuffer.allocate(QUERY_BYTES + updateSize + limitSize + entry.length);
+        datagram.putInt(query.number());
+        datagram.putInt(query.promptTokens());
+        datagram.putInt(query.unmetRequests());
+        datagram.put(toByte(query.sameRegion()));
+        datagram.put(toByte(query.replyTimestamp().isPresent()));
+        datagram.putLong(query.replyTimestamp().orElse(0));
+        datagram.put(toByte(query.storeUpdate().isPresent()));
+        query.storeUpdate().ifPresent(storeUpdate -> write(datagram, storeUpdate));
+        RateLimitCodec.writeLimit(datagram, query.rateLimit());
         datagram.putInt(entry.length);
         datagram.put(entry);
         return datagram.flip();
     }
 
-    static Question question(byte[] bytes) throws IOException {
-        return whole(bytes, datagram -> {
+    static Query readQuery(byte[] bytes) throws IOException {
+        return decode(bytes, datagram -> {
             int number = datagram.getInt();
             int promptTokens = datagram.getInt();
-            int unmet = datagram.getInt();
-            boolean near = flag(datagram);
-            boolean stamped = flag(datagram);
-            long stamp = datagram.getLong();
-            Optional<StoreNews> news = flag(datagram) ? Optional.of(news(datagram)) : Optional.empty();
-            Optional<LimitWord> limit = LimitBytes.readLimit(datagram);
-            String entry = text(datagram);
-            OptionalLong answered = stamped ? OptionalLong.of(stamp) : OptionalLong.empty();
-            return new Question(entry, promptTokens, number, unmet, near, news, answered, limit);
+            int unmetRequests = datagram.getInt();
+            boolean sameRegion = readFlag(datagram);
+            boolean hasTimestamp = readFlag(datagram);
+            long timestampMillis = datagram.getLong();
+            Optional<StoreNews> storeUpdate = readFlag(datagram) ? Optional.of(readUpdate(datagram)) : Optional.empty();
+            Optional<LimitWord> rateLimit = RateLimitCodec.readLimit(datagram);
+            String entry = readText(datagram);
+            OptionalLong replyTimestamp = hasTimestamp ? OptionalLong.of(timestampMillis) : OptionalLong.empty();
+            return new Query(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, replyTimestamp, rateLimit);
         });
     }
 
-    private static String text(ByteBuffer datagram) {
-        byte[] bytes = new byte[Math.clamp(datagram.getInt(), 0, MOST_BYTES)];
+    private static String readText(ByteBuffer datagram) {
+        byte[] bytes = new byte[Math.clamp(datagram.getInt(), 0, MAX_BYTES)];
         datagram.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static int size(StoreNews news) {
-        return NEWS_BYTES + (news.manifest().isPresent() ? PLACE_BYTES : 0);
+    private static int updateSize(StoreNews storeUpdate) {
+        return UPDATE_BYTES + (storeUpdate.manifest().isPresent() ? MANIFEST_POSITION_BYTES : 0);
     }
 
-    private static void write(ByteBuffer datagram, StoreNews news) {
-        datagram.putInt(news.port());
-        datagram.putLong(news.changes().operator());
-        datagram.putLong(news.changes().endpoints());
-        datagram.putLong(news.changes().weights());
-        datagram.putLong(news.knownMillisAgo());
-        datagram.put(flag(news.direct()));
-        datagram.put(flag(news.manifest().isPresent()));
-        news.manifest().ifPresent(place -> {
-            datagram.putLong(place.version());
-            datagram.putLong(place.offset());
+    private static void write(ByteBuffer datagram, StoreNews storeUpdate) {
+        datagram.putInt(storeUpdate.port());
+        datagram.putLong(storeUpdate.changes().operator());
+        datagram.putLong(storeUpdate.changes().endpoints());
+        datagram.putLong(storeUpdate.changes().weights());
+        datagram.putLong(storeUpdate.knownMillisAgo());
+        datagram.put(toByte(storeUpdate.direct()));
+        datagram.put(toByte(storeUpdate.manifest().isPresent()));
+        storeUpdate.manifest().ifPresent(position -> {
+            datagram.putLong(position.version());
+            datagram.putLong(position.offset());
         });
     }
 
-    private static StoreNews news(ByteBuffer datagram) {
+    private static StoreNews readUpdate(ByteBuffer datagram) {
         int port = datagram.getInt();
         LastChanges changes = new LastChanges(datagram.getLong(), datagram.getLong(), datagram.getLong());
-        long knownMillisAgo = age(datagram);
-        boolean direct = flag(datagram);
-        Optional<ManifestPlace> manifest = flag(datagram)
+        long knownMillisAgo = readAge(datagram);
+        boolean direct = readFlag(datagram);
+        Optional<ManifestPlace> manifest = readFlag(datagram)
                 ? Optional.of(new ManifestPlace(datagram.getLong(), datagram.getLong()))
                 : Optional.empty();
         return new StoreNews(port, changes, manifest, knownMillisAgo, direct);
     }
 
-    // -- answers
+    // -- replies
 
     /**
-     * What an agent tells an entry nearby of the one that reads the store for the entries of the region.
+     * What an agent reports to an entry of its region about the entry that reads the store for that region.
      *
-     * @param peer the host and port at which that one can be asked for records
-     * @param operator the offset after the last change of operators that it knows of
-     * @param knownMillisAgo how long ago it knew all that operators wrote, in milliseconds
+     * @param peer the host and port at which that entry serves records
+     * @param operatorOffset the offset after the last operator change that it knows of
+     * @param knownMillisAgo how long ago it knew everything that operators had written, in milliseconds
      */
-    record ReaderNews(String peer, long operator, long knownMillisAgo) {
+    record ReaderUpdate(String peer, long operatorOffset, long knownMillisAgo) {
 
-        /** Checks that nothing is missing. */
-        ReaderNews {
+        /** Checks that no component is null. */
+        ReaderUpdate {
             Objects.requireNonNull(peer, "peer is null");
         }
     }
 
     /**
-     * An agent's answer.
+     * An agent's reply.
      *
-     * @param number the number of the entry's question; if nothing was asked, that of the last
-     * @param told how the endpoint is
-     * @param reader the entry that reads the store for the region; empty to that one, to entries of other regions, and if none does
-     * @param stampMillis the agent's steady clock, which the entry's next question repeats
-     * @param rank the entry's place among those that ask; empty while the agent has not listened for long enough to know
-     * @param limit what is known of the endpoint's limit; empty if nothing was heard of it lately
+     * @param number the number of the entry's query; for an unsolicited reply, that of the last query
+     * @param report the endpoint's load
+     * @param reader the entry that reads the store for the region; empty for that entry, for entries of other regions,
+     *     and if there is none
+     * @param timestampMillis the time on the agent's monotonic clock, which the entry's next query repeats
+     * @param rank the entry's rank among those that query the agent; empty until the agent has listened for long enough
+     *     to know it
+     * @param rateLimit what is known of the endpoint's rate limit; empty if nothing was received recently
      */
-    record Answer(
+    record Reply(
             int number,
-            LoadReport told,
-            Optional<ReaderNews> reader,
-            long stampMillis,
+            LoadReport report,
+            Optional<ReaderUpdate> reader,
+            long timestampMillis,
             Optional<EntryRank> rank,
-            Optional<LimitWord> limit) {
+            Optional<LimitWord> rateLimit) {
 
-        /** An answer of an agent that knows neither ranks nor limits. */
-        Answer(int number, LoadReport told, Optional<ReaderNews> reader, long stampMillis) {
-            this(number, told, reader, stampMillis, Optional.empty(), Optional.empty());
+        /** Creates a reply of an agent that knows neither ranks nor rate limits. */
+        Reply(int number, LoadReport report, Optional<ReaderUpdate> reader, long timestampMillis) {
+            this(number, report, reader, timestampMillis, Optional.empty(), Optional.empty());
         }
 
-        /** An answer that tells of no reader. */
-        Answer(int number, LoadReport told) {
-            this(number, told, Optional.empty(), 0);
+        /** Creates a reply that names no reader. */
+        Reply(int number, LoadReport report) {
+            this(number, report, Optional.empty(), 0);
         }
     }
 
-    static ByteBuffer write(Answer answer) {
-        LoadReport told = answer.told();
-        int startBytes = told.start().isPresent() ? Integer.BYTES : 0;
-        byte[] peer = answer.reader().map(ReaderNews::peer).orElse("").getBytes(StandardCharsets.UTF_8);
-        int readerBytes = answer.reader().isPresent() ? READER_BYTES + peer.length : 0;
-        int limitBytes = LimitBytes.ofRank(answer.rank()) + LimitBytes.ofLimit(answer.limit());
-        ByteBuffer datagram = ByteBuffer.allocate(ANSWER_BYTES + startBytes + readerBytes + limitBytes);
-        datagram.putInt(answer.number());
-        datagram.putInt(told.requests());
-        datagram.putInt(told.othersPromptTokens());
-        datagram.putInt(told.places());
-        datagram.putLong(told.version());
-        datagram.put(state(told));
-        datagram.put(flag(told.start().isPresent()));
-        told.start().ifPresent(datagram::putInt);
-        datagram.put(flag(answer.reader().isPresent()));
-        answer.reader().ifPresent(reader -> {
+    static ByteBuffer write(Reply reply) {
+        LoadReport report = reply.report();
+        int startSize = report.start().isPresent() ? Integer.BYTES : 0;
+        byte[] peer = reply.reader().map(ReaderUpdate::peer).orElse("").getBytes(StandardCharsets.UTF_8);
+        int readerSize = reply.reader().isPresent() ? READER_BYTES + peer.length : 0;
+        int limitSize = RateLimitCodec.rankSize(reply.rank()) + RateLimitCodec.limitSize(reply.rateLimit());
+        ByteBuffer datagram = ByteBuffer.allocate(REPLY_BYTES + startSize + readerSize + limitSize);
+        datagram.putInt(reply.number());
+        datagram.putInt(report.requests());
+        datagram.putInt(report.othersPromptTokens());
+        datagram.putInt(report.places());
+        datagram.putLong(report.version());
+        datagram.put(state(report));
+        datagram.put(toByte(report.start().isPresent()));
+        report.start().ifPresent(datagram::putInt);
+        datagram.put(toByte(reply.reader().isPresent()));
+        reply.reader().ifPresent(reader -> {
             datagram.putLong(reader.operator());
             datagram.putLong(reader.knownMillisAgo());
             datagram.putInt(peer.length);
             datagram.put(peer);
         });
-        datagram.putLong(answer.stampMillis());
-        LimitBytes.writeRank(datagram, answer.rank());
-        LimitBytes.writeLimit(datagram, answer.limit());
+        datagram.putLong(reply.timestampMillis());
+        RateLimitCodec.writeRank(datagram, reply.rank());
+        RateLimitCodec.writeLimit(datagram, reply.rateLimit());
         return datagram.flip();
     }
 
-    private static byte state(LoadReport told) {
-        return (byte) ((told.loading() ? LOADING : 0) | (told.leaving() ? LEAVING : 0));
+    private static byte state(LoadReport report) {
+        return (byte) ((report.loading() ? LOADING : 0) | (report.leaving() ? DRAINING : 0));
     }
 
-    static Answer answer(byte[] bytes) throws IOException {
-        return whole(bytes, datagram -> {
+    static Reply readReply(byte[] bytes) throws IOException {
+        return decode(bytes, datagram -> {
             int number = datagram.getInt();
             int requests = datagram.getInt();
             int othersPromptTokens = datagram.getInt();
             int places = datagram.getInt();
             long version = datagram.getLong();
             byte state = datagram.get();
-            OptionalInt start = flag(datagram) ? OptionalInt.of(datagram.getInt()) : OptionalInt.empty();
-            LoadReport told = new LoadReport(
+            OptionalInt start = readFlag(datagram) ? OptionalInt.of(datagram.getInt()) : OptionalInt.empty();
+            LoadReport report = new LoadReport(
                     requests,
                     othersPromptTokens,
                     (state & LOADING) != 0,
                     version,
                     places,
                     start,
-                    (state & LEAVING) != 0);
-            Optional<ReaderNews> reader = flag(datagram) ? Optional.of(reader(datagram)) : Optional.empty();
-            long stamp = datagram.getLong();
-            Optional<EntryRank> rank = LimitBytes.readRank(datagram);
-            return new Answer(number, told, reader, stamp, rank, LimitBytes.readLimit(datagram));
+                    (state & DRAINING) != 0);
+            Optional<ReaderUpdate> reader = readFlag(datagram) ? Optional.of(readReader(datagram)) : Optional.empty();
+            long timestampMillis = datagram.getLong();
+            Optional<EntryRank> rank = RateLimitCodec.readRank(datagram);
+            return new Reply(number, report, reader, timestampMillis, rank, RateLimitCodec.readLimit(datagram));
         });
     }
 
-    private static ReaderNews reader(ByteBuffer datagram) {
-        long operator = datagram.getLong();
-        long knownMillisAgo = age(datagram);
-        return new ReaderNews(text(datagram), operator, knownMillisAgo);
+    private static ReaderUpdate readReader(ByteBuffer datagram) {
+        long operatorOffset = datagram.getLong();
+        long knownMillisAgo = readAge(datagram);
+        return new ReaderUpdate(readText(datagram), operatorOffset, knownMillisAgo);
     }
 
-    // -- either
+    // -- both
 
     /**
-     * A datagram as it came in.
+     * A received datagram.
      *
-     * @param from whence
-     * @param bytes what it says
+     * @param from the sender's address
+     * @param bytes its content
      */
     record Received(InetSocketAddress from, byte[] bytes) {}
 
     /** Waits for the next datagram. */
     static Received receive(DatagramChannel channel) throws IOException {
-        ByteBuffer buffer = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
         InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
         buffer.flip();
         byte[] bytes = new byte[buffer.remaining()];
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -12,82 +12,84 @@
 import org.micabarrow.limits.LimitRelay;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.steps.Steps;
-import org.micabarrow.transport.EntriesHeard.Heard;
+import org.micabarrow.transport.EntryQueries.EntryQuery;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells entries how the endpoint beside an agent is, and what other entries have waiting there. */
+/** Reports to entries the load of the endpoint next to an agent, including what other entries have in flight there. */
 public final class LoadServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(LoadServer.class);
 
     private final DatagramChannel channel;
     private final Supplier<Optional<LoadReport>> endpoint;
-    private final LongSupplier steadyMillis;
-    private final BiConsumer<String, StoreNews> news;
-    private final EntriesHeard entries;
-    private final LimitRelay limits = new LimitRelay();
-    private final PlaceShares shares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
+    private final LongSupplier monotonicMillis;
+    private final BiConsumer<String, StoreNews> onStoreUpdate;
+    private final EntryQueries entries;
+    private final LimitRelay limitRelay = new LimitRelay();
+    private final PlaceShares slotShares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
             String address,
             Supplier<Optional<LoadReport>> endpoint,
-            LongSupplier steadyMillis,
-            BiConsumer<String, StoreNews> news,
-            long trustMillis) {
+            LongSupplier monotonicMillis,
+            BiConsumer<String, StoreNews> onStoreUpdate,
+            long maxStoreAgeMillis) {
         this.channel = channel;
         this.endpoint = endpoint;
-        this.steadyMillis = steadyMillis;
-        this.news = news;
-        this.entries = new EntriesHeard(trustMillis, address);
+        this.monotonicMillis = monotonicMillis;
+        this.onStoreUpdate = onStoreUpdate;
+        this.entries = new EntryQueries(maxStoreAgeMillis, address);
     }
 
     /**
-     * Answers questions on a thread of its own.
+     * Starts a server that answers queries on a separate thread.
      *
      * @param address the host and port
-     * @param endpoint what is known of the endpoint, with all its free places; empty while it does not answer
-     * @param steadyMillis a clock that never steps, in milliseconds
-     * @param news learns what entries tell of the store, and where they can be asked for records
-     * @param trustMillis how old what an entry knows of the store may be, in milliseconds, for others to go by it
+     * @param endpoint what is known of the endpoint, with all its free slots; empty while it does not respond
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param onStoreUpdate receives the store updates of entries, each with the host and port at which the entry serves
+     *     records
+     * @param maxStoreAgeMillis the age, in milliseconds, from which on other entries may not rely on what an entry
+     *     knows of the store
      * @return the running server
      * @throws IOException if the address cannot be used
      */
     public static LoadServer start(
             String address,
             Supplier<Optional<LoadReport>> endpoint,
-            LongSupplier steadyMillis,
-            BiConsumer<String, StoreNews> news,
-            long trustMillis)
+            LongSupplier monotonicMillis,
+            BiConsumer<String, StoreNews> onStoreUpdate,
+            long maxStoreAgeMillis)
             throws IOException {
         Objects.requireNonNull(endpoint, "endpoint is null");
-        Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        Objects.requireNonNull(news, "news is null");
+        Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        Objects.requireNonNull(onStoreUpdate, "onStoreUpdate is null");
         DatagramChannel channel = DatagramChannel.open().bind(Addresses.parse(address));
-        LoadServer server = new LoadServer(channel, address, endpoint, steadyMillis, news, trustMillis);
+        LoadServer server = new LoadServer(channel, address, endpoint, monotonicMillis, onStoreUpdate, maxStoreAgeMillis);
         Thread.ofPlatform().name("load-server").daemon().start(server::serve);
         return server;
     }
 
     /**
-     * What is passed on between entries of the endpoint's limit.
+     * The relay that passes the endpoint's rate limit on between entries.
      *
-     * @return the relay, which may be told what the endpoint reports
+     * @return the relay, which can also be given what the endpoint itself reports
      */
     public LimitRelay limits() {
-        return limits;
+        return limitRelay;
     }
 
-    /** Tells all entries that asked lately how the endpoint is, before they ask again. */
+    /** Sends the endpoint's load to all entries that queried recently, without waiting for their next queries. */
     public void tellAll() {
-        for (Heard heard : entries.all()) {
+        for (EntryQuery entryQuery : entries.all()) {
             try {
-                tell(heard);
+                sendReply(entryQuery);
             } catch (IOException e) {
                 LOG.warn(
                         "event=load_not_told entry={} why=\"{}\"",
-                        heard.question().entry(),
+                        entryQuery.query().entry(),
                         e.toString());
             }
         }
@@ -102,42 +104,42 @@
     private void serveOne() {
         try {
             LoadMessages.Received received = LoadMessages.receive(channel);
-            Heard heard =
-                    entries.hear(received.from(), LoadMessages.question(received.bytes()), steadyMillis.getAsLong());
-            heard.question().limit().ifPresent(word -> limits.told(word, heard.atMillis()));
-            heard.question().news().ifPresent(told -> news.accept(heard.peer().orElseThrow(), told));
-            tell(heard);
+            EntryQuery entryQuery =
+                    entries.add(received.from(), LoadMessages.readQuery(received.bytes()), monotonicMillis.getAsLong());
+            entryQuery.query().rateLimit().ifPresent(rateLimit -> limitRelay.told(rateLimit, entryQuery.atMillis()));
+            entryQuery.query().storeUpdate().ifPresent(update -> onStoreUpdate.accept(entryQuery.peer().orElseThrow(), update));
+            sendReply(entryQuery);
         } catch (IOException e) {
             LOG.warn("event=load_question_lost why=\"{}\"", e.toString());
         }
     }
 
-    private void tell(Heard heard) throws IOException {
-        Optional<LoadReport> told = endpoint.get();
-        if (told.isPresent()) {
-            tell(heard, told.get(), share(heard.question(), told.get()));
+    private void sendReply(EntryQuery entryQuery) throws IOException {
+        Optional<LoadReport> report = endpoint.get();
+        if (report.isPresent()) {
+            sendReply(entryQuery, report.get(), allottedSlots(entryQuery.query(), report.get()));
         }
     }
 
-    private int share(LoadMessages.Question question, LoadReport told) {
-        if (told.places() == LoadReport.ANY_PLACES) {
+    private int allottedSlots(LoadMessages.Query query, LoadReport report) {
+        if (report.places() == LoadReport.ANY_PLACES) {
             return LoadReport.ANY_PLACES;
         }
-        synchronized (shares) {
-            return shares.deal(question.entry(), question.unmet(), told.places(), steadyMillis.getAsLong());
+        synchronized (slotShares) {
+            return slotShares.deal(query.entry(), query.unmetRequests(), report.places(), monotonicMillis.getAsLong());
         }
     }
 
-    private void tell(Heard heard, LoadReport told, int places) throws IOException {
-        long now = steadyMillis.getAsLong();
-        EntriesHeard.Others others = entries.others(heard, now);
-        LoadMessages.Answer answer = new LoadMessages.Answer(
-                heard.question().number(),
-                told.to(others.promptTokens(), places),
+    private void sendReply(EntryQuery entryQuery, LoadReport report, int slots) throws IOException {
+        long now = monotonicMillis.getAsLong();
+        EntryQueries.OtherEntries others = entries.others(entryQuery, now);
+        LoadMessages.Reply reply = new LoadMessages.Reply(
+                entryQuery.query().number(),
+                report.to(others.promptTokens(), slots),
                 others.reader(),
                 now,
                 others.rank(),
-                limits.word(now));
-        channel.send(LoadMessages.write(answer), heard.from());
+                limitRelay.word(now));
+        channel.send(LoadMessages.write(reply), entryQuery.from());
     }
 }
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunks.java
@@ -21,7 +21,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Asks other agents for chunks of weights. */
+/** Requests chunks of weights from other agents. */
 public final class PeerChunks implements ChunkPeers {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerChunks.class);
@@ -29,65 +29,65 @@
     static final String CHUNKS = "/chunks/";
     static final String DIGESTS = "/digests/";
 
-    /** The header that names the chunk in an answer. */
+    /** The response header with the index of the chunk. */
     static final String INDEX = "Chunk-Index";
 
-    /** The status that says that the agent is fetching the chunks itself. */
+    /** The response status of an agent that is still fetching the chunks itself. */
     static final int FETCHING = 503;
 
-    /** How long a peer may take: it holds a question for a while, and its link serves several askers in turn. */
-    private static final Duration WITHIN = Duration.ofMillis(1_500);
+    /** The timeout for a response: a peer holds a request for a while, and its link serves several clients in turn. */
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
 
-    /** How long a peer may take to answer on a new connection: a round trip between regions and a few milliseconds of work. */
-    private static final Duration ANEW = Duration.ofMillis(400);
+    /** The timeout for a response on a new connection: a round trip between regions and a few milliseconds of work. */
+    private static final Duration NEW_CONNECTION_TIMEOUT = Duration.ofMillis(400);
 
     private static final int OK = 200;
 
-    private final HttpCaller caller;
-    private final Duration within;
-    private final Duration anew;
+    private final HttpCaller client;
+    private final Duration responseTimeout;
+    private final Duration newConnectionTimeout;
 
-    /** Agents that left their last question without an answer, and then answered on a new connection. */
-    private final Set<String> forgiven = ConcurrentHashMap.newKeySet();
+    /** Agents that left the last request for a chunk without a response, but responded on a new connection. */
+    private final Set<String> excusedAgents = ConcurrentHashMap.newKeySet();
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller sends its requests
+     * @param client sends its requests
      */
-    public PeerChunks(HttpCaller caller) {
-        this(Objects.requireNonNull(caller, "caller is null"), WITHIN, ANEW);
+    public PeerChunks(HttpCaller client) {
+        this(Objects.requireNonNull(client, "client is null"), RESPONSE_TIMEOUT, NEW_CONNECTION_TIMEOUT);
     }
 
     /**
-     * Makes a client with limits of its own.
+     * Creates a client with given timeouts.
      *
-     * @param caller sends its requests
-     * @param within how long a peer may take
-     * @param anew how long a peer may take to answer on a new connection after it left a question without an answer
+     * @param client sends its requests
+     * @param responseTimeout the timeout for a response
+     * @param newConnectionTimeout the timeout for a response on a new connection, after a request without a response
      */
-    PeerChunks(HttpCaller caller, Duration within, Duration anew) {
-        this.caller = caller;
-        this.within = within;
-        this.anew = anew;
+    PeerChunks(HttpCaller client, Duration responseTimeout, Duration newConnectionTimeout) {
+        this.client = client;
+        this.responseTimeout = responseTimeout;
+        this.newConnectionTimeout = newConnectionTimeout;
     }
 
     private Result<HttpAnswer> get(String peer, String path) {
         HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + peer + path));
-        return caller.call(call, within).flatMap(answer -> switch (answer.status()) {
-            case OK -> Result.success(answer);
+        return client.call(call, responseTimeout).flatMap(response -> switch (response.status()) {
+            case OK -> Result.success(response);
             case FETCHING -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_READY, "it is still fetching"));
-            default -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_FOUND, "it answered " + answer.status()));
+            default -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_FOUND, "it returned status " + response.status()));
         });
     }
 
     @Override
     public Result<List<String>> digests(String agent, String model, long version) {
-        return get(agent, DIGESTS + model + "/" + version).flatMap(answer -> {
+        return get(agent, DIGESTS + model + "/" + version).flatMap(response -> {
             try {
-                JsonNode json = CanonicalJson.mapper().readTree(answer.body());
+                JsonNode json = CanonicalJson.mapper().readTree(response.body());
                 List<String> digests = new ArrayList<>();
-                json.forEach(one -> digests.add(one.asText()));
+                json.forEach(digest -> digests.add(digest.asText()));
                 return Result.success(digests);
             } catch (IOException e) {
                 return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "not JSON: " + e.getMessage()));
@@ -97,62 +97,63 @@
 
     @Override
     public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-        Result<HttpAnswer> answer = get(agent, CHUNKS + model + "/" + version + "/" + write(wanted));
-        if (answer instanceof Result.Failure<HttpAnswer>(Fault fault) && broken(fault)) {
-            return Result.failure(forgives(agent, model, version) ? onlyConnection(agent, fault) : fault);
+        Result<HttpAnswer> response = get(agent, CHUNKS + model + "/" + version + "/" + formatChunks(wanted));
+        if (response instanceof Result.Failure<HttpAnswer>(Fault fault) && lacksResponse(fault)) {
+            return Result.failure(excuseIfResponsive(agent, model, version) ? connectionFault(agent, fault) : fault);
         }
-        forgiven.remove(agent);
-        return answer.flatMap(given -> numbered(agent, given));
+        excusedAgents.remove(agent);
+        return response.flatMap(received -> parseChunk(agent, received));
     }
 
-    private static Result<Numbered> numbered(String agent, HttpAnswer answer) {
+    private static Result<Numbered> parseChunk(String agent, HttpAnswer response) {
         try {
-            int index = Integer.parseInt(answer.headers().getOrDefault(INDEX, ""));
-            return Result.success(new Numbered(index, answer.body()));
+            int index = Integer.parseInt(response.headers().getOrDefault(INDEX, ""));
+            return Result.success(new Numbered(index, response.body()));
         } catch (NumberFormatException e) {
             return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "the chunk has no index"));
         }
     }
 
-    // -- connections that broke or fell silent
+    // -- broken and unresponsive connections
 
-    /** Whether no answer came, which may be the fault of the one connection that was used. */
-    private static boolean broken(Fault fault) {
+    /** Whether no response arrived, which may be due only to the connection that was used. */
+    private static boolean lacksResponse(Fault fault) {
         return fault.reason() == Reason.TIMEOUT || fault.reason() == Reason.UNREACHABLE;
     }
 
     /**
-     * Whether an agent that left a question without an answer is to be asked again: its connection may have fallen silent for
-     * good while the agent is well, and then it must not be passed over for long. Once only until it answers a question again,
-     * since one that stands still or whose link is full would hold the copy up each time.
+     * Whether to use an agent again that left a request without a response. Its connection may have become permanently
+     * unresponsive while the agent itself works, and then it must not be skipped for long. An agent is excused only
+     * once until it responds to a request for a chunk again, since one that is paused or whose link is full would delay
+     * the copy each time.
      */
-    private boolean forgives(String agent, String model, long version) {
-        boolean again = !forgiven.remove(agent) && answersAnew(agent, model, version);
-        if (again) {
-            forgiven.add(agent);
+    private boolean excuseIfResponsive(String agent, String model, long version) {
+        boolean excused = !excusedAgents.remove(agent) && respondsOnNewConnection(agent, model, version);
+        if (excused) {
+            excusedAgents.add(agent);
         }
-        return again;
+        return excused;
     }
 
-    /** Whether an agent answers a small question, be it that it has no such version. */
-    private boolean answersAnew(String agent, String model, long version) {
+    /** Whether an agent responds to a small request, even if only to say that it has no such version. */
+    private boolean respondsOnNewConnection(String agent, String model, long version) {
         HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + agent + DIGESTS + model + "/" + version));
-        return caller.call(call, anew).toOptional().isPresent();
+        return client.call(call, newConnectionTimeout).toOptional().isPresent();
     }
 
-    private static Fault onlyConnection(String agent, Fault fault) {
+    private static Fault connectionFault(String agent, Fault fault) {
         LOG.info("event=peer_asked_anew peer={} why=\"{}\"", agent, fault);
-        return Fault.of(Step.FETCH, agent, Reason.NOT_READY, "it answers on a new connection");
+        return Fault.of(Step.FETCH, agent, Reason.NOT_READY, "it responds on a new connection");
     }
 
-    // -- chunks that are wanted
+    // -- wanted chunks
 
-    private static String write(BitSet wanted) {
+    private static String formatChunks(BitSet wanted) {
         return HexFormat.of().formatHex(wanted.toByteArray());
     }
 
-    /** Reads what {@link #anyOf} writes. */
-    static BitSet read(String wanted) {
+    /** Parses the set of chunks that {@link #anyOf} writes. */
+    static BitSet parseChunks(String wanted) {
         return BitSet.valueOf(HexFormat.of().parseHex(wanted));
     }
 }
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -22,83 +22,89 @@
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
 
-/** The messages by which processes tell each other records of the store. */
+/** Requests records of the store from other processes, and writes the responses to such requests. */
 public final class PeerRecords {
 
     static final String PATH = "/records";
 
-    /** How long an answer that keeps coming may take: a large manifest over a narrow link, as from the store. */
-    private static final Duration WHOLE = Duration.ofSeconds(10);
+    /**
+     * The total timeout for a response that keeps arriving, which may be a large manifest over a narrow link, as in
+     * reads from the store.
+     */
+    private static final Duration TOTAL_TIMEOUT = Duration.ofSeconds(10);
 
     private static final int OK = 200;
 
-    /** How long ago everything that was written was known to the peer, in milliseconds; a clock of its own tells nothing here. */
+    /**
+     * The field that states how long ago the peer knew everything that had been written, in milliseconds; a time on the
+     * peer's own clock would have no meaning here.
+     */
     private static final String KNOWN_MILLIS_AGO = "knownMsAgo";
 
-    private final HttpCaller caller;
-    private final LongSupplier steadyMillis;
+    private final HttpCaller client;
+    private final LongSupplier monotonicMillis;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller sends its requests
+     * @param client sends its requests
      */
-    public PeerRecords(HttpCaller caller) {
-        this(caller, SteadyClock::millis);
+    public PeerRecords(HttpCaller client) {
+        this(client, SteadyClock::millis);
     }
 
     /**
-     * Makes a client that has a clock of its own.
+     * Creates a client with a given clock.
      *
-     * @param caller sends its requests
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param client sends its requests
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public PeerRecords(HttpCaller caller, LongSupplier steadyMillis) {
-        this.caller = Objects.requireNonNull(caller, "caller is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
+    public PeerRecords(HttpCaller client, LongSupplier monotonicMillis) {
+        this.client = Objects.requireNonNull(client, "client is null");
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
     }
 
     /**
-     * Asks a peer for the newest records of a topic at or after an offset.
+     * Requests from a peer the newest records of a topic at or after an offset.
      *
      * @param peer the peer's host and port
      * @param topic the topic
      * @param from the offset
-     * @return the records, as of the moment before the question minus the age of what the peer knows
+     * @return the records, valid as of the time of sending the request minus the age of the peer's knowledge
      */
     public Result<Batch> ask(String peer, Topic topic, long from) {
-        return ask(peer, topic, from, WHOLE);
+        return ask(peer, topic, from, TOTAL_TIMEOUT);
     }
 
     /**
-     * Asks a peer for the newest records of a topic at or after an offset, if it does not take too long.
+     * Requests from a peer the newest records of a topic at or after an offset, with a given timeout.
      *
      * @param peer the peer's host and port
      * @param topic the topic
      * @param from the offset
-     * @param within how long the whole answer may take
-     * @return the records, as of the moment before the question minus the age of what the peer knows
+     * @param within the timeout for the complete response
+     * @return the records, valid as of the time of sending the request minus the age of the peer's knowledge
      */
     public Result<Batch> ask(String peer, Topic topic, long from, Duration within) {
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
-        long sent = steadyMillis.getAsLong();
-        return caller.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, within))
-                .flatMap(answer -> answer.status() == OK
-                        ? read(peer, answer.body(), sent)
+        long sentMillis = monotonicMillis.getAsLong();
+        return client.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, within))
+                .flatMap(response -> response.status() == OK
+                        ? parse(peer, response.body(), sentMillis)
                         : Result.failure(
-                                Fault.of(Step.READ, peer, Reason.NOT_READY, "it answered " + answer.status())));
+                                Fault.of(Step.READ, peer, Reason.NOT_READY, "it returned status " + response.status())));
     }
 
-    private static Result<Batch> read(String peer, byte[] body, long sentMillis) {
+    private static Result<Batch> parse(String peer, byte[] body, long sentMillis) {
         try {
             JsonNode json = CanonicalJson.mapper().readTree(body);
             List<StoredRecord> records = new ArrayList<>();
-            for (JsonNode one : json.path("records")) {
+            for (JsonNode node : json.path("records")) {
                 records.add(new StoredRecord(
-                        one.path("key").asText(),
-                        one.path("offset").asLong(),
-                        one.path("value").binaryValue()));
+                        node.path("key").asText(),
+                        node.path("offset").asLong(),
+                        node.path("value").binaryValue()));
             }
             return Result.success(new Batch(records, json.path("end").asLong(), asOf(json, sentMillis)));
         } catch (IOException e) {
@@ -106,7 +112,11 @@
         }
     }
 
-    /** The peer knew of the time before its answer, which came after the question; empty if it does not say, or absurdly. */
+    /**
+     * The time as of which the records are valid. The peer stated the age when it responded, which was after the
+     * request was sent, so the time of sending minus the age is never too late. Empty if the response states no age or
+     * an invalid one.
+     */
     private static OptionalLong asOf(JsonNode json, long sentMillis) {
         JsonNode age = json.path(KNOWN_MILLIS_AGO);
         return age.isIntegralNumber() && age.canConvertToLong() && age.longValue() >= 0
@@ -114,17 +124,17 @@
                 : OptionalLong.empty();
     }
 
-    /** Writes the answer to {@link #ask}; the moment is the time on the clock by which the records' own was taken. */
+    /** Writes the response to {@link #ask}; {@code nowMillis} is on the same clock as the time of the batch. */
     static byte[] write(Batch batch, long nowMillis) {
         ObjectNode json = CanonicalJson.mapper().createObjectNode();
         json.put("end", batch.end());
         batch.asOfMillis().ifPresent(asOf -> json.put(KNOWN_MILLIS_AGO, Math.max(0, nowMillis - asOf)));
         ArrayNode records = json.putArray("records");
         for (StoredRecord record : batch.records()) {
-            ObjectNode one = records.addObject();
-            one.put("key", record.key());
-            one.put("offset", record.offset());
-            one.put("value", record.value());
+            ObjectNode node = records.addObject();
+            node.put("key", record.key());
+            node.put("offset", record.offset());
+            node.put("value", record.value());
         }
         return CanonicalJson.write(json);
     }
--- a/src/main/java/org/micabarrow/transport/PlatformClient.java
+++ b/src/main/java/org/micabarrow/transport/PlatformClient.java
@@ -17,39 +17,39 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** The platform's log and list of instances, over HTTP. */
+/** Accesses the platform's log and list of instances over HTTP. */
 public final class PlatformClient implements PlatformLog, InstanceList {
 
-    /** How long the log may take for an append. */
-    private static final Duration APPEND_WITHIN = Duration.ofSeconds(2);
+    /** The timeout for an append to the log. */
+    private static final Duration APPEND_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How much longer than the wait that was asked for the log may take for a read. */
+    /** How much longer than the requested wait a read of the log may take. */
     private static final Duration READ_SLACK = Duration.ofSeconds(2);
 
-    /** How long the platform may take for the list of instances. */
-    private static final Duration LIST_WITHIN = Duration.ofSeconds(2);
+    /** The timeout for the list of instances. */
+    private static final Duration LIST_TIMEOUT = Duration.ofSeconds(2);
 
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final HttpCaller client;
     private final Common.Platform platform;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller sends the requests
-     * @param platform where the services are
+     * @param client sends the requests
+     * @param platform the addresses of the services
      */
-    public PlatformClient(HttpCaller caller, Common.Platform platform) {
-        this.caller = Objects.requireNonNull(caller, "caller is null");
+    public PlatformClient(HttpCaller client, Common.Platform platform) {
+        this.client = Objects.requireNonNull(client, "client is null");
         this.platform = Objects.requireNonNull(platform, "platform is null");
     }
 
     @Override
     public Result<Long> append(String stream, byte[] body) {
         HttpCall call = HttpCall.post(Step.LOG, URI.create(platform.log() + "/streams/" + stream), body);
-        return caller.call(call, APPEND_WITHIN)
-                .flatMap(answer -> read(call, answer, PlatformMessages.Appended.class))
+        return client.call(call, APPEND_TIMEOUT)
+                .flatMap(response -> read(call, response, PlatformMessages.Appended.class))
                 .map(PlatformMessages.Appended::offset);
     }
 
@@ -58,41 +58,41 @@
         URI uri = URI.create(
                 platform.log() + "/streams/" + stream + "?from=" + Math.max(0, from) + "&wait=" + wait.toMillis());
         HttpCall call = HttpCall.get(Step.LOG, uri);
-        return caller.call(call, wait.plus(READ_SLACK))
-                .flatMap(answer -> read(call, answer, PlatformMessages.LogPage.class))
+        return client.call(call, wait.plus(READ_SLACK))
+                .flatMap(response -> read(call, response, PlatformMessages.LogPage.class))
                 .map(PlatformMessages.LogPage::page);
     }
 
     @Override
     public Result<List<Instance>> read() {
         HttpCall call = HttpCall.get(Step.INSTANCES, URI.create(platform.instances() + "/instances"));
-        return caller.call(call, LIST_WITHIN)
-                .flatMap(answer -> read(call, answer, Instance[].class))
+        return client.call(call, LIST_TIMEOUT)
+                .flatMap(response -> read(call, response, Instance[].class))
                 .map(List::of);
     }
 
     /**
-     * Reads the JSON body of a good answer.
+     * Reads the JSON body of a successful response.
      *
      * @param call the request
-     * @param answer the answer
+     * @param response the response
      * @param type the body's type
      * @param <T> the body's type
      * @return the body, or a fault for any status but 200
      */
-    static <T> Result<T> read(HttpCall call, HttpAnswer answer, Class<T> type) {
-        if (answer.status() != OK) {
+    static <T> Result<T> read(HttpCall call, HttpAnswer response, Class<T> type) {
+        if (response.status() != OK) {
             return Result.failure(Fault.of(
                     call.step(),
                     call.peer(),
-                    answer.status() == 404 ? Reason.NOT_FOUND : Reason.UNREACHABLE,
-                    call.method() + " " + call.pathAndQuery() + " gave status " + answer.status()));
+                    response.status() == 404 ? Reason.NOT_FOUND : Reason.UNREACHABLE,
+                    call.method() + " " + call.pathAndQuery() + " returned status " + response.status()));
         }
         try {
-            return Result.success(CanonicalJson.read(answer.body(), type));
+            return Result.success(CanonicalJson.read(response.body(), type));
         } catch (IOException e) {
             return Result.failure(
-                    Fault.of(call.step(), call.peer(), Reason.CORRUPT, "the answer cannot be read: " + e.getMessage()));
+                    Fault.of(call.step(), call.peer(), Reason.CORRUPT, "the response cannot be read: " + e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/micabarrow/transport/LimitBytes.java
+++ b/src/main/java/org/micabarrow/transport/RateLimitCodec.java
@@ -6,27 +6,30 @@
 import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.LimitWord;
 
-/** What the datagrams between entries and agents say of limits: a byte that tells whether something follows, and that. */
-final class LimitBytes {
+/**
+ * Encodes the ranks and rate limits in the datagrams between entries and agents. Each value is preceded by a byte that
+ * states whether it is present.
+ */
+final class RateLimitCodec {
 
     private static final int RANK_BYTES = 2 * Short.BYTES;
     private static final int LIMIT_BYTES = 2 * Integer.BYTES + Double.BYTES + 1;
     private static final byte ABSENT = 0;
     private static final byte PRESENT = 1;
 
-    private LimitBytes() {}
+    private RateLimitCodec() {}
 
     // -- ranks
 
-    static int ofRank(Optional<EntryRank> rank) {
+    static int rankSize(Optional<EntryRank> rank) {
         return 1 + (rank.isPresent() ? RANK_BYTES : 0);
     }
 
     static void writeRank(ByteBuffer datagram, Optional<EntryRank> rank) {
         datagram.put(rank.isPresent() ? PRESENT : ABSENT);
-        rank.ifPresent(one -> {
-            datagram.putShort((short) one.rank());
-            datagram.putShort((short) one.entries());
+        rank.ifPresent(value -> {
+            datagram.putShort((short) value.rank());
+            datagram.putShort((short) value.entries());
         });
     }
 
@@ -38,17 +41,17 @@
 
     // -- limits
 
-    static int ofLimit(Optional<LimitWord> limit) {
+    static int limitSize(Optional<LimitWord> limit) {
         return 1 + (limit.isPresent() ? LIMIT_BYTES : 0);
     }
 
     static void writeLimit(ByteBuffer datagram, Optional<LimitWord> limit) {
         datagram.put(limit.isPresent() ? PRESENT : ABSENT);
-        limit.ifPresent(word -> {
-            datagram.putInt(word.endpoint());
-            datagram.put(word.perSecond().isPresent() ? PRESENT : ABSENT);
-            datagram.putDouble(word.perSecond().orElse(0));
-            datagram.putInt(word.millisAgo());
+        limit.ifPresent(report -> {
+            datagram.putInt(report.endpoint());
+            datagram.put(report.perSecond().isPresent() ? PRESENT : ABSENT);
+            datagram.putDouble(report.perSecond().orElse(0));
+            datagram.putInt(report.millisAgo());
         });
     }
 
@@ -57,9 +60,9 @@
             return Optional.empty();
         }
         int endpoint = datagram.getInt();
-        boolean named = datagram.get() != ABSENT;
+        boolean hasLimit = datagram.get() != ABSENT;
         double perSecond = datagram.getDouble();
-        OptionalDouble limit = named ? OptionalDouble.of(perSecond) : OptionalDouble.empty();
+        OptionalDouble limit = hasLimit ? OptionalDouble.of(perSecond) : OptionalDouble.empty();
         return Optional.of(new LimitWord(endpoint, limit, datagram.getInt()));
     }
 }
--- a/src/main/java/org/micabarrow/transport/WholeAnswer.java
+++ b/src/main/java/org/micabarrow/transport/ResponseCollector.java
@@ -10,58 +10,58 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** Collects an answer until it is whole. */
-final class WholeAnswer implements HttpCaller.Listener {
+/** Collects a response until it is complete. */
+final class ResponseCollector implements HttpCaller.Listener {
 
     private final CompletableFuture<Result<HttpAnswer>> done = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private volatile boolean begun;
-    private volatile long movedNanos;
+    private volatile long lastPartNanos;
     private int status;
     private Map<String, String> headers = Map.of();
 
-    /** Whether any part of the answer has come. */
-    boolean begun() {
+    /** Whether any part of the response has arrived. */
+    boolean hasBegun() {
         return begun;
     }
 
     /**
-     * Waits for the whole answer.
+     * Waits for the complete response.
      *
-     * @param limits how long to wait, from now on
-     * @throws TimeoutException if it did not come in time
+     * @param timeouts the timeouts for the response, counted from now
+     * @throws TimeoutException if a timeout expired before the response was complete
      */
-    Result<HttpAnswer> await(AnswerLimits limits) throws InterruptedException, ExecutionException, TimeoutException {
-        long asked = System.nanoTime();
+    Result<HttpAnswer> await(AnswerLimits timeouts) throws InterruptedException, ExecutionException, TimeoutException {
+        long startNanos = System.nanoTime();
         while (true) {
-            long left = limits.deadlineNanos(asked, begun ? movedNanos : asked) - System.nanoTime();
+            long remaining = timeouts.deadlineNanos(startNanos, begun ? lastPartNanos : startNanos) - System.nanoTime();
             try {
-                return done.get(Math.max(0, left), TimeUnit.NANOSECONDS);
+                return done.get(Math.max(0, remaining), TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
-                if (limits.deadlineNanos(asked, begun ? movedNanos : asked) - System.nanoTime() <= 0) {
+                if (timeouts.deadlineNanos(startNanos, begun ? lastPartNanos : startNanos) - System.nanoTime() <= 0) {
                     throw e;
                 }
             }
         }
     }
 
-    private void moved() {
-        movedNanos = System.nanoTime();
+    private void onPart() {
+        lastPartNanos = System.nanoTime();
         begun = true;
     }
 
     @Override
-    public void onHead(int received, Map<String, String> receivedHeaders) {
-        moved();
-        status = received;
+    public void onHead(int receivedStatus, Map<String, String> receivedHeaders) {
+        onPart();
+        status = receivedStatus;
         headers = receivedHeaders;
     }
 
     @Override
-    public void onData(byte[] data, Runnable more) {
-        moved();
+    public void onData(byte[] data, Runnable requestMore) {
+        onPart();
         body.writeBytes(data);
-        more.run();
+        requestMore.run();
     }
 
     @Override
--- a/src/main/java/org/micabarrow/transport/StoreNews.java
+++ b/src/main/java/org/micabarrow/transport/StoreNews.java
@@ -6,33 +6,35 @@
 import org.micabarrow.views.ManifestPlace;
 
 /**
- * What an entry that is in touch with the store tells agents nearby, so that they need not ask the store whether there is news.
+ * What an entry that has contact with the store reports to agents of its region, so that they need not poll the store
+ * for changes.
  *
- * @param port the port at which the entry can be asked for records
- * @param changes where the last changes stand that it knows of
- * @param manifest where the newest manifest stands; empty if none is known
- * @param knownMillisAgo how long ago it knew all that operators wrote, in milliseconds
- * @param direct whether it reads the store itself, so that other entries may go by it
+ * @param port the port at which the entry serves records
+ * @param changes the offsets of the last changes that it knows of
+ * @param manifest the position of the newest manifest; empty if none is known
+ * @param knownMillisAgo how long ago it knew everything that operators had written, in milliseconds
+ * @param direct whether it reads the store itself, so that other entries may rely on it
  */
 public record StoreNews(
         int port, LastChanges changes, Optional<ManifestPlace> manifest, long knownMillisAgo, boolean direct) {
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public StoreNews {
         Objects.requireNonNull(changes, "changes is null");
         Objects.requireNonNull(manifest, "manifest is null");
     }
 
     /**
-     * What an agent told an entry of the one that reads the store for the region.
+     * What an agent reported to an entry about the entry that reads the store for the region.
      *
-     * @param peer the host and port at which that one can be asked for records
-     * @param operator the offset after the last change of operators that it knows of
-     * @param asOfMillis the moment on the entry's steady clock up to which that one knows all that operators wrote
+     * @param peer the host and port at which the reading entry serves records
+     * @param operator the offset after the last operator change that it knows of
+     * @param asOfMillis the time on the receiving entry's monotonic clock up to which the reading entry knows
+     *     everything that operators wrote
      */
     public record Heard(String peer, long operator, long asOfMillis) {
 
-        /** Checks that nothing is missing. */
+        /** Checks that no component is null. */
         public Heard {
             Objects.requireNonNull(peer, "peer is null");
         }
--- a/src/main/java/org/micabarrow/transport/TlsFiles.java
+++ b/src/main/java/org/micabarrow/transport/TlsFiles.java
@@ -27,8 +27,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Certificates from PEM files, read again when the files change. Connections that are open keep what they began with;
- * new ones use what the files hold now.
+ * Certificates from PEM files, reloaded when the files change. Open connections keep the certificates with which they
+ * began; new ones use the current content of the files.
  *
  * <pre>{@code
  * SSLContext context = TlsFiles.open(settings).context();
@@ -37,116 +37,119 @@
 public final class TlsFiles {
 
     private static final Logger LOG = LoggerFactory.getLogger(TlsFiles.class);
-    private static final long LOOK_SECONDS = 2;
-    private static final ScheduledExecutorService LOOKER = Executors.newSingleThreadScheduledExecutor(work -> {
+    private static final long POLL_SECONDS = 2;
+    private static final ScheduledExecutorService POLLER = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread thread = new Thread(work, "certificates");
         thread.setDaemon(true);
         return thread;
     });
 
     private final Common.Tls files;
-    private final AdvancedTlsX509KeyManager keys = new AdvancedTlsX509KeyManager();
-    private final AdvancedTlsX509TrustManager trust;
-    private String read = "";
+    private final AdvancedTlsX509KeyManager keyManager = new AdvancedTlsX509KeyManager();
+    private final AdvancedTlsX509TrustManager trustManager;
+    private String loadedDigest = "";
 
-    /** Trusts every certificate of the authorities, whatever its host name, since the addresses of processes change. */
+    /**
+     * Trusts every certificate that the authorities have signed, whatever its host name, since the addresses of
+     * processes change.
+     */
     private TlsFiles(Common.Tls files) throws GeneralSecurityException {
         this.files = files;
-        this.trust = AdvancedTlsX509TrustManager.newBuilder()
+        this.trustManager = AdvancedTlsX509TrustManager.newBuilder()
                 .setVerification(AdvancedTlsX509TrustManager.Verification.CERTIFICATE_ONLY_VERIFICATION)
                 .build();
     }
 
     /**
-     * Reads the files, and goes on looking at them.
+     * Reads the files, and polls them for changes.
      *
-     * @param files where they are
+     * @param files the paths of the files
      * @return the certificates
-     * @throws IOException if a file cannot be read or does not hold what it should
+     * @throws IOException if a file cannot be read or its content is invalid
      */
     public static TlsFiles open(Common.Tls files) throws IOException {
         Objects.requireNonNull(files, "files is null");
         try {
             TlsFiles opened = new TlsFiles(files);
-            opened.readIfChanged();
-            LOOKER.scheduleWithFixedDelay(opened::look, LOOK_SECONDS, LOOK_SECONDS, TimeUnit.SECONDS);
+            opened.loadIfChanged();
+            POLLER.scheduleWithFixedDelay(opened::reloadIfChanged, POLL_SECONDS, POLL_SECONDS, TimeUnit.SECONDS);
             return opened;
         } catch (GeneralSecurityException e) {
             throw new IOException("certificates of " + files.certificate() + " cannot be used: " + e.getMessage(), e);
         }
     }
 
-    /** Files that are half written are read again later; until then the old ones hold. */
-    private void look() {
+    /** Files that are only partly written are read again later; until then the previous certificates stay in use. */
+    private void reloadIfChanged() {
         try {
-            readIfChanged();
+            loadIfChanged();
         } catch (GeneralSecurityException | IOException e) {
-            LOG.warn("certificates of {} are kept as they were: {}", files.certificate(), e.getMessage());
+            LOG.warn("certificates of {} cannot be reloaded, the previous ones stay in use: {}", files.certificate(), e.getMessage());
         }
     }
 
-    private void readIfChanged() throws GeneralSecurityException, IOException {
+    private void loadIfChanged() throws GeneralSecurityException, IOException {
         byte[] certificate = Files.readAllBytes(Path.of(files.certificate()));
         byte[] key = Files.readAllBytes(Path.of(files.key()));
         byte[] authorities = files.authorities().isPresent()
                 ? Files.readAllBytes(Path.of(files.authorities().get()))
                 : new byte[0];
-        String now = Digest.of(certificate) + Digest.of(key) + Digest.of(authorities);
-        if (now.equals(read)) {
+        String digest = Digest.of(certificate) + Digest.of(key) + Digest.of(authorities);
+        if (digest.equals(loadedDigest)) {
             return;
         }
-        keys.updateIdentityCredentials(
+        keyManager.updateIdentityCredentials(
                 CertificateUtils.getX509Certificates(new ByteArrayInputStream(certificate)),
                 CertificateUtils.getPrivateKey(new ByteArrayInputStream(key)));
         if (files.authorities().isPresent()) {
-            trust.updateTrustCredentials(CertificateUtils.getX509Certificates(new ByteArrayInputStream(authorities)));
+            trustManager.updateTrustCredentials(CertificateUtils.getX509Certificates(new ByteArrayInputStream(authorities)));
         }
-        read = now;
+        loadedDigest = digest;
         LOG.info("certificates read from {}", files.certificate());
     }
 
     /**
-     * What a server between processes shows and asks for.
+     * Returns the credentials of a server that other processes connect to.
      *
      * @param files the certificates, empty for plain connections
-     * @return credentials that ask every client for a certificate
+     * @return credentials that require a certificate from every client
      */
     public static ServerCredentials server(Optional<TlsFiles> files) {
-        return files.<ServerCredentials>map(one -> TlsServerCredentials.newBuilder()
-                        .keyManager(one.keys)
-                        .trustManager(one.trust)
+        return files.<ServerCredentials>map(tls -> TlsServerCredentials.newBuilder()
+                        .keyManager(tls.keyManager)
+                        .trustManager(tls.trustManager)
                         .clientAuth(TlsServerCredentials.ClientAuth.REQUIRE)
                         .build())
                 .orElseGet(InsecureServerCredentials::create);
     }
 
     /**
-     * What a client between processes shows and asks for.
+     * Returns the credentials of a client that connects to other processes.
      *
      * @param files the certificates, empty for plain connections
      * @return the credentials
      */
     public static ChannelCredentials client(Optional<TlsFiles> files) {
-        return files.<ChannelCredentials>map(one -> TlsChannelCredentials.newBuilder()
-                        .keyManager(one.keys)
-                        .trustManager(one.trust)
+        return files.<ChannelCredentials>map(tls -> TlsChannelCredentials.newBuilder()
+                        .keyManager(tls.keyManager)
+                        .trustManager(tls.trustManager)
                         .build())
                 .orElseGet(InsecureChannelCredentials::create);
     }
 
     /**
-     * What a listener for callers shows.
+     * Creates the TLS context of a listener for callers.
      *
-     * @return a context that asks for no certificate
-     * @throws IOException if the platform lacks TLS
+     * @return a context that requires no client certificate
+     * @throws IOException if TLS is not available
      */
     public SSLContext context() throws IOException {
         try {
             SSLContext context = SSLContext.getInstance("TLS");
-            context.init(new KeyManager[] {keys}, null, null);
+            context.init(new KeyManager[] {keyManager}, null, null);
             return context;
         } catch (GeneralSecurityException e) {
-            throw new IOException("no TLS for callers: " + e.getMessage(), e);
+            throw new IOException("TLS for callers is not available: " + e.getMessage(), e);
         }
     }
 }
--- a/src/main/java/org/micabarrow/transport/WeightsClient.java
+++ b/src/main/java/org/micabarrow/transport/WeightsClient.java
@@ -15,46 +15,46 @@
 import org.micabarrow.state.Manifest;
 import org.micabarrow.state.Result;
 
-/** Reads weights: from the store and the origin over HTTP, from other agents as it is handed in. */
+/** Reads weights from the store and the origin over HTTP, and from other agents through {@link AgentChunks}. */
 public final class WeightsClient implements Weights {
 
-    /** How long store or origin may take for a manifest. */
-    private static final Duration MANIFEST_WITHIN = Duration.ofSeconds(5);
+    /** The timeout for a manifest from the store or the origin. */
+    private static final Duration MANIFEST_TIMEOUT = Duration.ofSeconds(5);
 
     private static final int OK = 200;
 
-    /** The fewest chunks that are on their way at once, so that the next is there when one has come. */
-    private static final int LEAST_AHEAD = 2;
+    /** The minimum number of concurrent requests for chunks, so that the next chunk is there when one has arrived. */
+    private static final int MIN_CONCURRENT = 2;
 
-    /** The most chunks that are on their way at once, which bounds the connections to the store. */
-    private static final int MOST_AHEAD = 32;
+    /** The maximum number of concurrent requests for chunks, which limits the connections to the store. */
+    private static final int MAX_CONCURRENT = 32;
 
-    private final HttpCaller caller;
+    private final HttpCaller client;
     private final Common.Platform platform;
     private final AgentChunks agents;
     private final LinkPacer link;
     private final LongSupplier generation;
-    private final long aheadBytes;
+    private final long prefetchBytes;
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param caller sends HTTP requests
-     * @param platform where store and origin are
+     * @param client sends HTTP requests
+     * @param platform the addresses of store and origin
      * @param agents opens streams from other agents
-     * @param link holds what is received to the link's rate
-     * @param generation the generation in force here
-     * @param aheadBytes how many bytes may be on their way from the store at once
+     * @param link limits what is received to the link's rate
+     * @param generation the generation that is active here
+     * @param prefetchBytes how many bytes may be in transit from the store at once
      */
     public WeightsClient(
-            HttpCaller caller,
+            HttpCaller client,
             Common.Platform platform,
             AgentChunks agents,
             LinkPacer link,
             LongSupplier generation,
-            long aheadBytes) {
-        this.aheadBytes = aheadBytes;
-        this.caller = Objects.requireNonNull(caller, "caller is null");
+            long prefetchBytes) {
+        this.prefetchBytes = prefetchBytes;
+        this.client = Objects.requireNonNull(client, "client is null");
         this.platform = Objects.requireNonNull(platform, "platform is null");
         this.agents = Objects.requireNonNull(agents, "agents is null");
         this.link = Objects.requireNonNull(link, "link is null");
@@ -86,28 +86,28 @@
 
     private Result<Manifest> manifestFrom(String base, String artifact) {
         HttpCall call = HttpCall.get(Step.FETCH, URI.create(base + "/weights/" + artifact + "/manifest"));
-        return caller.call(call, MANIFEST_WITHIN)
-                .flatMap(answer -> PlatformClient.read(call, answer, Manifest.class))
+        return client.call(call, MANIFEST_TIMEOUT)
+                .flatMap(response -> PlatformClient.read(call, response, Manifest.class))
                 .flatMap(manifest -> manifest.version().equals(artifact)
                         ? Result.success(manifest)
                         : Result.failure(Fault.of(
                                 Step.FETCH,
                                 base,
                                 Reason.CORRUPT,
-                                "the manifest of " + artifact + " has another digest")));
+                                "the manifest of " + artifact + " has a different digest")));
     }
 
     @Override
     public Feed open(Source source, String artifact, int from, int to) {
         Feed feed = switch (source) {
             case Source.Peer peer -> agents.open(peer.replica().address(), artifact, from, to, generation.getAsLong());
-            case Source.Store ignored -> new HttpFeed(platform.store(), artifact, from, to, aheadBytes);
+            case Source.Store ignored -> new HttpFeed(platform.store(), artifact, from, to, prefetchBytes);
             case Source.Origin ignored -> new HttpFeed(platform.origin(), artifact, from, to, 0);
         };
         return new PacedFeed(feed);
     }
 
-    /** Holds a feed to the rate of this instance's link. */
+    /** Limits a feed to the rate of this instance's link. */
     private final class PacedFeed implements Feed {
 
         private final Feed feed;
@@ -117,8 +117,8 @@
         }
 
         @Override
-        public Result<byte[]> next(Patience patience) {
-            Result<byte[]> data = feed.next(patience);
+        public Result<byte[]> next(Patience timeouts) {
+            Result<byte[]> data = feed.next(timeouts);
             data.toOptional().ifPresent(bytes -> link.take(bytes.length));
             return data;
         }
@@ -130,53 +130,53 @@
     }
 
     /**
-     * Reads chunk by chunk over HTTP, with some requests on their way at once: two at the origin, whose bytes are
-     * counted, and at the store as many as a part of the window allows, since a slow store is slow at each request.
+     * Reads chunk by chunk over HTTP, with several concurrent requests: two to the origin, whose bytes are counted, and
+     * to the store as many as a fraction of the window allows, since a slow store delays every request.
      */
     private final class HttpFeed implements Feed {
 
         private final String base;
         private final String artifact;
-        private final long bytesAhead;
-        private int ahead = LEAST_AHEAD;
-        private final Deque<HttpCaller.Pending> pending = new ArrayDeque<>();
-        private int nextToAsk;
-        private int left;
+        private final long maxBytesInTransit;
+        private int concurrency = MIN_CONCURRENT;
+        private final Deque<HttpCaller.PendingCall> pending = new ArrayDeque<>();
+        private int nextIndex;
+        private int remaining;
 
-        private HttpFeed(String base, String artifact, int from, int to, long bytesAhead) {
+        private HttpFeed(String base, String artifact, int from, int to, long maxBytesInTransit) {
             this.base = base;
             this.artifact = artifact;
-            this.bytesAhead = bytesAhead;
-            this.nextToAsk = from;
-            this.left = to - from;
+            this.maxBytesInTransit = maxBytesInTransit;
+            this.nextIndex = from;
+            this.remaining = to - from;
         }
 
         @Override
-        public Result<byte[]> next(Patience patience) {
-            while (pending.size() < ahead && left > 0) {
-                URI uri = URI.create(base + "/weights/" + artifact + "/chunks/" + nextToAsk++);
-                pending.addLast(caller.begin(HttpCall.get(Step.FETCH, uri)));
-                left--;
+        public Result<byte[]> next(Patience timeouts) {
+            while (pending.size() < concurrency && remaining > 0) {
+                URI uri = URI.create(base + "/weights/" + artifact + "/chunks/" + nextIndex++);
+                pending.addLast(client.callAsync(HttpCall.get(Step.FETCH, uri)));
+                remaining--;
             }
-            Result<byte[]> chunk = await(patience.silence());
+            Result<byte[]> chunk = await(timeouts.silence());
             chunk.toOptional()
                     .filter(data -> data.length > 0)
-                    .ifPresent(data -> ahead = (int) Math.clamp(bytesAhead / data.length, LEAST_AHEAD, MOST_AHEAD));
+                    .ifPresent(data -> concurrency = (int) Math.clamp(maxBytesInTransit / data.length, MIN_CONCURRENT, MAX_CONCURRENT));
             return chunk;
         }
 
-        private Result<byte[]> await(Duration silence) {
+        private Result<byte[]> await(Duration timeout) {
             return pending.removeFirst()
-                    .await(silence)
-                    .flatMap(answer -> answer.status() == OK
-                            ? Result.success(answer.body())
+                    .await(timeout)
+                    .flatMap(response -> response.status() == OK
+                            ? Result.success(response.body())
                             : Result.failure(Fault.of(
-                                    Step.FETCH, base, Reason.UNREACHABLE, "a chunk gave status " + answer.status())));
+                                    Step.FETCH, base, Reason.UNREACHABLE, "a request for a chunk returned status " + response.status())));
         }
 
         @Override
         public void close() {
-            pending.forEach(one -> one.cancel().run());
+            pending.forEach(call -> call.cancel().run());
         }
     }
 }
--- a/src/test/java/org/micabarrow/transport/AddressesTest.java
+++ b/src/test/java/org/micabarrow/transport/AddressesTest.java
@@ -7,19 +7,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Agents know entries by the IP numbers that their questions come from. Two entries that are set to listen at names could each take
- * the other for the one that reads the store, since a name comes after every number.
+ * Agents identify entries by the IP addresses that their queries come from. Two entries that are configured to listen
+ * at host names could each take the other for the one that reads the store, since a name sorts after every IP address.
  */
 class AddressesTest {
 
     @ParameterizedTest
     @CsvSource({"localhost:8000, 127.0.0.1:8000", "127.0.0.2:8000, 127.0.0.2:8000"})
-    void shouldTellNumberWhenAddressHasNameOrNumber(String address, String numeric) {
+    void shouldReturnIpAddressWhenHostIsNameOrIpAddress(String address, String numeric) {
         assertEquals(numeric, Addresses.numeric(address));
     }
 
     @Test
-    void shouldKeepNameWhenNobodyKnowsIt() {
+    void shouldKeepNameWhenItCannotBeResolved() {
         assertEquals("no-such-host.invalid:8000", Addresses.numeric("no-such-host.invalid:8000"));
     }
 }
--- a/src/test/java/org/micabarrow/transport/KeptConnectionsTest.java
+++ b/src/test/java/org/micabarrow/transport/ConnectionPoolTest.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Which connections wait for their next request. */
-class KeptConnectionsTest {
+/** Which idle connections are reused. */
+class ConnectionPoolTest {
 
-    private static final String PLACE = "10.0.0.1:80";
+    private static final String ADDRESS = "10.0.0.1:80";
 
     private final AtomicLong now = new AtomicLong(100_000);
-    private final KeptConnections kept = new KeptConnections(4, now::get);
+    private final ConnectionPool pool = new ConnectionPool(4, now::get);
 
     /** A connection that is open until it is closed, and does nothing. */
     private static ClientConnection connection() {
@@ -38,38 +38,38 @@
     }
 
     @Test
-    void shouldGiveConnectionUsedLastFirst() {
+    void shouldReuseMostRecentlyUsedConnectionFirst() {
         ClientConnection first = connection();
         ClientConnection last = connection();
-        kept.give(PLACE, first);
-        kept.give(PLACE, last);
-        assertEquals(Optional.of(last), kept.take(PLACE));
-        assertEquals(Optional.of(first), kept.take(PLACE));
-        assertEquals(Optional.empty(), kept.take(PLACE));
+        pool.release(ADDRESS, first);
+        pool.release(ADDRESS, last);
+        assertEquals(Optional.of(last), pool.acquire(ADDRESS));
+        assertEquals(Optional.of(first), pool.acquire(ADDRESS));
+        assertEquals(Optional.empty(), pool.acquire(ADDRESS));
     }
 
     @Test
-    void shouldCloseConnectionThatWaitedLong() {
-        ClientConnection rested = connection();
-        kept.give(PLACE, rested);
+    void shouldCloseConnectionWhenIdleForTooLong() {
+        ClientConnection stale = connection();
+        pool.release(ADDRESS, stale);
         now.addAndGet(4_000);
         ClientConnection fresh = connection();
-        kept.give(PLACE, fresh);
+        pool.release(ADDRESS, fresh);
         now.addAndGet(1);
-        assertEquals(Optional.of(fresh), kept.take(PLACE));
-        assertEquals(Optional.empty(), kept.take(PLACE), "it may have fallen silent meanwhile");
-        assertFalse(rested.isOpen());
+        assertEquals(Optional.of(fresh), pool.acquire(ADDRESS));
+        assertEquals(Optional.empty(), pool.acquire(ADDRESS), "it may have become unresponsive");
+        assertFalse(stale.isOpen());
     }
 
     @Test
-    void shouldCloseAllToAPlaceWhenOneFellSilent() {
-        ClientConnection suspect = connection();
-        ClientConnection elsewhere = connection();
-        kept.give(PLACE, suspect);
-        kept.give("10.0.0.2:80", elsewhere);
-        kept.drop(PLACE);
-        assertFalse(suspect.isOpen());
-        assertEquals(Optional.empty(), kept.take(PLACE));
-        assertEquals(Optional.of(elsewhere), kept.take("10.0.0.2:80"));
+    void shouldCloseAllConnectionsToAddressWhenOneWasUnresponsive() {
+        ClientConnection idle = connection();
+        ClientConnection otherAddress = connection();
+        pool.release(ADDRESS, idle);
+        pool.release("10.0.0.2:80", otherAddress);
+        pool.closeIdle(ADDRESS);
+        assertFalse(idle.isOpen());
+        assertEquals(Optional.empty(), pool.acquire(ADDRESS));
+        assertEquals(Optional.of(otherAddress), pool.acquire("10.0.0.2:80"));
     }
 }
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -20,84 +20,87 @@
 import org.micabarrow.views.TopicReader.Batch;
 import org.micabarrow.views.ViewKeeper;
 
-/** What processes tell each other of the store's records while they read on, and how old it is. */
+/** Which records of the store processes serve to each other while they read new ones, and the age that they state. */
 class HostedPeerServerTest {
 
-    /** Enough that a pair taken at two moments shows: each answer is made while records are taken without a pause. */
-    private static final int QUESTIONS = 200;
+    /**
+     * Enough to detect records and an end offset that were taken at different times: each response is created while new
+     * records are applied continuously.
+     */
+    private static final int REQUESTS = 200;
 
     private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
-    private final AtomicBoolean ends = new AtomicBoolean();
+    private final AtomicBoolean stopped = new AtomicBoolean();
 
-    /** Whoever asks reads on from the end, so that a record before it that is not told is never read. */
+    /** A client continues from the end offset, so a record before it that the response lacks would never be read. */
     @Test
-    void shouldTellEveryRecordBeforeEndThatItTells() throws Exception {
+    void shouldServeEveryRecordBeforeStatedEnd() throws Exception {
         String address = Ports.freeAddress();
         HostedPeerServer server = new HostedPeerServer(
                 views, (model, version) -> Optional.empty(), new MetricRegistry(), new LinkPacer(1e9, () -> 1));
-        Thread follower = Thread.ofPlatform().daemon().start(this::takeRecords);
+        Thread writer = Thread.ofPlatform().daemon().start(this::applyRecords);
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
                 HttpCaller caller = HttpCaller.start("test", 1)) {
             PeerRecords peers = new PeerRecords(caller);
-            for (int i = 0; i < QUESTIONS; i++) {
+            for (int i = 0; i < REQUESTS; i++) {
                 Batch batch = peers.ask(address, Topic.OPERATOR, 0).toOptional().orElseThrow();
-                long last = batch.records().stream()
+                long lastOffset = batch.records().stream()
                         .mapToLong(StoredRecord::offset)
                         .max()
                         .orElse(-1);
-                assertTrue(last >= batch.end() - 1, "told up to " + last + " and as the end " + batch.end());
+                assertTrue(lastOffset >= batch.end() - 1, "records up to " + lastOffset + " with the end " + batch.end());
             }
         } finally {
-            ends.set(true);
-            follower.join();
+            stopped.set(true);
+            writer.join();
         }
     }
 
-    private void takeRecords() {
-        for (long offset = 0; !ends.get(); offset++) {
+    private void applyRecords() {
+        for (long offset = 0; !stopped.get(); offset++) {
             views.apply(Topic.OPERATOR, List.of(new StoredRecord("key", offset, new byte[] {1})), offset + 1);
         }
     }
 
-    // -- how old it is
+    // -- age of the records
 
-    private static final long ASKED = 5_000;
+    private static final long SENT_MILLIS = 5_000;
     private final AtomicLong peerClock = new AtomicLong(70_000);
-    private final AtomicLong askersClock = new AtomicLong(ASKED);
+    private final AtomicLong clientClock = new AtomicLong(SENT_MILLIS);
 
-    /** Asks a peer whose clock began elsewhere. */
-    private Batch ask(Topic topic) throws Exception {
+    /** Sends a request to a peer whose clock has a different origin. */
+    private Batch request(Topic topic) throws Exception {
         HostedPeerServer server = new HostedPeerServer(
                 views,
                 (model, version) -> Optional.empty(),
                 new MetricRegistry(),
                 new LinkPacer(1e9, () -> 1),
                 peerClock::get);
-        return ask(topic, server);
+        return request(topic, server);
     }
 
-    private Batch ask(Topic topic, HttpHandler server) throws Exception {
+    private Batch request(Topic topic, HttpHandler server) throws Exception {
         String address = Ports.freeAddress();
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
                 HttpCaller caller = HttpCaller.start("test", 1)) {
-            return new PeerRecords(caller, askersClock::get)
+            return new PeerRecords(caller, clientClock::get)
                     .ask(address, topic, 0)
                     .toOptional()
                     .orElseThrow();
         }
     }
 
-    /** The peer knew it before it answered, and answered after it was asked. */
+    /** The peer's knowledge is from before its response, and its response from after the request. */
     @Test
-    void shouldKnowAllUntilItAskedLessAgeOfPeersKnowledge() throws Exception {
+    void shouldSubtractStatedAgeFromTimeOfRequest() throws Exception {
         views.confirmOperator(peerClock.get() - 300);
-        assertEquals(OptionalLong.of(ASKED - 300), ask(Topic.OPERATOR).asOfMillis());
+        assertEquals(OptionalLong.of(SENT_MILLIS - 300), request(Topic.OPERATOR).asOfMillis());
     }
 
     @Test
-    void shouldCountFromQuestionWhenAnswerTakesLong() throws Exception {
+    void shouldCountFromRequestWhenResponseTakesLong() throws Exception {
         views.confirmOperator(peerClock.get());
         HostedPeerServer server = new HostedPeerServer(
                 views,
@@ -105,34 +108,34 @@
                 new MetricRegistry(),
                 new LinkPacer(1e9, () -> 1),
                 peerClock::get);
-        Batch batch = ask(Topic.OPERATOR, exchange -> {
-            askersClock.addAndGet(900);
+        Batch batch = request(Topic.OPERATOR, exchange -> {
+            clientClock.addAndGet(900);
             server.handleRequest(exchange);
         });
-        assertEquals(OptionalLong.of(ASKED), batch.asOfMillis());
+        assertEquals(OptionalLong.of(SENT_MILLIS), batch.asOfMillis());
     }
 
     @Test
-    void shouldKnowOfNoMomentWhenPeerKnowsNone() throws Exception {
-        assertEquals(OptionalLong.empty(), ask(Topic.OPERATOR).asOfMillis());
+    void shouldHaveNoTimeWhenPeerKnowsNone() throws Exception {
+        assertEquals(OptionalLong.empty(), request(Topic.OPERATOR).asOfMillis());
     }
 
     @Test
-    void shouldKnowOfNoMomentWhenOtherTopicIsAskedFor() throws Exception {
+    void shouldHaveNoTimeWhenOtherTopicIsRequested() throws Exception {
         views.confirmOperator(peerClock.get());
-        assertEquals(OptionalLong.empty(), ask(Topic.ENDPOINTS).asOfMillis());
-        assertEquals(OptionalLong.empty(), ask(Topic.NAMED).asOfMillis());
+        assertEquals(OptionalLong.empty(), request(Topic.ENDPOINTS).asOfMillis());
+        assertEquals(OptionalLong.empty(), request(Topic.NAMED).asOfMillis());
     }
 
-    /** A peer of an older build does not say; a wrong age must not make what it knows look newer than the question. */
+    /** A peer of an older build states no age. An invalid age must not make its records look newer than the request. */
     @ParameterizedTest
     @ValueSource(
             strings = {"", ",\"knownMsAgo\":-1", ",\"knownMsAgo\":\"5\"", ",\"knownMsAgo\":0.5", ",\"knownMsAgo\":1e30"
             })
-    void shouldKnowOfNoMomentWhenPeerDoesNotSayOrAbsurdly(String field) throws Exception {
+    void shouldHaveNoTimeWhenStatedAgeIsMissingOrInvalid(String field) throws Exception {
         String body = "{\"end\":3,\"records\":[]" + field + "}";
         Batch batch =
-                ask(Topic.OPERATOR, exchange -> exchange.getResponseSender().send(body));
+                request(Topic.OPERATOR, exchange -> exchange.getResponseSender().send(body));
         assertEquals(3, batch.end());
         assertEquals(OptionalLong.empty(), batch.asOfMillis());
     }
--- a/src/test/java/org/micabarrow/transport/HttpCallerTest.java
+++ b/src/test/java/org/micabarrow/transport/HttpCallerTest.java
@@ -23,31 +23,34 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault;
 
-/** What a server sees of a caller, byte by byte. */
+/** What a server receives from the client, byte by byte. */
 class HttpCallerTest {
 
-    /** Ends a test that hangs, in milliseconds; under the ten seconds in which a server gives up a silent connection. */
+    /**
+     * Ends a test that hangs, in milliseconds; less than the ten seconds after which a server closes a connection that
+     * sends nothing.
+     */
     private static final int HANG_MILLIS = 8_000;
 
-    private static final Duration HANG = Duration.ofMillis(HANG_MILLIS);
+    private static final Duration HANG_TIMEOUT = Duration.ofMillis(HANG_MILLIS);
 
-    /** How long a test waits on a connection that is silent for good. */
-    private static final Duration SILENT = Duration.ofMillis(200);
+    /** The timeout on a connection that is permanently unresponsive. */
+    private static final Duration UNRESPONSIVE_TIMEOUT = Duration.ofMillis(200);
 
-    /** How many connections are kept when they fall silent. */
-    private static final int KEPT = 3;
+    /** How many idle connections there are when they become unresponsive. */
+    private static final int IDLE_CONNECTIONS = 3;
 
-    /** Reads until a request with a body of six bytes is here. */
+    /** Reads until a request with its body of six bytes has arrived. */
     private static void readRequest(InputStream input) throws IOException {
         StringBuilder read = new StringBuilder();
-        while (!read.toString().endsWith(WaitingCaller.BODY)) {
+        while (!read.toString().endsWith(WaitingClientProcess.BODY)) {
             int one = input.read();
             assertTrue(one >= 0, "the connection ended before the request");
             read.append((char) one);
         }
     }
 
-    /** Whether the other end resets the connection; an end in good order leaves a request to be run. */
+    /** Whether the remote end resets the connection; after a graceful close the request would still be executed. */
     private static boolean isReset(InputStream input) throws IOException {
         try {
             input.read();
@@ -58,13 +61,13 @@
     }
 
     @Test
-    void shouldResetConnectionWhenCancelledBeforeAnswer() throws Exception {
+    void shouldResetConnectionWhenCancelledBeforeResponse() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpCaller client = HttpCaller.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
-            byte[] body = WaitingCaller.BODY.getBytes(StandardCharsets.US_ASCII);
+            byte[] body = WaitingClientProcess.BODY.getBytes(StandardCharsets.US_ASCII);
             HttpCall call = new HttpCall(Fault.Step.RUN, "POST", uri, Optional.of("/x"), Map.of(), body);
-            Runnable cancel = caller.send(call, new Ignoring());
+            Runnable cancel = client.send(call, new Ignoring());
             try (Socket connection = server.accept()) {
                 connection.setSoTimeout(HANG_MILLIS);
                 readRequest(connection.getInputStream());
@@ -75,9 +78,9 @@
     }
 
     @Test
-    void shouldResetConnectionWhenProcessIsKilledBeforeAnswer() throws Exception {
+    void shouldResetConnectionWhenProcessIsKilledBeforeResponse() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            Process process = waitingCaller(server.getLocalPort());
+            Process process = startWaitingProcess(server.getLocalPort());
             try (Socket connection = server.accept()) {
                 connection.setSoTimeout(HANG_MILLIS);
                 readRequest(connection.getInputStream());
@@ -89,14 +92,14 @@
         }
     }
 
-    /** Sends nothing after all, since its request was overtaken while the connection came up. */
-    private static final class Withholding extends Ignoring {
+    /** Withholds its request, as if it had become obsolete while the connection was being opened. */
+    private static final class WithholdingListener extends Ignoring {
 
-        private final CountDownLatch asked = new CountDownLatch(1);
+        private final CountDownLatch called = new CountDownLatch(1);
 
         @Override
         public Optional<HttpCall> onSending(HttpCall call) {
-            asked.countDown();
+            called.countDown();
             return Optional.empty();
         }
     }
@@ -104,70 +107,70 @@
     @Test
     void shouldSendNothingWhenListenerWithholdsRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpCaller client = HttpCaller.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
-            Withholding listener = new Withholding();
-            caller.send(HttpCall.get(Fault.Step.RUN, uri), listener);
+            WithholdingListener listener = new WithholdingListener();
+            client.send(HttpCall.get(Fault.Step.RUN, uri), listener);
             try (Socket connection = server.accept()) {
-                listener.asked.await();
-                caller.close();
+                listener.called.await();
+                client.close();
                 connection.setSoTimeout(HANG_MILLIS);
-                assertEquals(-1, connection.getInputStream().read(), "the end, and no byte before it");
+                assertEquals(-1, connection.getInputStream().read(), "the connection ends without any byte");
             }
         }
     }
 
-    private static Process waitingCaller(int port) throws IOException {
+    private static Process startWaitingProcess(int port) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         String classes = System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
-        return new ProcessBuilder(java, "-cp", classes, WaitingCaller.class.getName(), String.valueOf(port))
+        return new ProcessBuilder(java, "-cp", classes, WaitingClientProcess.class.getName(), String.valueOf(port))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .start();
     }
 
-    // -- connections that fall silent
+    // -- unresponsive connections
 
-    /** Answers once as many requests are here as are to come at the same time, so that each has a connection. */
-    private static HttpListener answering(String address, CountDownLatch together) {
+    /** Starts a server that responds once all concurrent requests have arrived, so that each has its own connection. */
+    private static HttpListener startServer(String address, CountDownLatch allArrived) {
         return HttpListener.start(
                 address,
                 HttpListener.Bounds.usual(),
                 1,
                 Optional.empty(),
                 exchange -> exchange.dispatch(() -> {
-                    arrive(together);
+                    awaitAll(allArrived);
                     exchange.getResponseSender().send("answered");
                 }));
     }
 
-    private static void arrive(CountDownLatch together) {
-        together.countDown();
+    private static void awaitAll(CountDownLatch allArrived) {
+        allArrived.countDown();
         try {
-            together.await();
+            allArrived.await();
         } catch (InterruptedException e) {
             throw new IllegalStateException("the test has ended", e);
         }
     }
 
     @Test
-    void shouldUseNewConnectionWhenOneOfThoseKeptFellSilent() throws Exception {
+    void shouldUseNewConnectionWhenIdleOneWasUnresponsive() throws Exception {
         String address = Ports.freeAddress();
-        HttpListener server = answering(address, new CountDownLatch(KEPT));
+        HttpListener server = startServer(address, new CountDownLatch(IDLE_CONNECTIONS));
         try (SilentRelay relay = SilentRelay.to(address);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpCaller client = HttpCaller.start("test", 1)) {
             HttpCall call = HttpCall.get(Fault.Step.READ, URI.create("http://" + relay.address() + "/x"));
-            List<HttpCaller.Pending> together =
-                    Stream.generate(() -> caller.begin(call)).limit(KEPT).toList();
-            together.forEach(
-                    one -> assertTrue(one.await(HANG).toOptional().isPresent(), "each is answered on its connection"));
-            assertEquals(KEPT, relay.accepted());
+            List<HttpCaller.PendingCall> calls =
+                    Stream.generate(() -> client.callAsync(call)).limit(IDLE_CONNECTIONS).toList();
+            calls.forEach(
+                    one -> assertTrue(one.await(HANG_TIMEOUT).toOptional().isPresent(), "each gets a response on its own connection"));
+            assertEquals(IDLE_CONNECTIONS, relay.accepted());
             relay.silence();
             assertEquals(
                     Fault.Reason.TIMEOUT,
-                    caller.call(call, SILENT).cause().orElseThrow().reason());
-            assertTrue(caller.call(call, HANG).toOptional().isPresent(), "the others kept may be silent as well");
-            assertEquals(KEPT + 1, relay.accepted());
+                    client.call(call, UNRESPONSIVE_TIMEOUT).cause().orElseThrow().reason());
+            assertTrue(client.call(call, HANG_TIMEOUT).toOptional().isPresent(), "the other idle connections may be unresponsive too");
+            assertEquals(IDLE_CONNECTIONS + 1, relay.accepted());
         } finally {
             server.close();
         }
--- a/src/test/java/org/micabarrow/transport/Ignoring.java
+++ b/src/test/java/org/micabarrow/transport/Ignoring.java
@@ -4,15 +4,15 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.transport.HttpCaller.Listener;
 
-/** Does nothing with an answer. */
+/** Ignores the response. */
 public class Ignoring implements Listener {
 
     @Override
     public void onHead(int status, Map<String, String> headers) {}
 
     @Override
-    public void onData(byte[] data, Runnable more) {
-        more.run();
+    public void onData(byte[] data, Runnable requestMore) {
+        requestMore.run();
     }
 
     @Override
