--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -37,19 +37,19 @@
 import org.micabarrow.views.View;
 import org.xnio.XnioWorker;
 
-/** Questions on which a request waits, over real sockets. */
+/** Queries that a request waits for, over real sockets. */
 class LoadFeedTest {
 
-    /** Decides nothing but a hang. */
-    private static final long LONGEST_SECONDS = 30;
+    /** Ends a test that hangs. */
+    private static final long MAX_SECONDS = 30;
 
-    /** As above, for what a socket waits, in milliseconds. */
+    /** The same for the timeout of a socket, in milliseconds. */
     private static final int HANG_MILLIS = 10_000;
 
     private final EndpointChoice choice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
     private final EndpointEntry endpoint =
             EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
-    private final List<StoreNews.Heard> heard = new CopyOnWriteArrayList<>();
+    private final List<StoreNews.Heard> readers = new CopyOnWriteArrayList<>();
     private DatagramSocket agent;
     private XnioWorker worker;
     private LoadFeed feed;
@@ -77,7 +77,7 @@
                 worker.getIoThread(),
                 () -> System.nanoTime() / 1_000_000,
                 Optional::empty,
-                heard::add));
+                readers::add));
     }
 
     @AfterEach
@@ -86,13 +86,13 @@
         worker.shutdownNow();
     }
 
-    private CompletableFuture<Boolean> ask() {
+    private CompletableFuture<Boolean> query() {
         CompletableFuture<Boolean> inTime = new CompletableFuture<>();
         worker.getIoThread().execute(() -> feed.ask(endpoint, inTime::complete));
         return inTime;
     }
 
-    /** A view of two endpoints at one host, as there are for a while after a restart. */
+    /** A view with two endpoints at one host, which occurs for a while after a restart. */
     private View twoAtOneHost() {
         ModelService model = new ModelService("m", 16, 1, 1, 1, 1, 4, 8, 1_000);
         RouteManifest.Service service = new RouteManifest.Service("models", 100, Optional.of(model), Optional.empty());
@@ -102,139 +102,139 @@
         return new View(Optional.of(manifest), 0, Map.of("a", endpoint, "b", other), Map.of());
     }
 
-    private DatagramPacket question() throws IOException {
+    private DatagramPacket receiveQuery() throws IOException {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
         agent.receive(packet);
         return packet;
     }
 
-    private void answer(DatagramPacket question, int numberOff) throws IOException {
-        byte[] bytes = Arrays.copyOf(question.getData(), question.getLength());
-        int number = LoadMessages.question(bytes).number() + numberOff;
-        ByteBuffer answer = LoadMessages.write(new LoadMessages.Answer(number, new LoadReport(1, 0, false, 1)));
-        agent.send(new DatagramPacket(answer.array(), answer.limit(), question.getSocketAddress()));
+    private void reply(DatagramPacket query, int numberOffset) throws IOException {
+        byte[] bytes = Arrays.copyOf(query.getData(), query.getLength());
+        int number = LoadMessages.readQuery(bytes).number() + numberOffset;
+        ByteBuffer reply = LoadMessages.write(new LoadMessages.Reply(number, new LoadReport(1, 0, false, 1)));
+        agent.send(new DatagramPacket(reply.array(), reply.limit(), query.getSocketAddress()));
     }
 
     @Test
-    void shouldSayThatAgentAnsweredWhenItsAnswerNamesTheQuestion() throws Exception {
-        CompletableFuture<Boolean> inTime = ask();
-        answer(question(), 0);
-        // On a busy machine the answer may come after the limit; then the next question is answered.
-        for (int again = 0; again < 20 && !inTime.get(LONGEST_SECONDS, TimeUnit.SECONDS); again++) {
-            inTime = ask();
-            answer(question(), 0);
+    void shouldReportReplyWhenItNamesTheQuery() throws Exception {
+        CompletableFuture<Boolean> inTime = query();
+        reply(receiveQuery(), 0);
+        // On a busy machine the reply may arrive after the timeout; then the next query is answered.
+        for (int again = 0; again < 20 && !inTime.get(MAX_SECONDS, TimeUnit.SECONDS); again++) {
+            inTime = query();
+            reply(receiveQuery(), 0);
         }
-        assertTrue(inTime.get(LONGEST_SECONDS, TimeUnit.SECONDS));
+        assertTrue(inTime.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void shouldSayThatAgentDidNotAnswerWhenNothingComes() throws Exception {
-        CompletableFuture<Boolean> inTime = ask();
-        question();
-        assertFalse(inTime.get(LONGEST_SECONDS, TimeUnit.SECONDS));
+    void shouldReportMissingReplyWhenNothingArrives() throws Exception {
+        CompletableFuture<Boolean> inTime = query();
+        receiveQuery();
+        assertFalse(inTime.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void shouldSayThatAgentDidNotAnswerWhenAnotherQuestionIsAnswered() throws Exception {
-        CompletableFuture<Boolean> inTime = ask();
-        answer(question(), 1);
-        assertFalse(inTime.get(LONGEST_SECONDS, TimeUnit.SECONDS));
+    void shouldReportMissingReplyWhenItNamesAnotherQuery() throws Exception {
+        CompletableFuture<Boolean> inTime = query();
+        reply(receiveQuery(), 1);
+        assertFalse(inTime.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void shouldTellPromptTokensOfAllEndpointsAtHostWhenOneIsAskedFor() throws Exception {
-        EndpointChoice ofTwo = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-        ofTwo.load("a").began(100);
-        ofTwo.load("b").began(20);
-        LoadFeed withTwo = feed(twoAtOneHost(), ofTwo);
-        withTwo.start(() -> withTwo.ask(endpoint, inTime -> {}));
+    void shouldSendPromptTokensOfAllEndpointsAtHostWhenOneIsQueried() throws Exception {
+        EndpointChoice choiceOfTwo = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        choiceOfTwo.load("a").began(100);
+        choiceOfTwo.load("b").began(20);
+        LoadFeed feedOfTwo = feed(twoAtOneHost(), choiceOfTwo);
+        feedOfTwo.start(() -> feedOfTwo.ask(endpoint, inTime -> {}));
         for (int number = 0; number < 2; number++) {
-            DatagramPacket packet = question();
-            LoadMessages.Question question = LoadMessages.question(Arrays.copyOf(packet.getData(), packet.getLength()));
-            assertEquals(new LoadMessages.Question("entry-a", 120, number, 0, true, Optional.empty()), question);
+            DatagramPacket packet = receiveQuery();
+            LoadMessages.Query query = LoadMessages.readQuery(Arrays.copyOf(packet.getData(), packet.getLength()));
+            assertEquals(new LoadMessages.Query("entry-a", 120, number, 0, true, Optional.empty()), query);
         }
     }
 
     @Test
-    void shouldGoOnAskingWhenEndpointIsListedNoMoreButRequestsWaitThere() throws Exception {
-        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
+    void shouldKeepPollingWhenUnlistedEndpointHasRequestsInFlight() throws Exception {
+        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
         EndpointChoice waiting = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
         waiting.load("a").began(100);
         feed(view::get, waiting).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
-            DatagramPacket packet = question();
+            DatagramPacket packet = receiveQuery();
             assertEquals(
                     number,
-                    LoadMessages.question(Arrays.copyOf(packet.getData(), packet.getLength()))
+                    LoadMessages.readQuery(Arrays.copyOf(packet.getData(), packet.getLength()))
                             .number());
         }
     }
 
     @Test
-    void shouldTellPromptTokensOfEndpointWhenNoRoundHasSeenItYet() throws Exception {
+    void shouldSendPromptTokensOfEndpointWhenNoRoundHasIncludedItYet() throws Exception {
         worker.getIoThread().execute(() -> {
             choice.load("a").began(100);
             feed.ask(endpoint, inTime -> {});
         });
-        DatagramPacket packet = question();
+        DatagramPacket packet = receiveQuery();
         assertEquals(
                 100,
-                LoadMessages.question(Arrays.copyOf(packet.getData(), packet.getLength()))
+                LoadMessages.readQuery(Arrays.copyOf(packet.getData(), packet.getLength()))
                         .promptTokens());
     }
 
     @Test
-    void shouldAskOnWhenOneRoundFails() throws Exception {
+    void shouldKeepPollingWhenOneRoundFails() throws Exception {
         agent.setSoTimeout(HANG_MILLIS);
         AtomicBoolean failed = new AtomicBoolean();
         Supplier<View> view = () -> {
             if (failed.compareAndSet(false, true)) {
-                throw new IllegalStateException("a fault of the program");
+                throw new IllegalStateException("a programming error");
             }
             return twoAtOneHost();
         };
         feed(view, choice).start(() -> {});
-        question();
+        receiveQuery();
         assertTrue(failed.get());
     }
 
-    // -- endpoints that start again under their id
+    // -- endpoints that restart under the same id
 
     private static final EndpointStart LISTED = new EndpointStart("a", OptionalLong.of(1_764_718_674_123L));
 
-    private void answer(DatagramPacket question, LoadReport told) throws IOException {
-        byte[] bytes = Arrays.copyOf(question.getData(), question.getLength());
-        ByteBuffer answer = LoadMessages.write(
-                new LoadMessages.Answer(LoadMessages.question(bytes).number(), told));
-        agent.send(new DatagramPacket(answer.array(), answer.limit(), question.getSocketAddress()));
+    private void reply(DatagramPacket query, LoadReport report) throws IOException {
+        byte[] bytes = Arrays.copyOf(query.getData(), query.getLength());
+        ByteBuffer reply = LoadMessages.write(
+                new LoadMessages.Reply(LoadMessages.readQuery(bytes).number(), report));
+        agent.send(new DatagramPacket(reply.array(), reply.limit(), query.getSocketAddress()));
     }
 
-    /** Answers one question after the other with the same until a belief about the listed start is held. */
-    private void answerUntil(EndpointChoice choice, LoadReport told, Predicate<EndpointLoad> belief) throws Exception {
-        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
-        boolean held = false;
-        while (!held) {
-            answer(question(), told);
+    /** Answers all queries with the same report until the listed start satisfies a condition. */
+    private void replyUntil(EndpointChoice choice, LoadReport report, Predicate<EndpointLoad> condition) throws Exception {
+        agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
+        boolean satisfied = false;
+        while (!satisfied) {
+            reply(receiveQuery(), report);
             CompletableFuture<Boolean> now = new CompletableFuture<>();
-            worker.getIoThread().execute(() -> now.complete(belief.test(choice.load(LISTED))));
-            held = now.get(LONGEST_SECONDS, TimeUnit.SECONDS);
+            worker.getIoThread().execute(() -> now.complete(condition.test(choice.load(LISTED))));
+            satisfied = now.get(MAX_SECONDS, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    @Timeout(LONGEST_SECONDS)
-    void shouldCountNothingThatAgentTellsOfAnotherStart() throws Exception {
+    @Timeout(MAX_SECONDS)
+    void shouldIgnoreReportOfAnotherStart() throws Exception {
         EndpointEntry listed = EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
                 .withStart(LISTED.startedMillis());
         View both = twoAtOneHost();
-        // The feed of all tests, which lists no endpoint, makes its own choice forget them.
-        EndpointChoice own = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-        feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), own).start(() -> {});
-        answerUntil(own, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
-        answerUntil(own, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
+        // The poller that all tests share lists no endpoint, which removes all endpoints from its own choice.
+        EndpointChoice ownChoice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice).start(() -> {});
+        replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
+        replyUntil(ownChoice, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
         CompletableFuture<Long> version = new CompletableFuture<>();
-        worker.getIoThread().execute(() -> version.complete(own.load(LISTED).version()));
-        assertEquals(2L, version.get(LONGEST_SECONDS, TimeUnit.SECONDS));
+        worker.getIoThread().execute(() -> version.complete(ownChoice.load(LISTED).version()));
+        assertEquals(2L, version.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -21,9 +21,9 @@
 import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.LimitWord;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.LoadMessages.Answer;
-import org.micabarrow.transport.LoadMessages.Question;
-import org.micabarrow.transport.LoadMessages.ReaderNews;
+import org.micabarrow.transport.LoadMessages.Reply;
+import org.micabarrow.transport.LoadMessages.Query;
+import org.micabarrow.transport.LoadMessages.ReaderUpdate;
 import org.micabarrow.transport.LoadMessages.Received;
 import org.micabarrow.views.LastChanges;
 import org.micabarrow.views.ManifestPlace;
@@ -38,117 +38,120 @@
 
     @ParameterizedTest
     @CsvSource({"false, false", "false, true", "true, false", "true, true"})
-    void shouldTellWhatEndpointDoes(boolean loading, boolean leaving) throws IOException {
-        LoadReport told = new LoadReport(3, 8, loading, 7, 5, OptionalInt.of(9), leaving);
+    void shouldReadStateOfEndpointWhenWritten(boolean loading, boolean leaving) throws IOException {
+        LoadReport report = new LoadReport(3, 8, loading, 7, 5, OptionalInt.of(9), leaving);
         assertEquals(
-                told,
-                LoadMessages.answer(bytes(LoadMessages.write(new Answer(17, told))))
-                        .told());
+                report,
+                LoadMessages.readReply(bytes(LoadMessages.write(new Reply(17, report))))
+                        .report());
     }
 
     @Test
-    void shouldReadQuestionWhenWritten() throws IOException {
-        Question question = new Question("entry-a", 1_200, 17, 30);
-        assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
+    void shouldReadQueryWhenWritten() throws IOException {
+        Query query = new Query("entry-a", 1_200, 17, 30);
+        assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
     }
 
     @Test
-    void shouldReadNewsOfStoreWhenQuestionTellsThem() throws IOException {
-        StoreNews news = new StoreNews(
+    void shouldReadStoreUpdateWhenQueryContainsIt() throws IOException {
+        StoreNews storeUpdate = new StoreNews(
                 8_000, new LastChanges(17, 1L << 40, 16), Optional.of(new ManifestPlace(7, 16)), 30, true);
-        Question question = new Question("entry-a", 1_200, 17, 30, true, Optional.of(news), OptionalLong.of(1L << 40));
-        assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
+        Query query = new Query("entry-a", 1_200, 17, 30, true, Optional.of(storeUpdate), OptionalLong.of(1L << 40));
+        assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
-    void shouldReadWhatIsSaidOfLimitWhenWritten(double perSecond) throws IOException {
-        OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<LimitWord> word = Optional.of(new LimitWord(LimitWord.token("a"), limit, 1_200));
-        Question question = new Question("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), word);
-        assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
+    void shouldReadRateLimitWhenWritten(double perSecond) throws IOException {
+        OptionalDouble rateLimit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
+        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(LimitWord.token("a"), rateLimit, 1_200));
+        Query query = new Query("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
+        assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
-        Answer answer = new Answer(17, new LoadReport(3, 8, true, 7, 5), Optional.empty(), 90, rank, word);
-        assertEquals(answer, LoadMessages.answer(bytes(LoadMessages.write(answer))));
+        Reply reply = new Reply(17, new LoadReport(3, 8, true, 7, 5), Optional.empty(), 90, rank, rateLimit);
+        assertEquals(reply, LoadMessages.readReply(bytes(LoadMessages.write(reply))));
     }
 
-    /** Anything may be sent to the port; it must not end the thread that reads, nor be taken for a message. */
+    /** Anything may be sent to the port. It must neither end the receiving thread nor be accepted as a message. */
     @Test
-    void shouldRefuseDatagramsThatBreakOffOrGoOn() {
-        StoreNews news =
+    void shouldRejectDatagramsThatAreTruncatedOrTooLong() {
+        StoreNews storeUpdate =
                 new StoreNews(8_000, new LastChanges(17, 18), Optional.of(new ManifestPlace(7, 16)), 30, false);
-        ReaderNews reader = new ReaderNews("10.0.0.1:8000", 17, 40);
-        Optional<LimitWord> limit = Optional.of(new LimitWord(1, OptionalDouble.of(2), 3));
+        ReaderUpdate reader = new ReaderUpdate("10.0.0.1:8000", 17, 40);
+        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
         LoadReport report = new LoadReport(3, 8, true, 7, 5, OptionalInt.of(9));
-        byte[] question = bytes(LoadMessages.write(
-                new Question("entry-a", 1, 2, 3, true, Optional.of(news), OptionalLong.empty(), limit)));
-        byte[] answer = bytes(LoadMessages.write(new Answer(17, report, Optional.of(reader), 90, rank, limit)));
-        for (int length = 0; length < question.length; length++) {
-            byte[] part = Arrays.copyOf(question, length);
-            assertThrows(IOException.class, () -> LoadMessages.question(part));
+        byte[] query = bytes(LoadMessages.write(
+                new Query("entry-a", 1, 2, 3, true, Optional.of(storeUpdate), OptionalLong.empty(), rateLimit)));
+        byte[] reply = bytes(LoadMessages.write(new Reply(17, report, Optional.of(reader), 90, rank, rateLimit)));
+        for (int length = 0; length < query.length; length++) {
+            byte[] truncated = Arrays.copyOf(query, length);
+            assertThrows(IOException.class, () -> LoadMessages.readQuery(truncated));
         }
-        for (int length = 0; length < answer.length; length++) {
-            byte[] part = Arrays.copyOf(answer, length);
-            assertThrows(IOException.class, () -> LoadMessages.answer(part));
+        for (int length = 0; length < reply.length; length++) {
+            byte[] truncated = Arrays.copyOf(reply, length);
+            assertThrows(IOException.class, () -> LoadMessages.readReply(truncated));
         }
-        assertThrows(IOException.class, () -> LoadMessages.question(Arrays.copyOf(question, question.length + 1)));
-        assertThrows(IOException.class, () -> LoadMessages.answer(Arrays.copyOf(answer, answer.length + 1)));
+        assertThrows(IOException.class, () -> LoadMessages.readQuery(Arrays.copyOf(query, query.length + 1)));
+        assertThrows(IOException.class, () -> LoadMessages.readReply(Arrays.copyOf(reply, reply.length + 1)));
     }
 
     @Test
-    void shouldRefuseQuestionWhoseEntryHasAbsurdLength() {
-        byte[] question = bytes(LoadMessages.write(new Question("entry-a", 1, 2, 3)));
+    void shouldRejectQueryWhenLengthOfEntryIsInvalid() {
+        byte[] query = bytes(LoadMessages.write(new Query("entry-a", 1, 2, 3)));
         for (int length : new int[] {-1, Integer.MIN_VALUE, Integer.MAX_VALUE, 513}) {
-            ByteBuffer.wrap(question).putInt(question.length - "entry-a".length() - Integer.BYTES, length);
-            assertThrows(IOException.class, () -> LoadMessages.question(question));
+            ByteBuffer.wrap(query).putInt(query.length - "entry-a".length() - Integer.BYTES, length);
+            assertThrows(IOException.class, () -> LoadMessages.readQuery(query));
         }
     }
 
     @Test
-    void shouldReadAnswerWhenWritten() throws IOException {
-        Answer answer = new Answer(17, new LoadReport(3, 800, true, 7, 5));
-        assertEquals(answer, LoadMessages.answer(bytes(LoadMessages.write(answer))));
+    void shouldReadReplyWhenWritten() throws IOException {
+        Reply reply = new Reply(17, new LoadReport(3, 800, true, 7, 5));
+        assertEquals(reply, LoadMessages.readReply(bytes(LoadMessages.write(reply))));
     }
 
     @Test
-    void shouldReadStartOfEndpointWhenAnswerNamesIt() throws IOException {
-        Answer answer = new Answer(17, new LoadReport(3, 800, true, 7, 5, OptionalInt.of(674_123)));
-        assertEquals(answer, LoadMessages.answer(bytes(LoadMessages.write(answer))));
+    void shouldReadStartOfEndpointWhenReplyContainsIt() throws IOException {
+        Reply reply = new Reply(17, new LoadReport(3, 800, true, 7, 5, OptionalInt.of(674_123)));
+        assertEquals(reply, LoadMessages.readReply(bytes(LoadMessages.write(reply))));
     }
 
     @Test
-    void shouldReadReaderOfRegionWhenAnswerNamesIt() throws IOException {
-        ReaderNews reader = new ReaderNews("10.0.0.1:8000", 1L << 40, 250);
-        Answer answer = new Answer(17, new LoadReport(3, 800, true, 7, 5), Optional.of(reader), 1L << 40);
-        assertEquals(answer, LoadMessages.answer(bytes(LoadMessages.write(answer))));
+    void shouldReadReaderOfRegionWhenReplyContainsIt() throws IOException {
+        ReaderUpdate reader = new ReaderUpdate("10.0.0.1:8000", 1L << 40, 250);
+        Reply reply = new Reply(17, new LoadReport(3, 800, true, 7, 5), Optional.of(reader), 1L << 40);
+        assertEquals(reply, LoadMessages.readReply(bytes(LoadMessages.write(reply))));
     }
 
     @Test
     @Timeout(5)
-    void shouldTellSenderAndBytesWhenDatagramsComeOneAfterAnother() throws IOException {
+    void shouldReturnSenderAndBytesWhenDatagramsArriveInSequence() throws IOException {
         InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        try (DatagramChannel here = DatagramChannel.open().bind(anyPort);
-                DatagramChannel there = DatagramChannel.open().bind(anyPort)) {
-            Question longer = new Question("entry-with-a-longer-name", 1_200, 17, 30);
-            Question shorter = new Question("e", 0, 0, 0);
-            there.send(LoadMessages.write(longer), here.getLocalAddress());
-            there.send(LoadMessages.write(shorter), here.getLocalAddress());
-            Received first = LoadMessages.receive(here);
-            Received second = LoadMessages.receive(here);
-            assertEquals(there.getLocalAddress(), first.from());
-            assertEquals(longer, LoadMessages.question(first.bytes()));
-            assertEquals(shorter, LoadMessages.question(second.bytes()));
+        try (DatagramChannel receiver = DatagramChannel.open().bind(anyPort);
+                DatagramChannel sender = DatagramChannel.open().bind(anyPort)) {
+            Query longer = new Query("entry-with-a-longer-name", 1_200, 17, 30);
+            Query shorter = new Query("e", 0, 0, 0);
+            sender.send(LoadMessages.write(longer), receiver.getLocalAddress());
+            sender.send(LoadMessages.write(shorter), receiver.getLocalAddress());
+            Received first = LoadMessages.receive(receiver);
+            Received second = LoadMessages.receive(receiver);
+            assertEquals(sender.getLocalAddress(), first.from());
+            assertEquals(longer, LoadMessages.readQuery(first.bytes()));
+            assertEquals(shorter, LoadMessages.readQuery(second.bytes()));
         }
     }
 
-    /** What is known of a time to come makes an entry sure of what it has not heard; by HTTP such an age is refused. */
+    /**
+     * An age below zero would make an entry rely on information that it does not have. Over HTTP such an age is
+     * rejected too.
+     */
     @Test
-    void shouldRefuseAnswerWhenReaderKnowsOfTimeToCome() {
-        ByteBuffer datagram = LoadMessages.write(new LoadMessages.Answer(
-                1, new LoadReport(0, 0, false, 1), Optional.of(new ReaderNews("10.0.0.1:8000", 17, -5_000)), 0));
+    void shouldRejectReplyWhenAgeOfReaderIsNegative() {
+        ByteBuffer datagram = LoadMessages.write(new LoadMessages.Reply(
+                1, new LoadReport(0, 0, false, 1), Optional.of(new ReaderUpdate("10.0.0.1:8000", 17, -5_000)), 0));
         byte[] bytes = new byte[datagram.remaining()];
         datagram.get(bytes);
-        assertThrows(IOException.class, () -> LoadMessages.answer(bytes));
+        assertThrows(IOException.class, () -> LoadMessages.readReply(bytes));
     }
 }
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -22,134 +22,134 @@
 import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.LimitWord;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.LoadMessages.ReaderNews;
+import org.micabarrow.transport.LoadMessages.ReaderUpdate;
 import org.micabarrow.views.LastChanges;
 
-/** What an agent answers to entries, over real sockets. */
+/** The replies that an agent sends to entries, over real sockets. */
 class LoadServerTest {
 
-    /** Decides nothing but a hang. */
+    /** Ends a test that hangs. */
     private static final int HANG_MILLIS = 10_000;
 
-    private static final LoadReport RESTING = new LoadReport(0, 0, false, 1);
+    private static final LoadReport IDLE = new LoadReport(0, 0, false, 1);
 
-    private static void ask(DatagramSocket entry, InetSocketAddress agent, int number) throws IOException {
-        ByteBuffer question = LoadMessages.write(new LoadMessages.Question("entry-a", 0, number, 0));
-        entry.send(new DatagramPacket(question.array(), question.limit(), agent));
+    private static void sendQuery(DatagramSocket entry, InetSocketAddress agent, int number) throws IOException {
+        ByteBuffer query = LoadMessages.write(new LoadMessages.Query("entry-a", 0, number, 0));
+        entry.send(new DatagramPacket(query.array(), query.limit(), agent));
     }
 
     @Test
-    void shouldAnswerOnWhenOneAnswerFails() throws Exception {
+    void shouldKeepReplyingWhenOneReplyFails() throws Exception {
         AtomicBoolean failed = new AtomicBoolean();
         Supplier<Optional<LoadReport>> endpoint = () -> {
             if (failed.compareAndSet(false, true)) {
-                throw new IllegalStateException("a fault of the program");
+                throw new IllegalStateException("a programming error");
             }
-            return Optional.of(RESTING);
+            return Optional.of(IDLE);
         };
         try (DatagramSocket entry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             entry.setSoTimeout(HANG_MILLIS);
             InetSocketAddress agent = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-            LoadServer.start("127.0.0.1:" + agent.getPort(), endpoint, () -> 0, (peer, changes) -> {}, TRUST_MILLIS);
-            ask(entry, agent, 1);
-            ask(entry, agent, 2);
-            DatagramPacket answer = new DatagramPacket(new byte[512], 512);
-            entry.receive(answer);
+            LoadServer.start("127.0.0.1:" + agent.getPort(), endpoint, () -> 0, (peer, update) -> {}, MAX_STORE_AGE_MILLIS);
+            sendQuery(entry, agent, 1);
+            sendQuery(entry, agent, 2);
+            DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+            entry.receive(packet);
             assertEquals(
                     2,
-                    LoadMessages.answer(Arrays.copyOf(answer.getData(), answer.getLength()))
+                    LoadMessages.readReply(Arrays.copyOf(packet.getData(), packet.getLength()))
                             .number());
         }
     }
 
-    // -- the reader of the region
+    // -- reader of the region
 
-    /** An entry that asks, with a socket of its own. */
+    /** An entry that sends queries from its own socket. */
     private record Entry(
             String name,
             int port,
-            boolean near,
+            boolean sameRegion,
             boolean direct,
             DatagramSocket socket,
-            AtomicReference<OptionalLong> stamp) {
+            AtomicReference<OptionalLong> replyTimestamp) {
 
-        private static Entry of(String name, int port, boolean near, boolean direct) throws IOException {
+        private static Entry of(String name, int port, boolean sameRegion, boolean direct) throws IOException {
             DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
             socket.setSoTimeout(HANG_MILLIS);
-            return new Entry(name, port, near, direct, socket, new AtomicReference<>(OptionalLong.empty()));
+            return new Entry(name, port, sameRegion, direct, socket, new AtomicReference<>(OptionalLong.empty()));
         }
 
-        /** Asks once, so that later questions can repeat a stamp of the agent. */
-        private Entry met(InetSocketAddress agent) throws IOException {
+        /** Sends one query, so that later ones can repeat a timestamp of the agent. */
+        private Entry withTimestamp(InetSocketAddress agent) throws IOException {
             reader(agent);
             return this;
         }
 
-        /** Asks, and tells which entry the agent names as the one that reads the store. */
+        /** Sends a query, and returns the entry that the agent names as the reader of the store. */
         private Optional<String> reader(InetSocketAddress agent) throws IOException {
             return reader(agent, 30);
         }
 
-        /** The same of an entry that knew all that operators wrote so long ago. */
+        /** Does the same for an entry that knew everything that operators had written at the given time ago. */
         private Optional<String> reader(InetSocketAddress agent, long knownMillisAgo) throws IOException {
-            return send(question(knownMillisAgo), agent).map(ReaderNews::peer);
+            return send(query(knownMillisAgo), agent).map(ReaderUpdate::peer);
         }
 
-        private ByteBuffer question(long knownMillisAgo) {
-            StoreNews news = new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
-            return LoadMessages.write(new LoadMessages.Question(
-                    name, 0, 0, 0, near, near ? Optional.of(news) : Optional.empty(), stamp.get()));
+        private ByteBuffer query(long knownMillisAgo) {
+            StoreNews storeUpdate = new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
+            return LoadMessages.write(new LoadMessages.Query(
+                    name, 0, 0, 0, sameRegion, sameRegion ? Optional.of(storeUpdate) : Optional.empty(), replyTimestamp.get()));
         }
 
-        private Optional<ReaderNews> send(ByteBuffer question, InetSocketAddress agent) throws IOException {
-            socket.send(new DatagramPacket(question.array(), question.limit(), agent));
-            DatagramPacket answer = new DatagramPacket(new byte[512], 512);
-            socket.receive(answer);
-            LoadMessages.Answer read = LoadMessages.answer(Arrays.copyOf(answer.getData(), answer.getLength()));
-            stamp.set(OptionalLong.of(read.stampMillis()));
-            return read.reader();
+        private Optional<ReaderUpdate> send(ByteBuffer query, InetSocketAddress agent) throws IOException {
+            socket.send(new DatagramPacket(query.array(), query.limit(), agent));
+            DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+            socket.receive(packet);
+            LoadMessages.Reply reply = LoadMessages.readReply(Arrays.copyOf(packet.getData(), packet.getLength()));
+            replyTimestamp.set(OptionalLong.of(reply.timestampMillis()));
+            return reply.reader();
         }
     }
 
-    private static final long TRUST_MILLIS = 1_500;
+    private static final long MAX_STORE_AGE_MILLIS = 1_500;
 
     private final AtomicLong now = new AtomicLong();
 
     private InetSocketAddress agent() throws IOException {
         InetSocketAddress agent = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
         LoadServer.start(
-                "127.0.0.1:" + agent.getPort(), () -> Optional.of(RESTING), now::get, (peer, news) -> {}, TRUST_MILLIS);
+                "127.0.0.1:" + agent.getPort(), () -> Optional.of(IDLE), now::get, (peer, storeUpdate) -> {}, MAX_STORE_AGE_MILLIS);
         return agent;
     }
 
     @Test
-    void shouldNameFirstEntryThatReadsStoreItselfToOthersOfRegion() throws Exception {
+    void shouldNameFirstEntryThatReadsStoreToOthersOfRegion() throws Exception {
         InetSocketAddress agent = agent();
-        Entry second = Entry.of("b", 8_002, true, true).met(agent);
+        Entry second = Entry.of("b", 8_002, true, true).withTimestamp(agent);
         Entry first = Entry.of("a", 8_001, true, true);
-        Entry led = Entry.of("c", 8_000, true, false);
-        Entry far = Entry.of("d", 8_003, false, false);
+        Entry follower = Entry.of("c", 8_000, true, false);
+        Entry otherRegion = Entry.of("d", 8_003, false, false);
         assertEquals(Optional.empty(), second.reader(agent));
-        // It has no stamp of the agent yet, so that nobody knows how old its word is.
+        // It has no timestamp of the agent yet, so the age of its information is unknown.
         assertEquals(Optional.of("127.0.0.1:8002"), first.reader(agent));
         assertEquals(Optional.empty(), first.reader(agent));
         assertEquals(Optional.of("127.0.0.1:8001"), second.reader(agent));
-        assertEquals(Optional.of("127.0.0.1:8001"), led.reader(agent));
-        assertEquals(Optional.empty(), far.reader(agent));
+        assertEquals(Optional.of("127.0.0.1:8001"), follower.reader(agent));
+        assertEquals(Optional.empty(), otherRegion.reader(agent));
     }
 
     @Test
-    void shouldNameNextEntryWhenFirstFellSilent() throws Exception {
+    void shouldNameNextEntryWhenFirstIsUnresponsive() throws Exception {
         InetSocketAddress agent = agent();
-        Entry first = Entry.of("a", 8_001, true, true).met(agent);
-        Entry second = Entry.of("b", 8_002, true, true).met(agent);
-        Entry led = Entry.of("c", 8_003, true, false);
+        Entry first = Entry.of("a", 8_001, true, true).withTimestamp(agent);
+        Entry second = Entry.of("b", 8_002, true, true).withTimestamp(agent);
+        Entry follower = Entry.of("c", 8_003, true, false);
         first.reader(agent);
         now.addAndGet(300);
         second.reader(agent);
-        assertEquals(Optional.of("127.0.0.1:8001"), led.reader(agent));
+        assertEquals(Optional.of("127.0.0.1:8001"), follower.reader(agent));
         now.addAndGet(300);
-        assertEquals(Optional.of("127.0.0.1:8002"), led.reader(agent));
+        assertEquals(Optional.of("127.0.0.1:8002"), follower.reader(agent));
     }
 
     private static int freePort() throws IOException {
@@ -158,91 +158,94 @@
         }
     }
 
-    /** A slow or resumed reader that still asks is the first by its address, and nobody can go by what it knows. */
+    /**
+     * A slow or resumed reader that still sends queries may have the address that sorts first, but nobody can rely on
+     * what it knows.
+     */
     @Test
-    void shouldNameReaderThatKnowsLatelyWhenFirstKnowsOfLongAgoOnly() throws Exception {
+    void shouldNameReaderWithRecentKnowledgeWhenFirstIsOutdated() throws Exception {
         InetSocketAddress agent = agent();
-        Entry first = Entry.of("a", 8_001, true, true).met(agent);
-        Entry second = Entry.of("b", 8_002, true, true).met(agent);
-        Entry led = Entry.of("c", 8_003, true, false);
+        Entry first = Entry.of("a", 8_001, true, true).withTimestamp(agent);
+        Entry second = Entry.of("b", 8_002, true, true).withTimestamp(agent);
+        Entry follower = Entry.of("c", 8_003, true, false);
         first.reader(agent, 10_000);
         second.reader(agent, 30);
-        assertEquals(Optional.of("127.0.0.1:8002"), led.reader(agent, 30));
+        assertEquals(Optional.of("127.0.0.1:8002"), follower.reader(agent, 30));
     }
 
     /**
-     * The reader's question lay in a full link for two seconds: what it says of its knowledge is older by that, or else an entry
-     * takes itself to know what was written meanwhile.
+     * The reader's query is delayed in a full link for two seconds. The age that it states must be increased by that
+     * time, or else an entry assumes that it knows what was written meanwhile.
      */
     @Test
-    void shouldNotMakeKnowledgeYoungerWhenQuestionOfReaderComesLate() throws Exception {
+    void shouldNotUnderstateAgeWhenQueryOfReaderIsDelayed() throws Exception {
         InetSocketAddress agent = agent();
-        Entry first = Entry.of("a", 8_001, true, true).met(agent);
-        Entry led = Entry.of("c", 8_003, true, false);
-        ByteBuffer late = first.question(0);
+        Entry first = Entry.of("a", 8_001, true, true).withTimestamp(agent);
+        Entry follower = Entry.of("c", 8_003, true, false);
+        ByteBuffer late = first.query(0);
         now.addAndGet(2_000);
         first.send(late, agent);
-        Optional<ReaderNews> told = led.send(led.question(30), agent);
+        Optional<ReaderUpdate> update = follower.send(follower.query(30), agent);
         assertTrue(
-                told.filter(reader -> now.get() - reader.knownMillisAgo() > 0).isEmpty(),
-                "the reader knew of nothing after 0, and the agent tells at " + now.get() + ": " + told);
+                update.filter(reader -> now.get() - reader.knownMillisAgo() > 0).isEmpty(),
+                "the reader knew of nothing after 0, and the agent reports at " + now.get() + ": " + update);
     }
 
-    // -- limits
+    // -- rate limits
 
-    private static LoadMessages.Answer ask(
-            DatagramSocket entry, InetSocketAddress agent, LoadMessages.Question question) throws IOException {
-        ByteBuffer datagram = LoadMessages.write(question);
+    private static LoadMessages.Reply exchange(
+            DatagramSocket entry, InetSocketAddress agent, LoadMessages.Query query) throws IOException {
+        ByteBuffer datagram = LoadMessages.write(query);
         entry.send(new DatagramPacket(datagram.array(), datagram.limit(), agent));
-        DatagramPacket answer = new DatagramPacket(new byte[512], 512);
-        entry.receive(answer);
-        return LoadMessages.answer(Arrays.copyOf(answer.getData(), answer.getLength()));
+        DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+        entry.receive(packet);
+        return LoadMessages.readReply(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
-    private static LoadMessages.Question question(String entry, Optional<LimitWord> limit) {
-        return new LoadMessages.Question(entry, 0, 0, 0, false, Optional.empty(), OptionalLong.empty(), limit);
+    private static LoadMessages.Query query(String entry, Optional<LimitWord> rateLimit) {
+        return new LoadMessages.Query(entry, 0, 0, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
     }
 
     @Test
-    void shouldPassOnWhatAnotherEntryHeardOfLimit() throws Exception {
+    void shouldPassOnRateLimitThatAnotherEntryReported() throws Exception {
         InetSocketAddress agent = agent();
         try (DatagramSocket entry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             entry.setSoTimeout(HANG_MILLIS);
             assertEquals(
                     Optional.empty(),
-                    ask(entry, agent, question("a", Optional.empty())).limit());
-            LimitWord word = new LimitWord(LimitWord.token("endpoint"), OptionalDouble.of(2), 100);
-            ask(entry, agent, question("b", Optional.of(word)));
+                    exchange(entry, agent, query("a", Optional.empty())).rateLimit());
+            LimitWord rateLimit = new LimitWord(LimitWord.token("endpoint"), OptionalDouble.of(2), 100);
+            exchange(entry, agent, query("b", Optional.of(rateLimit)));
             now.addAndGet(50);
-            LimitWord older = new LimitWord(word.endpoint(), word.perSecond(), 150);
+            LimitWord older = new LimitWord(rateLimit.endpoint(), rateLimit.perSecond(), 150);
             assertEquals(
                     Optional.of(older),
-                    ask(entry, agent, question("a", Optional.empty())).limit());
+                    exchange(entry, agent, query("a", Optional.empty())).rateLimit());
         }
     }
 
     @Test
-    void shouldRankEntriesOnceAllHadTimeToAsk() throws Exception {
+    void shouldRankEntriesWhenAllHadTimeToQuery() throws Exception {
         InetSocketAddress agent = agent();
         try (DatagramSocket entry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             entry.setSoTimeout(HANG_MILLIS);
             assertEquals(
                     Optional.empty(),
-                    ask(entry, agent, question("a", Optional.empty())).rank());
+                    exchange(entry, agent, query("a", Optional.empty())).rank());
             now.addAndGet(900);
             assertEquals(
                     Optional.empty(),
-                    ask(entry, agent, question("b", Optional.empty())).rank());
+                    exchange(entry, agent, query("b", Optional.empty())).rank());
             now.addAndGet(100);
             EntryRank first =
-                    ask(entry, agent, question("a", Optional.empty())).rank().orElseThrow();
+                    exchange(entry, agent, query("a", Optional.empty())).rank().orElseThrow();
             EntryRank second =
-                    ask(entry, agent, question("b", Optional.empty())).rank().orElseThrow();
+                    exchange(entry, agent, query("b", Optional.empty())).rank().orElseThrow();
             assertEquals(Set.of(new EntryRank(0, 2), new EntryRank(1, 2)), Set.of(first, second));
             now.addAndGet(1_001);
             Optional<EntryRank> alone =
-                    ask(entry, agent, question("a", Optional.empty())).rank();
-            assertEquals(Optional.of(new EntryRank(0, 1)), alone, "the other has not asked for a second");
+                    exchange(entry, agent, query("a", Optional.empty())).rank();
+            assertEquals(Optional.of(new EntryRank(0, 1)), alone, "the other has sent no query for a second");
         }
     }
 }
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -22,7 +22,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** A chunk on its way over a link that others use too. */
+/** Sending a chunk over a shared link. */
 @Timeout(30)
 class PacedBodyTest {
 
@@ -51,33 +51,33 @@
     }
 
     @Test
-    void shouldArriveWholeWhenSentInPieces() throws Exception {
-        try (HttpCaller caller = HttpCaller.start("test", 1)) {
+    void shouldArriveCompletelyWhenSentInPieces() throws Exception {
+        try (HttpCaller client = HttpCaller.start("test", 1)) {
             URI uri = URI.create("http://" + address.getHostString() + ":" + address.getPort() + "/");
-            HttpAnswer answer = caller.call(HttpCall.get(Step.FETCH, uri), Duration.ofSeconds(10))
+            HttpAnswer response = client.call(HttpCall.get(Step.FETCH, uri), Duration.ofSeconds(10))
                     .toOptional()
                     .orElseThrow();
-            assertArrayEquals(chunk, answer.body());
+            assertArrayEquals(chunk, response.body());
         }
     }
 
-    /** The booked time is ten seconds, and the client reads no longer than until the first bytes are here. */
+    /** The link is reserved for ten seconds, and the client reads only until the first bytes have arrived. */
     @Test
-    void shouldNotFillTheLinkAtOnceWhenItIsBookedForLong() throws IOException {
+    void shouldNotFillLinkAtOnceWhenReservedForLong() throws IOException {
         pacer = new LinkPacer(CHUNK_BYTES / 10.0, () -> 1);
         try (Socket client = new Socket(address.getHostString(), address.getPort())) {
             client.getOutputStream().write("GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            InputStream in = client.getInputStream();
-            int first = in.read(new byte[2 * CHUNK_BYTES]);
-            assertTrue(first > 0 && first < CHUNK_BYTES / 2, "bytes that came at first: " + first);
+            InputStream input = client.getInputStream();
+            int first = input.read(new byte[2 * CHUNK_BYTES]);
+            assertTrue(first > 0 && first < CHUNK_BYTES / 2, "bytes in the first read: " + first);
         }
     }
 
     @Test
-    void shouldBookOneChunkBehindTheOther() {
+    void shouldReserveLinkForOneChunkAfterTheOther() {
         LinkPacer slow = new LinkPacer(CHUNK_BYTES / 10.0, () -> 1);
-        LinkPacer.Booking first = slow.book(CHUNK_BYTES);
-        LinkPacer.Booking second = slow.book(CHUNK_BYTES);
+        LinkPacer.Reservation first = slow.book(CHUNK_BYTES);
+        LinkPacer.Reservation second = slow.book(CHUNK_BYTES);
         assertEquals(first.untilNanos(), second.fromNanos());
         assertEquals(first.nanos(), second.nanos());
     }
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunksTest.java
@@ -16,87 +16,87 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkPeers.Numbered;
 
-/** What is made of an agent that leaves a question for chunks without an answer. */
+/** How an agent is treated that leaves a request for chunks without a response. */
 class PeerChunksTest {
 
-    /** Each question without an answer costs a test this once; a busy machine answers within it. */
-    private static final Duration WITHIN = Duration.ofSeconds(3);
+    /** Every request without a response delays a test by this time; a busy machine responds within it. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
-    /** So long that a busy machine is never taken for a silent one. */
-    private static final Duration LONG = Duration.ofSeconds(30);
+    /** So long that a busy machine is never considered unresponsive. */
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
 
-    private static final Duration SHORT = Duration.ofMillis(200);
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
 
     private HttpListener agent;
     private SilentRelay relay;
-    private HttpCaller caller;
-    private volatile boolean givesChunks = true;
-    private volatile boolean givesDigests = true;
+    private HttpCaller client;
+    private volatile boolean sendsChunks = true;
+    private volatile boolean sendsDigests = true;
 
     @BeforeEach
     void start() throws Exception {
         String address = Ports.freeAddress();
-        agent = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::answer);
+        agent = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::respond);
         relay = SilentRelay.to(address);
-        caller = HttpCaller.start("test", 1);
+        client = HttpCaller.start("test", 1);
     }
 
     @AfterEach
     void stop() throws Exception {
-        caller.close();
+        client.close();
         relay.close();
         agent.close();
     }
 
-    private void answer(HttpServerExchange exchange) {
+    private void respond(HttpServerExchange exchange) {
         boolean chunk = exchange.getRequestPath().startsWith(PeerChunks.CHUNKS);
-        if (chunk && givesChunks) {
+        if (chunk && sendsChunks) {
             exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), 3);
             exchange.getResponseSender().send("a chunk");
-        } else if (!chunk && givesDigests) {
+        } else if (!chunk && sendsDigests) {
             exchange.getResponseSender().send("[]");
         } else {
             exchange.dispatch(() -> {});
         }
     }
 
-    private Result<Numbered> ask(PeerChunks peers) {
+    private Result<Numbered> request(PeerChunks peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
         return peers.anyOf(relay.address(), "m", 2, wanted);
     }
 
-    private static Optional<Integer> given(Result<Numbered> answer) {
-        return answer.toOptional().map(Numbered::index);
+    private static Optional<Integer> index(Result<Numbered> response) {
+        return response.toOptional().map(Numbered::index);
     }
 
-    private static Reason reason(Result<Numbered> answer) {
-        return answer.cause().orElseThrow().reason();
+    private static Reason reason(Result<Numbered> response) {
+        return response.cause().orElseThrow().reason();
     }
 
     @Test
-    void shouldAskAgentOnWhenOnlyItsConnectionFellSilent() {
-        PeerChunks peers = new PeerChunks(caller, WITHIN, LONG);
-        assertEquals(Optional.of(3), given(ask(peers)));
+    void shouldKeepUsingAgentWhenOnlyItsConnectionWasUnresponsive() {
+        PeerChunks peers = new PeerChunks(client, TIMEOUT, LONG_TIMEOUT);
+        assertEquals(Optional.of(3), index(request(peers)));
         relay.silence();
-        assertEquals(Reason.NOT_READY, reason(ask(peers)), "it answers on a new connection, so it is not passed over");
-        assertEquals(Optional.of(3), given(ask(peers)));
+        assertEquals(Reason.NOT_READY, reason(request(peers)), "it responds on a new connection, so it is not skipped");
+        assertEquals(Optional.of(3), index(request(peers)));
         relay.silence();
-        assertEquals(Reason.NOT_READY, reason(ask(peers)), "it has given a chunk since");
+        assertEquals(Reason.NOT_READY, reason(request(peers)), "it has sent a chunk since then");
     }
 
     @Test
-    void shouldCallAgentSilentWhenItDoesNotAnswerOnNewConnectionEither() {
-        givesChunks = false;
-        givesDigests = false;
-        assertEquals(Reason.TIMEOUT, reason(ask(new PeerChunks(caller, SHORT, SHORT))));
+    void shouldReportTimeoutWhenAgentDoesNotRespondOnNewConnectionEither() {
+        sendsChunks = false;
+        sendsDigests = false;
+        assertEquals(Reason.TIMEOUT, reason(request(new PeerChunks(client, SHORT_TIMEOUT, SHORT_TIMEOUT))));
     }
 
     @Test
-    void shouldCallAgentSilentWhenItLeavesNextQuestionWithoutAnswerToo() {
-        givesChunks = false;
-        PeerChunks peers = new PeerChunks(caller, SHORT, LONG);
-        assertEquals(Reason.NOT_READY, reason(ask(peers)));
-        assertEquals(Reason.TIMEOUT, reason(ask(peers)));
+    void shouldReportTimeoutWhenAgentDoesNotRespondToNextRequestEither() {
+        sendsChunks = false;
+        PeerChunks peers = new PeerChunks(client, SHORT_TIMEOUT, LONG_TIMEOUT);
+        assertEquals(Reason.NOT_READY, reason(request(peers)));
+        assertEquals(Reason.TIMEOUT, reason(request(peers)));
     }
 }
--- a/src/test/java/org/micabarrow/transport/TlsTest.java
+++ b/src/test/java/org/micabarrow/transport/TlsTest.java
@@ -28,16 +28,18 @@
 import org.micabarrow.transport.grpc.PeerChannels;
 import org.micabarrow.transport.grpc.PeerClient;
 
-/** Processes talk only to those that show a certificate of the authorities, and take new files without a restart. */
+/**
+ * Processes accept only peers with a certificate of the configured authorities, and load new files without a restart.
+ */
 class TlsTest {
 
     @TempDir
     private Path directory;
 
     @BeforeEach
-    void makeCertificates() throws Exception {
+    void createCertificates() throws Exception {
         for (String name : List.of("one", "other", "stranger")) {
-            make(name);
+            createCertificate(name);
         }
         Files.writeString(authorities(), Files.readString(pem("one", "crt")) + Files.readString(pem("other", "crt")));
     }
@@ -50,7 +52,7 @@
         return directory.resolve(name + "." + kind);
     }
 
-    private void make(String name) throws Exception {
+    private void createCertificate(String name) throws Exception {
         Path store = directory.resolve(name + ".p12");
         String keytool =
                 Path.of(System.getProperty("java.home"), "bin", "keytool").toString();
@@ -104,7 +106,7 @@
         });
     }
 
-    private static Result<StatusReply> ask(PeerChannels channels, String address) {
+    private static Result<StatusReply> queryStatus(PeerChannels channels, String address) {
         try (PeerClient client =
                 new PeerClient("test", InstantSource.system(), channels::connect, List::of, new MetricRegistry())) {
             return client.status(address, 0).join();
@@ -112,32 +114,32 @@
     }
 
     @Test
-    void shouldTalkOnlyToHoldersOfKnownCertificates() throws IOException {
+    void shouldAcceptOnlyPeersWithTrustedCertificates() throws IOException {
         String address = Ports.freeAddress();
         try (PeerChannels one = new PeerChannels(new MetricRegistry(), files("one"));
                 PeerChannels other = new PeerChannels(new MetricRegistry(), files("other"));
                 PeerChannels stranger = new PeerChannels(new MetricRegistry(), files("stranger"));
                 PeerChannels plain = new PeerChannels(new MetricRegistry(), Optional.empty())) {
             Server server = serve(one, address);
-            assertEquals("one", ask(other, address).toOptional().orElseThrow().getInstance());
-            assertTrue(ask(stranger, address).cause().isPresent());
-            assertTrue(ask(plain, address).cause().isPresent());
+            assertEquals("one", queryStatus(other, address).toOptional().orElseThrow().getInstance());
+            assertTrue(queryStatus(stranger, address).cause().isPresent());
+            assertTrue(queryStatus(plain, address).cause().isPresent());
             server.shutdownNow();
         }
     }
 
     @Test
-    void shouldTakeNewCertificateWithoutRestart() throws IOException {
+    void shouldLoadNewCertificateWithoutRestart() throws IOException {
         String address = Ports.freeAddress();
         try (PeerChannels one = new PeerChannels(new MetricRegistry(), files("one"));
                 PeerChannels stranger = new PeerChannels(new MetricRegistry(), files("stranger"))) {
             Server server = serve(one, address);
-            assertTrue(ask(stranger, address).cause().isPresent());
+            assertTrue(queryStatus(stranger, address).cause().isPresent());
             Files.copy(pem("other", "key"), pem("stranger", "key"), StandardCopyOption.REPLACE_EXISTING);
             Files.copy(pem("other", "crt"), pem("stranger", "crt"), StandardCopyOption.REPLACE_EXISTING);
             Await.until(
                     "the new certificate",
-                    () -> ask(stranger, address).toOptional().isPresent());
+                    () -> queryStatus(stranger, address).toOptional().isPresent());
             server.shutdownNow();
         }
     }
--- a/src/test/java/org/micabarrow/transport/WaitingCaller.java
+++ b/src/test/java/org/micabarrow/transport/WaitingClientProcess.java
@@ -6,18 +6,18 @@
 import java.util.Optional;
 import org.micabarrow.state.Fault;
 
-/** A process that sends one request and waits for its answer until it is killed. */
-final class WaitingCaller {
+/** A process that sends one request and waits for its response until it is killed. */
+final class WaitingClientProcess {
 
     /** The body that it sends. */
     static final String BODY = "a body";
 
-    private WaitingCaller() {}
+    private WaitingClientProcess() {}
 
     /**
-     * Sends and waits.
+     * Sends the request and waits.
      *
-     * @param arguments the port on loopback
+     * @param arguments the server's port on the loopback address
      * @throws InterruptedException if interrupted
      */
     public static void main(String[] arguments) throws InterruptedException {
