--- a/src/main/java/org/micabarrow/transport/AnswerLimits.java
+++ b/src/main/java/org/micabarrow/transport/AnswerLimits.java
@@ -24,11 +24,11 @@
     /**
      * Creates timeouts for small responses, for which only the total time matters.
      *
-     * @param within how long the complete response may take
+     * @param timeout how long the complete response may take
      * @return the timeouts
      */
-    public static AnswerLimits total(Duration within) {
-        return new AnswerLimits(within, within, within);
+    public static AnswerLimits total(Duration timeout) {
+        return new AnswerLimits(timeout, timeout, timeout);
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -172,6 +172,6 @@
 
     private void sendChunk(HttpServerExchange exchange, int index, byte[] bytes) {
         exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), index);
-        PacedBody.send(exchange, bytes, uplink.book(bytes.length));
+        PacedBody.send(exchange, bytes, uplink.reserve(bytes.length));
     }
 }
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpCaller.java
@@ -181,11 +181,11 @@
      * Sends a request and waits for the complete response.
      *
      * @param call the request
-     * @param within the timeout for the complete response
+     * @param timeout the timeout for the complete response
      * @return the response, whatever its status
      */
-    public Result<HttpAnswer> call(HttpCall call, Duration within) {
-        return call(call, AnswerLimits.total(within));
+    public Result<HttpAnswer> call(HttpCall call, Duration timeout) {
+        return call(call, AnswerLimits.total(timeout));
     }
 
     /**
@@ -221,8 +221,8 @@
      */
     record PendingCall(HttpCall call, ResponseCollector collector, Runnable cancel, Runnable closeIdle) {
 
-        Result<HttpAnswer> await(Duration within) {
-            return await(AnswerLimits.total(within));
+        Result<HttpAnswer> await(Duration timeout) {
+            return await(AnswerLimits.total(timeout));
         }
 
         Result<HttpAnswer> await(AnswerLimits timeouts) {
--- a/src/main/java/org/micabarrow/transport/LinkPacer.java
+++ b/src/main/java/org/micabarrow/transport/LinkPacer.java
@@ -42,7 +42,7 @@
      * @param bytes the number of bytes
      */
     public void take(int bytes) {
-        long untilNanos = book(bytes).untilNanos();
+        long untilNanos = reserve(bytes).untilNanos();
         for (long remaining = untilNanos - System.nanoTime(); remaining > 0; remaining = untilNanos - System.nanoTime()) {
             LockSupport.parkNanos(remaining);
             if (Thread.currentThread().isInterrupted()) {
@@ -75,7 +75,7 @@
      * @param bytes the number of bytes
      * @return the time span in which they may be transferred
      */
-    public synchronized Reservation book(int bytes) {
+    public synchronized Reservation reserve(int bytes) {
         long earliest = System.nanoTime() - (long) (BURST_SECONDS * NANOS_PER_SECOND);
         long fromNanos = Math.max(freeAtNanos, earliest);
         long nanos = (long) (bytes * NANOS_PER_SECOND / (bytesPerSecond * fraction.getAsDouble()));
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -261,7 +261,7 @@
 
     /**
      * What this entry knows of the rate limit of the endpoint at a host. If the endpoint has two starts, the most
-     * recent information counts.
+     * recent information is used.
      */
     private Optional<LimitWord> rateLimit(List<EndpointStart> endpoints) {
         long now = parts.monotonicMillis().getAsLong();
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -292,7 +292,7 @@
             int number = datagram.getInt();
             int requests = datagram.getInt();
             int othersPromptTokens = datagram.getInt();
-            int places = datagram.getInt();
+            int slots = datagram.getInt();
             long version = datagram.getLong();
             byte state = datagram.get();
             OptionalInt start = readFlag(datagram) ? OptionalInt.of(datagram.getInt()) : OptionalInt.empty();
@@ -301,7 +301,7 @@
                     othersPromptTokens,
                     (state & LOADING) != 0,
                     version,
-                    places,
+                    slots,
                     start,
                     (state & DRAINING) != 0);
             Optional<ReaderUpdate> reader = readFlag(datagram) ? Optional.of(readReader(datagram)) : Optional.empty();
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -82,14 +82,14 @@
      * @param peer the peer's host and port
      * @param topic the topic
      * @param from the offset
-     * @param within the timeout for the complete response
+     * @param timeout the timeout for the complete response
      * @return the records, valid as of the time of sending the request minus the age of the peer's knowledge
      */
-    public Result<Batch> ask(String peer, Topic topic, long from, Duration within) {
+    public Result<Batch> ask(String peer, Topic topic, long from, Duration timeout) {
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sentMillis = monotonicMillis.getAsLong();
-        return client.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, within))
+        return client.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, timeout))
                 .flatMap(response -> response.status() == OK
                         ? parse(peer, response.body(), sentMillis)
                         : Result.failure(
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -41,8 +41,8 @@
         Thread writer = Thread.ofPlatform().daemon().start(this::applyRecords);
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
-            PeerRecords peers = new PeerRecords(caller);
+                HttpCaller client = HttpCaller.start("test", 1)) {
+            PeerRecords peers = new PeerRecords(client);
             for (int i = 0; i < REQUESTS; i++) {
                 Batch batch = peers.ask(address, Topic.OPERATOR, 0).toOptional().orElseThrow();
                 long lastOffset = batch.records().stream()
@@ -84,8 +84,8 @@
         String address = Ports.freeAddress();
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
-            return new PeerRecords(caller, clientClock::get)
+                HttpCaller client = HttpCaller.start("test", 1)) {
+            return new PeerRecords(client, clientClock::get)
                     .ask(address, topic, 0)
                     .toOptional()
                     .orElseThrow();
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -38,8 +38,8 @@
 
     @ParameterizedTest
     @CsvSource({"false, false", "false, true", "true, false", "true, true"})
-    void shouldReadStateOfEndpointWhenWritten(boolean loading, boolean leaving) throws IOException {
-        LoadReport report = new LoadReport(3, 8, loading, 7, 5, OptionalInt.of(9), leaving);
+    void shouldReadStateOfEndpointWhenWritten(boolean loading, boolean draining) throws IOException {
+        LoadReport report = new LoadReport(3, 8, loading, 7, 5, OptionalInt.of(9), draining);
         assertEquals(
                 report,
                 LoadMessages.readReply(bytes(LoadMessages.write(new Reply(17, report))))
@@ -63,8 +63,8 @@
     @ParameterizedTest
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
     void shouldReadRateLimitWhenWritten(double perSecond) throws IOException {
-        OptionalDouble rateLimit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(LimitWord.token("a"), rateLimit, 1_200));
+        OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
+        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(LimitWord.token("a"), limit, 1_200));
         Query query = new Query("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
         assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -40,7 +40,7 @@
         server = Undertow.builder()
                 .addHttpListener(address.getPort(), address.getHostString())
                 .setHandler(exchange -> exchange.dispatch(
-                        SameThreadExecutor.INSTANCE, () -> PacedBody.send(exchange, chunk, pacer.book(chunk.length))))
+                        SameThreadExecutor.INSTANCE, () -> PacedBody.send(exchange, chunk, pacer.reserve(chunk.length))))
                 .build();
         server.start();
     }
@@ -76,8 +76,8 @@
     @Test
     void shouldReserveLinkForOneChunkAfterTheOther() {
         LinkPacer slow = new LinkPacer(CHUNK_BYTES / 10.0, () -> 1);
-        LinkPacer.Reservation first = slow.book(CHUNK_BYTES);
-        LinkPacer.Reservation second = slow.book(CHUNK_BYTES);
+        LinkPacer.Reservation first = slow.reserve(CHUNK_BYTES);
+        LinkPacer.Reservation second = slow.reserve(CHUNK_BYTES);
         assertEquals(first.untilNanos(), second.fromNanos());
         assertEquals(first.nanos(), second.nanos());
     }
