--- a/src/main/java/org/micabarrow/transport/AnswerLimits.java
+++ b/src/main/java/org/micabarrow/transport/AnswerLimits.java
@@ -39,7 +39,8 @@
      * @return the deadline, on the same clock
      */
     long deadlineNanos(long startNanos, long lastPartNanos) {
-        long nextDeadline = lastPartNanos == startNanos ? startNanos + firstPart.toNanos() : lastPartNanos + nextPart.toNanos();
+        long nextDeadline =
+                lastPartNanos == startNanos ? startNanos + firstPart.toNanos() : lastPartNanos + nextPart.toNanos();
         long totalDeadline = startNanos + total.toNanos();
         return nextDeadline - totalDeadline < 0 ? nextDeadline : totalDeadline;
     }
--- a/src/main/java/org/micabarrow/transport/ConnectionPool.java
+++ b/src/main/java/org/micabarrow/transport/ConnectionPool.java
@@ -55,7 +55,9 @@
             return Optional.empty();
         }
         long earliestIdleSince = monotonicMillis.getAsLong() - MAX_IDLE_MILLIS;
-        for (IdleConnection candidate = connections.pollFirst(); candidate != null; candidate = connections.pollFirst()) {
+        for (IdleConnection candidate = connections.pollFirst();
+                candidate != null;
+                candidate = connections.pollFirst()) {
             if (candidate.idleSinceMillis() < earliestIdleSince) {
                 candidate.close();
             } else if (candidate.connection().isOpen()) {
@@ -81,7 +83,9 @@
         if (connections == null) {
             return;
         }
-        for (IdleConnection candidate = connections.pollFirst(); candidate != null; candidate = connections.pollFirst()) {
+        for (IdleConnection candidate = connections.pollFirst();
+                candidate != null;
+                candidate = connections.pollFirst()) {
             candidate.close();
         }
     }
--- a/src/main/java/org/micabarrow/transport/EntryQueries.java
+++ b/src/main/java/org/micabarrow/transport/EntryQueries.java
@@ -120,13 +120,18 @@
      * timestamp. Without a timestamp the age is unknown, and the result is empty.
      */
     private static Optional<StoreReader> reader(Optional<String> peer, Query query, long nowMillis) {
-        boolean ageKnown = query.replyTimestamp().isPresent() && query.replyTimestamp().getAsLong() <= nowMillis;
-        if (!ageKnown || query.storeUpdate().isEmpty() || !query.storeUpdate().get().direct()) {
+        boolean ageKnown =
+                query.replyTimestamp().isPresent() && query.replyTimestamp().getAsLong() <= nowMillis;
+        if (!ageKnown
+                || query.storeUpdate().isEmpty()
+                || !query.storeUpdate().get().direct()) {
             return Optional.empty();
         }
         StoreNews update = query.storeUpdate().get();
         return Optional.of(new StoreReader(
-                peer.orElseThrow(), update.changes().operator(), query.replyTimestamp().getAsLong() - update.knownMillisAgo()));
+                peer.orElseThrow(),
+                update.changes().operator(),
+                query.replyTimestamp().getAsLong() - update.knownMillisAgo()));
     }
 
     /**
@@ -166,7 +171,8 @@
             }
             if (receiver.query().sameRegion() && isValidReader(other, nowMillis)) {
                 StoreReader reader = other.reader().orElseThrow();
-                firstReader = firstReader == null || reader.peer().compareTo(firstReader.peer()) < 0 ? reader : firstReader;
+                firstReader =
+                        firstReader == null || reader.peer().compareTo(firstReader.peer()) < 0 ? reader : firstReader;
             }
         }
         return new OtherEntries(
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -83,7 +83,11 @@
      * @param monotonicMillis the clock of the views, in milliseconds
      */
     HostedPeerServer(
-            ViewKeeper views, ChunkSets chunkSets, MetricRegistry registry, LinkPacer uplink, LongSupplier monotonicMillis) {
+            ViewKeeper views,
+            ChunkSets chunkSets,
+            MetricRegistry registry,
+            LinkPacer uplink,
+            LongSupplier monotonicMillis) {
         this.views = Objects.requireNonNull(views, "views is null");
         this.chunkSets = Objects.requireNonNull(chunkSets, "chunkSets is null");
         this.registry = Objects.requireNonNull(registry, "registry is null");
@@ -100,7 +104,8 @@
             } else if (path.startsWith(PeerChunks.CHUNKS)) {
                 handleChunk(exchange, path.substring(PeerChunks.CHUNKS.length()).split("/"));
             } else if (path.startsWith(PeerChunks.DIGESTS)) {
-                handleDigests(exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
+                handleDigests(
+                        exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
             } else if (path.equals("/metrics")) {
                 send(exchange, Metrics.snapshot(registry));
             } else {
@@ -162,11 +167,18 @@
         Optional<ChunkSet> set = chunkSets.find(request.model(), request.version());
         OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().give(request.indexes());
         if (index.isPresent()) {
-            sendChunk(exchange, index.getAsInt(), set.get().chunk(index.getAsInt()).orElseThrow());
+            sendChunk(
+                    exchange,
+                    index.getAsInt(),
+                    set.get().chunk(index.getAsInt()).orElseThrow());
         } else if (System.nanoTime() - deadlineNanos > 0) {
             fail(exchange, set.isPresent() ? PeerChunks.FETCHING : NOT_FOUND);
         } else {
-            exchange.getIoThread().executeAfter(() -> sendWhenAvailable(exchange, request, deadlineNanos), POLL_MILLIS, TimeUnit.MILLISECONDS);
+            exchange.getIoThread()
+                    .executeAfter(
+                            () -> sendWhenAvailable(exchange, request, deadlineNanos),
+                            POLL_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpCaller.java
@@ -208,7 +208,8 @@
     PendingCall callAsync(HttpCall call) {
         ResponseCollector collector = new ResponseCollector();
         Runnable cancel = send(call, collector);
-        return new PendingCall(call, collector, cancel, () -> shared.connections().closeIdle(call.authority()));
+        return new PendingCall(
+                call, collector, cancel, () -> shared.connections().closeIdle(call.authority()));
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/LinkPacer.java
+++ b/src/main/java/org/micabarrow/transport/LinkPacer.java
@@ -43,7 +43,9 @@
      */
     public void take(int bytes) {
         long untilNanos = reserve(bytes).untilNanos();
-        for (long remaining = untilNanos - System.nanoTime(); remaining > 0; remaining = untilNanos - System.nanoTime()) {
+        for (long remaining = untilNanos - System.nanoTime();
+                remaining > 0;
+                remaining = untilNanos - System.nanoTime()) {
             LockSupport.parkNanos(remaining);
             if (Thread.currentThread().isInterrupted()) {
                 return;
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -169,7 +169,8 @@
             if (sameRegion || roundNumber % OTHER_REGION_ROUNDS == 0) {
                 // Agents of other regions get store updates from entries of their own region, since traffic between
                 // regions is paid for.
-                StoreStatus storeStatus = new StoreStatus(sameRegion, lastTimestamp(timestamps, host), sameRegion ? storeUpdate : Optional.empty());
+                StoreStatus storeStatus = new StoreStatus(
+                        sameRegion, lastTimestamp(timestamps, host), sameRegion ? storeUpdate : Optional.empty());
                 sendQuery(host, endpointsByHost.get(host), storeStatus);
             }
         });
@@ -224,7 +225,8 @@
         String host = endpoint.instanceHost();
         boolean sameRegion = isSameRegion(endpoint);
         OptionalLong replyTimestamp = lastTimestamp(replyTimestamps, host);
-        StoreStatus storeStatus = new StoreStatus(sameRegion, replyTimestamp, sameRegion ? parts.storeUpdate().get() : Optional.empty());
+        StoreStatus storeStatus = new StoreStatus(
+                sameRegion, replyTimestamp, sameRegion ? parts.storeUpdate().get() : Optional.empty());
         int number = sendQuery(host, endpointsByHost.getOrDefault(host, List.of(endpoint.start())), storeStatus);
         queries.await(number, callback);
     }
@@ -241,7 +243,8 @@
                 .filter(load -> !load.startedAgain())
                 .mapToInt(EndpointLoad::ownPromptTokens)
                 .sum();
-        int unmetRequests = parts.choice().unmet().lately(parts.monotonicMillis().getAsLong());
+        int unmetRequests =
+                parts.choice().unmet().lately(parts.monotonicMillis().getAsLong());
         ByteBuffer query = LoadMessages.write(new LoadMessages.Query(
                 parts.place().id(),
                 ownPromptTokens,
@@ -334,7 +337,9 @@
         reply.reader()
                 .ifPresent(reader -> parts.onReader()
                         .accept(new StoreNews.Heard(
-                                reader.peer(), reader.operatorOffset(), sentMillis.getAsLong() - reader.knownMillisAgo())));
+                                reader.peer(),
+                                reader.operatorOffset(),
+                                sentMillis.getAsLong() - reader.knownMillisAgo())));
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -127,7 +127,13 @@
         }
 
         /** Creates a query of an entry that has received no reply yet. */
-        Query(String entry, int promptTokens, int number, int unmetRequests, boolean sameRegion, Optional<StoreNews> storeUpdate) {
+        Query(
+                String entry,
+                int promptTokens,
+                int number,
+                int unmetRequests,
+                boolean sameRegion,
+                Optional<StoreNews> storeUpdate) {
             this(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, OptionalLong.empty());
         }
 
@@ -168,7 +174,8 @@
             Optional<LimitWord> rateLimit = RateLimitCodec.readLimit(datagram);
             String entry = readText(datagram);
             OptionalLong replyTimestamp = hasTimestamp ? OptionalLong.of(timestampMillis) : OptionalLong.empty();
-            return new Query(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, replyTimestamp, rateLimit);
+            return new Query(
+                    entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, replyTimestamp, rateLimit);
         });
     }
 
@@ -272,7 +279,7 @@
         report.start().ifPresent(datagram::putInt);
         datagram.put(toByte(reply.reader().isPresent()));
         reply.reader().ifPresent(reader -> {
-            datagram.putLong(reader.operator());
+            datagram.putLong(reader.operatorOffset());
             datagram.putLong(reader.knownMillisAgo());
             datagram.putInt(peer.length);
             datagram.put(peer);
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -67,7 +67,8 @@
         Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
         Objects.requireNonNull(onStoreUpdate, "onStoreUpdate is null");
         DatagramChannel channel = DatagramChannel.open().bind(Addresses.parse(address));
-        LoadServer server = new LoadServer(channel, address, endpoint, monotonicMillis, onStoreUpdate, maxStoreAgeMillis);
+        LoadServer server =
+                new LoadServer(channel, address, endpoint, monotonicMillis, onStoreUpdate, maxStoreAgeMillis);
         Thread.ofPlatform().name("load-server").daemon().start(server::serve);
         return server;
     }
@@ -107,7 +108,10 @@
             EntryQuery entryQuery =
                     entries.add(received.from(), LoadMessages.readQuery(received.bytes()), monotonicMillis.getAsLong());
             entryQuery.query().rateLimit().ifPresent(rateLimit -> limitRelay.told(rateLimit, entryQuery.atMillis()));
-            entryQuery.query().storeUpdate().ifPresent(update -> onStoreUpdate.accept(entryQuery.peer().orElseThrow(), update));
+            entryQuery
+                    .query()
+                    .storeUpdate()
+                    .ifPresent(update -> onStoreUpdate.accept(entryQuery.peer().orElseThrow(), update));
             sendReply(entryQuery);
         } catch (IOException e) {
             LOG.warn("event=load_question_lost why=\"{}\"", e.toString());
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunks.java
@@ -77,7 +77,8 @@
         return client.call(call, responseTimeout).flatMap(response -> switch (response.status()) {
             case OK -> Result.success(response);
             case FETCHING -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_READY, "it is still fetching"));
-            default -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_FOUND, "it returned status " + response.status()));
+            default ->
+                Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_FOUND, "it returned status " + response.status()));
         });
     }
 
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -92,8 +92,8 @@
         return client.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, timeout))
                 .flatMap(response -> response.status() == OK
                         ? parse(peer, response.body(), sentMillis)
-                        : Result.failure(
-                                Fault.of(Step.READ, peer, Reason.NOT_READY, "it returned status " + response.status())));
+                        : Result.failure(Fault.of(
+                                Step.READ, peer, Reason.NOT_READY, "it returned status " + response.status())));
     }
 
     private static Result<Batch> parse(String peer, byte[] body, long sentMillis) {
--- a/src/main/java/org/micabarrow/transport/PlatformClient.java
+++ b/src/main/java/org/micabarrow/transport/PlatformClient.java
@@ -91,8 +91,8 @@
         try {
             return Result.success(CanonicalJson.read(response.body(), type));
         } catch (IOException e) {
-            return Result.failure(
-                    Fault.of(call.step(), call.peer(), Reason.CORRUPT, "the response cannot be read: " + e.getMessage()));
+            return Result.failure(Fault.of(
+                    call.step(), call.peer(), Reason.CORRUPT, "the response cannot be read: " + e.getMessage()));
         }
     }
 }
--- a/src/main/java/org/micabarrow/transport/TlsFiles.java
+++ b/src/main/java/org/micabarrow/transport/TlsFiles.java
@@ -84,7 +84,10 @@
         try {
             loadIfChanged();
         } catch (GeneralSecurityException | IOException e) {
-            LOG.warn("certificates of {} cannot be reloaded, the previous ones stay in use: {}", files.certificate(), e.getMessage());
+            LOG.warn(
+                    "certificates of {} cannot be reloaded, the previous ones stay in use: {}",
+                    files.certificate(),
+                    e.getMessage());
         }
     }
 
@@ -102,7 +105,8 @@
                 CertificateUtils.getX509Certificates(new ByteArrayInputStream(certificate)),
                 CertificateUtils.getPrivateKey(new ByteArrayInputStream(key)));
         if (files.authorities().isPresent()) {
-            trustManager.updateTrustCredentials(CertificateUtils.getX509Certificates(new ByteArrayInputStream(authorities)));
+            trustManager.updateTrustCredentials(
+                    CertificateUtils.getX509Certificates(new ByteArrayInputStream(authorities)));
         }
         loadedDigest = digest;
         LOG.info("certificates read from {}", files.certificate());
--- a/src/main/java/org/micabarrow/transport/WeightsClient.java
+++ b/src/main/java/org/micabarrow/transport/WeightsClient.java
@@ -161,7 +161,8 @@
             Result<byte[]> chunk = await(timeouts.silence());
             chunk.toOptional()
                     .filter(data -> data.length > 0)
-                    .ifPresent(data -> concurrency = (int) Math.clamp(maxBytesInTransit / data.length, MIN_CONCURRENT, MAX_CONCURRENT));
+                    .ifPresent(data -> concurrency =
+                            (int) Math.clamp(maxBytesInTransit / data.length, MIN_CONCURRENT, MAX_CONCURRENT));
             return chunk;
         }
 
@@ -171,7 +172,10 @@
                     .flatMap(response -> response.status() == OK
                             ? Result.success(response.body())
                             : Result.failure(Fault.of(
-                                    Step.FETCH, base, Reason.UNREACHABLE, "a request for a chunk returned status " + response.status())));
+                                    Step.FETCH,
+                                    base,
+                                    Reason.UNREACHABLE,
+                                    "a request for a chunk returned status " + response.status())));
         }
 
         @Override
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -49,7 +49,8 @@
                         .mapToLong(StoredRecord::offset)
                         .max()
                         .orElse(-1);
-                assertTrue(lastOffset >= batch.end() - 1, "records up to " + lastOffset + " with the end " + batch.end());
+                assertTrue(
+                        lastOffset >= batch.end() - 1, "records up to " + lastOffset + " with the end " + batch.end());
             }
         } finally {
             stopped.set(true);
--- a/src/test/java/org/micabarrow/transport/HttpCallerTest.java
+++ b/src/test/java/org/micabarrow/transport/HttpCallerTest.java
@@ -160,16 +160,22 @@
         try (SilentRelay relay = SilentRelay.to(address);
                 HttpCaller client = HttpCaller.start("test", 1)) {
             HttpCall call = HttpCall.get(Fault.Step.READ, URI.create("http://" + relay.address() + "/x"));
-            List<HttpCaller.PendingCall> calls =
-                    Stream.generate(() -> client.callAsync(call)).limit(IDLE_CONNECTIONS).toList();
-            calls.forEach(
-                    one -> assertTrue(one.await(HANG_TIMEOUT).toOptional().isPresent(), "each gets a response on its own connection"));
+            List<HttpCaller.PendingCall> calls = Stream.generate(() -> client.callAsync(call))
+                    .limit(IDLE_CONNECTIONS)
+                    .toList();
+            calls.forEach(one -> assertTrue(
+                    one.await(HANG_TIMEOUT).toOptional().isPresent(), "each gets a response on its own connection"));
             assertEquals(IDLE_CONNECTIONS, relay.accepted());
             relay.silence();
             assertEquals(
                     Fault.Reason.TIMEOUT,
-                    client.call(call, UNRESPONSIVE_TIMEOUT).cause().orElseThrow().reason());
-            assertTrue(client.call(call, HANG_TIMEOUT).toOptional().isPresent(), "the other idle connections may be unresponsive too");
+                    client.call(call, UNRESPONSIVE_TIMEOUT)
+                            .cause()
+                            .orElseThrow()
+                            .reason());
+            assertTrue(
+                    client.call(call, HANG_TIMEOUT).toOptional().isPresent(),
+                    "the other idle connections may be unresponsive too");
             assertEquals(IDLE_CONNECTIONS + 1, relay.accepted());
         } finally {
             server.close();
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -211,7 +211,8 @@
     }
 
     /** Answers all queries with the same report until the listed start satisfies a condition. */
-    private void replyUntil(EndpointChoice choice, LoadReport report, Predicate<EndpointLoad> condition) throws Exception {
+    private void replyUntil(EndpointChoice choice, LoadReport report, Predicate<EndpointLoad> condition)
+            throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         boolean satisfied = false;
         while (!satisfied) {
@@ -230,11 +231,13 @@
         View both = twoAtOneHost();
         // The poller that all tests share lists no endpoint, which removes all endpoints from its own choice.
         EndpointChoice ownChoice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-        feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice).start(() -> {});
+        feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice)
+                .start(() -> {});
         replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
         replyUntil(ownChoice, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
         CompletableFuture<Long> version = new CompletableFuture<>();
-        worker.getIoThread().execute(() -> version.complete(ownChoice.load(LISTED).version()));
+        worker.getIoThread()
+                .execute(() -> version.complete(ownChoice.load(LISTED).version()));
         assertEquals(2L, version.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -21,10 +21,10 @@
 import org.micabarrow.limits.EntryRank;
 import org.micabarrow.limits.LimitWord;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.LoadMessages.Reply;
 import org.micabarrow.transport.LoadMessages.Query;
 import org.micabarrow.transport.LoadMessages.ReaderUpdate;
 import org.micabarrow.transport.LoadMessages.Received;
+import org.micabarrow.transport.LoadMessages.Reply;
 import org.micabarrow.views.LastChanges;
 import org.micabarrow.views.ManifestPlace;
 
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -50,7 +50,8 @@
         try (DatagramSocket entry = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             entry.setSoTimeout(HANG_MILLIS);
             InetSocketAddress agent = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-            LoadServer.start("127.0.0.1:" + agent.getPort(), endpoint, () -> 0, (peer, update) -> {}, MAX_STORE_AGE_MILLIS);
+            LoadServer.start(
+                    "127.0.0.1:" + agent.getPort(), endpoint, () -> 0, (peer, update) -> {}, MAX_STORE_AGE_MILLIS);
             sendQuery(entry, agent, 1);
             sendQuery(entry, agent, 2);
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
@@ -96,9 +97,16 @@
         }
 
         private ByteBuffer query(long knownMillisAgo) {
-            StoreNews storeUpdate = new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
+            StoreNews storeUpdate =
+                    new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
             return LoadMessages.write(new LoadMessages.Query(
-                    name, 0, 0, 0, sameRegion, sameRegion ? Optional.of(storeUpdate) : Optional.empty(), replyTimestamp.get()));
+                    name,
+                    0,
+                    0,
+                    0,
+                    sameRegion,
+                    sameRegion ? Optional.of(storeUpdate) : Optional.empty(),
+                    replyTimestamp.get()));
         }
 
         private Optional<ReaderUpdate> send(ByteBuffer query, InetSocketAddress agent) throws IOException {
@@ -118,7 +126,11 @@
     private InetSocketAddress agent() throws IOException {
         InetSocketAddress agent = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
         LoadServer.start(
-                "127.0.0.1:" + agent.getPort(), () -> Optional.of(IDLE), now::get, (peer, storeUpdate) -> {}, MAX_STORE_AGE_MILLIS);
+                "127.0.0.1:" + agent.getPort(),
+                () -> Optional.of(IDLE),
+                now::get,
+                (peer, storeUpdate) -> {},
+                MAX_STORE_AGE_MILLIS);
         return agent;
     }
 
@@ -193,8 +205,8 @@
 
     // -- rate limits
 
-    private static LoadMessages.Reply exchange(
-            DatagramSocket entry, InetSocketAddress agent, LoadMessages.Query query) throws IOException {
+    private static LoadMessages.Reply exchange(DatagramSocket entry, InetSocketAddress agent, LoadMessages.Query query)
+            throws IOException {
         ByteBuffer datagram = LoadMessages.write(query);
         entry.send(new DatagramPacket(datagram.array(), datagram.limit(), agent));
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -40,7 +40,8 @@
         server = Undertow.builder()
                 .addHttpListener(address.getPort(), address.getHostString())
                 .setHandler(exchange -> exchange.dispatch(
-                        SameThreadExecutor.INSTANCE, () -> PacedBody.send(exchange, chunk, pacer.reserve(chunk.length))))
+                        SameThreadExecutor.INSTANCE,
+                        () -> PacedBody.send(exchange, chunk, pacer.reserve(chunk.length))))
                 .build();
         server.start();
     }
--- a/src/test/java/org/micabarrow/transport/TlsTest.java
+++ b/src/test/java/org/micabarrow/transport/TlsTest.java
@@ -121,7 +121,9 @@
                 PeerChannels stranger = new PeerChannels(new MetricRegistry(), files("stranger"));
                 PeerChannels plain = new PeerChannels(new MetricRegistry(), Optional.empty())) {
             Server server = serve(one, address);
-            assertEquals("one", queryStatus(other, address).toOptional().orElseThrow().getInstance());
+            assertEquals(
+                    "one",
+                    queryStatus(other, address).toOptional().orElseThrow().getInstance());
             assertTrue(queryStatus(stranger, address).cause().isPresent());
             assertTrue(queryStatus(plain, address).cause().isPresent());
             server.shutdownNow();
