--- a/src/main/java/org/micabarrow/platform/StoreClient.java
+++ b/src/main/java/org/micabarrow/platform/StoreClient.java
@@ -15,7 +15,7 @@
 import java.util.OptionalLong;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
@@ -65,7 +65,7 @@
      * @param within how long the store may be silent beyond the wait that was asked for
      */
     public StoreClient(HttpCaller caller, String address, Duration within) {
-        this(caller, address, within, SteadyClock::millis);
+        this(caller, address, within, MonotonicClock::millis);
     }
 
     /**
--- a/src/main/java/org/micabarrow/process/Node.java
+++ b/src/main/java/org/micabarrow/process/Node.java
@@ -26,7 +26,7 @@
 import org.micabarrow.protocol.wire.StatusReply;
 import org.micabarrow.settings.Common;
 import org.micabarrow.state.Instance;
-import org.micabarrow.steps.OwnedThread;
+import org.micabarrow.steps.StoppableThread;
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.PlatformClient;
 import org.micabarrow.transport.TlsFiles;
@@ -60,7 +60,7 @@
     private final PeerClient peers;
     private final RecordWriter writer;
     private final long listMillis;
-    private final OwnedThread list = new OwnedThread("instance-list", this::pollList);
+    private final StoppableThread list = new StoppableThread("instance-list", this::pollList);
     private ConfigurationReader reader;
 
     Node(Common.Place place, Common.Platform services, Common.Security security, long listMillis) throws IOException {
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.views.View;
@@ -71,7 +71,7 @@
      */
     public record Parts(
             Supplier<View> view,
-            EndpointChoice choice,
+            EndpointSelector choice,
             HttpCaller caller,
             EndpointProtocol protocol,
             RequestReader reader,
@@ -110,7 +110,7 @@
          * @param endpoint the endpoint
          * @param then learns on the same thread, once, whether the agent answered in time
          */
-        void ask(EndpointEntry endpoint, Consumer<Boolean> then);
+        void ask(EndpointRegistration endpoint, Consumer<Boolean> then);
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -14,10 +14,10 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -42,7 +42,7 @@
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
 
-    private final ViewKeeper views;
+    private final ViewMaintainer views;
     private final ChunkSets chunkSets;
     private final MetricRegistry registry;
     private final LinkPacer uplink;
@@ -69,8 +69,8 @@
      * @param registry the metrics
      * @param uplink limits chunks to the bandwidth that the instance's link can spare
      */
-    public HostedPeerServer(ViewKeeper views, ChunkSets chunkSets, MetricRegistry registry, LinkPacer uplink) {
-        this(views, chunkSets, registry, uplink, SteadyClock::millis);
+    public HostedPeerServer(ViewMaintainer views, ChunkSets chunkSets, MetricRegistry registry, LinkPacer uplink) {
+        this(views, chunkSets, registry, uplink, MonotonicClock::millis);
     }
 
     /**
@@ -83,7 +83,7 @@
      * @param monotonicMillis the clock of the views, in milliseconds
      */
     HostedPeerServer(
-            ViewKeeper views,
+            ViewMaintainer views,
             ChunkSets chunkSets,
             MetricRegistry registry,
             LinkPacer uplink,
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpCaller.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.LongAdder;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Result;
@@ -53,7 +53,7 @@
         this.ownsWorker = ownsWorker;
         this.shared = new HttpExchange.Shared(
                 new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, BUFFERS_PER_THREAD),
-                new ConnectionPool(maxIdle, SteadyClock::millis),
+                new ConnectionPool(maxIdle, MonotonicClock::millis),
                 new LongAdder(),
                 new LongAdder());
     }
--- a/src/main/java/org/micabarrow/transport/ListenerProbe.java
+++ b/src/main/java/org/micabarrow/transport/ListenerProbe.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.micabarrow.crashes.PortProbe;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> callback) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> callback) {
         PendingProbe probe = new PendingProbe(callback);
         XnioIoThread thread = worker.getIoThread();
         thread.executeAfter(() -> probe.complete(false), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -17,13 +17,13 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.micabarrow.limits.LimitWord;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.limits.RateLimitUpdate;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -55,7 +55,7 @@
      */
     private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
 
-    private final Map<EndpointStart, EndpointEntry> polled = new HashMap<>();
+    private final Map<EndpointStart, EndpointRegistration> polled = new HashMap<>();
 
     /** The timestamp of the last reply from each host. */
     private final Map<String, Long> replyTimestamps = new ConcurrentHashMap<>();
@@ -87,7 +87,7 @@
             Map<String, String> regions,
             int peerPort,
             Supplier<View> view,
-            EndpointChoice choice,
+            EndpointSelector choice,
             XnioIoThread traffic,
             LongSupplier monotonicMillis,
             Supplier<Optional<StoreNews>> storeUpdate,
@@ -149,14 +149,14 @@
     // -- queries, on the traffic thread
 
     private void pollAndReschedule(Runnable afterRound) {
-        Steps.guarded("load-feed", () -> poll(afterRound));
+        RepeatedTasks.guarded("load-feed", () -> poll(afterRound));
         parts.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void poll(Runnable afterRound) {
         boolean onTime = pauseDetector.onTime(parts.monotonicMillis().getAsLong());
         View view = parts.view().get();
-        Map<String, List<EndpointEntry>> hosts = polledByHost(view);
+        Map<String, List<EndpointRegistration>> hosts = polledByHost(view);
         // Set before the queries are sent, since a reply may arrive immediately.
         endpointsByHost = startsOf(hosts);
         replyTimestamps.keySet().retainAll(hosts.keySet());
@@ -187,31 +187,31 @@
      * The endpoints to query: those that are listed for models, and those that are no longer listed but have requests
      * in flight, since an endpoint that is not queried would seem unresponsive.
      */
-    private Map<String, List<EndpointEntry>> polledByHost(View view) {
+    private Map<String, List<EndpointRegistration>> polledByHost(View view) {
         polled.keySet().removeIf(start -> !parts.choice().awaits(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> polled.put(endpoint.start(), endpoint));
-        return polled.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
+        return polled.values().stream().collect(Collectors.groupingBy(EndpointRegistration::instanceHost));
     }
 
-    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointEntry>> hosts) {
+    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointRegistration>> hosts) {
         return hosts.entrySet().stream()
                 .collect(Collectors.toUnmodifiableMap(
                         Map.Entry::getKey,
                         host -> host.getValue().stream()
-                                .map(EndpointEntry::start)
+                                .map(EndpointRegistration::start)
                                 .toList()));
     }
 
-    private static boolean isModel(View view, EndpointEntry endpoint) {
+    private static boolean isModel(View view, EndpointRegistration endpoint) {
         return view.manifest()
                 .flatMap(manifest -> manifest.service(endpoint.service()))
                 .filter(service -> service.model().isPresent())
                 .isPresent();
     }
 
-    private boolean isSameRegion(EndpointEntry endpoint) {
+    private boolean isSameRegion(EndpointRegistration endpoint) {
         return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
     }
 
@@ -221,7 +221,7 @@
      * @param endpoint the endpoint
      * @param callback called on the same thread, once, with whether the agent replied in time
      */
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> callback) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> callback) {
         String host = endpoint.instanceHost();
         boolean sameRegion = isSameRegion(endpoint);
         OptionalLong replyTimestamp = lastTimestamp(replyTimestamps, host);
@@ -266,12 +266,12 @@
      * What this entry knows of the rate limit of the endpoint at a host. If the endpoint has two starts, the most
      * recent information is used.
      */
-    private Optional<LimitWord> rateLimit(List<EndpointStart> endpoints) {
+    private Optional<RateLimitUpdate> rateLimit(List<EndpointStart> endpoints) {
         long now = parts.monotonicMillis().getAsLong();
         return endpoints.stream()
                 .map(start -> parts.choice().load(start).limit().word(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(LimitWord::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
     }
 
     /** What a query says of the store, with the timestamp of the reply that precedes it. */
@@ -287,7 +287,7 @@
 
     private void receive() {
         while (channel.isOpen()) {
-            Steps.guarded("load-feed", this::receiveOne);
+            RepeatedTasks.guarded("load-feed", this::receiveOne);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -11,10 +11,10 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 /**
  * The datagrams by which entries query agents for the load of their endpoints. A lost datagram is made up for by the
@@ -112,7 +112,7 @@
             boolean sameRegion,
             Optional<StoreNews> storeUpdate,
             OptionalLong replyTimestamp,
-            Optional<LimitWord> rateLimit) {
+            Optional<RateLimitUpdate> rateLimit) {
 
         /** Creates a query of an entry that knows of no rate limit. */
         Query(
@@ -171,7 +171,7 @@
             boolean hasTimestamp = readFlag(datagram);
             long timestampMillis = datagram.getLong();
             Optional<StoreNews> storeUpdate = readFlag(datagram) ? Optional.of(readUpdate(datagram)) : Optional.empty();
-            Optional<LimitWord> rateLimit = RateLimitCodec.readLimit(datagram);
+            Optional<RateLimitUpdate> rateLimit = RateLimitCodec.readLimit(datagram);
             String entry = readText(datagram);
             OptionalLong replyTimestamp = hasTimestamp ? OptionalLong.of(timestampMillis) : OptionalLong.empty();
             return new Query(
@@ -205,11 +205,11 @@
 
     private static StoreNews readUpdate(ByteBuffer datagram) {
         int port = datagram.getInt();
-        LastChanges changes = new LastChanges(datagram.getLong(), datagram.getLong(), datagram.getLong());
+        ChangeOffsets changes = new ChangeOffsets(datagram.getLong(), datagram.getLong(), datagram.getLong());
         long knownMillisAgo = readAge(datagram);
         boolean direct = readFlag(datagram);
-        Optional<ManifestPlace> manifest = readFlag(datagram)
-                ? Optional.of(new ManifestPlace(datagram.getLong(), datagram.getLong()))
+        Optional<ManifestPosition> manifest = readFlag(datagram)
+                ? Optional.of(new ManifestPosition(datagram.getLong(), datagram.getLong()))
                 : Optional.empty();
         return new StoreNews(port, changes, manifest, knownMillisAgo, direct);
     }
@@ -249,7 +249,7 @@
             Optional<ReaderUpdate> reader,
             long timestampMillis,
             Optional<EntryRank> rank,
-            Optional<LimitWord> rateLimit) {
+            Optional<RateLimitUpdate> rateLimit) {
 
         /** Creates a reply of an agent that knows neither ranks nor rate limits. */
         Reply(int number, LoadReport report, Optional<ReaderUpdate> reader, long timestampMillis) {
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -8,10 +8,10 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.limits.LimitRelay;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.transport.EntryQueries.EntryQuery;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,8 +26,8 @@
     private final LongSupplier monotonicMillis;
     private final BiConsumer<String, StoreNews> onStoreUpdate;
     private final EntryQueries entries;
-    private final LimitRelay limitRelay = new LimitRelay();
-    private final PlaceShares slotShares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
+    private final RateLimitRelay limitRelay = new RateLimitRelay();
+    private final SlotAllotment slotShares = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
@@ -78,7 +78,7 @@
      *
      * @return the relay, which can also be given what the endpoint itself reports
      */
-    public LimitRelay limits() {
+    public RateLimitRelay limits() {
         return limitRelay;
     }
 
@@ -98,7 +98,7 @@
 
     private void serve() {
         while (channel.isOpen()) {
-            Steps.guarded("load-server", this::serveOne);
+            RepeatedTasks.guarded("load-server", this::serveOne);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -11,13 +11,13 @@
 import java.util.Objects;
 import java.util.OptionalLong;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.views.LeavingBound;
+import org.micabarrow.views.DrainTimeBudget;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
@@ -50,7 +50,7 @@
      * @param client sends its requests
      */
     public PeerRecords(HttpCaller client) {
-        this(client, SteadyClock::millis);
+        this(client, MonotonicClock::millis);
     }
 
     /**
@@ -89,7 +89,7 @@
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sentMillis = monotonicMillis.getAsLong();
-        return client.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, timeout))
+        return client.call(call, new AnswerLimits(DrainTimeBudget.PEER_ANSWER, DrainTimeBudget.PEER_ANSWER, timeout))
                 .flatMap(response -> response.status() == OK
                         ? parse(peer, response.body(), sentMillis)
                         : Result.failure(Fault.of(
--- a/src/main/java/org/micabarrow/transport/RateLimitCodec.java
+++ b/src/main/java/org/micabarrow/transport/RateLimitCodec.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 
 /**
  * Encodes the ranks and rate limits in the datagrams between entries and agents. Each value is preceded by a byte that
@@ -41,11 +41,11 @@
 
     // -- limits
 
-    static int limitSize(Optional<LimitWord> limit) {
+    static int limitSize(Optional<RateLimitUpdate> limit) {
         return 1 + (limit.isPresent() ? LIMIT_BYTES : 0);
     }
 
-    static void writeLimit(ByteBuffer datagram, Optional<LimitWord> limit) {
+    static void writeLimit(ByteBuffer datagram, Optional<RateLimitUpdate> limit) {
         datagram.put(limit.isPresent() ? PRESENT : ABSENT);
         limit.ifPresent(report -> {
             datagram.putInt(report.endpoint());
@@ -55,7 +55,7 @@
         });
     }
 
-    static Optional<LimitWord> readLimit(ByteBuffer datagram) {
+    static Optional<RateLimitUpdate> readLimit(ByteBuffer datagram) {
         if (datagram.get() == ABSENT) {
             return Optional.empty();
         }
@@ -63,6 +63,6 @@
         boolean hasLimit = datagram.get() != ABSENT;
         double perSecond = datagram.getDouble();
         OptionalDouble limit = hasLimit ? OptionalDouble.of(perSecond) : OptionalDouble.empty();
-        return Optional.of(new LimitWord(endpoint, limit, datagram.getInt()));
+        return Optional.of(new RateLimitUpdate(endpoint, limit, datagram.getInt()));
     }
 }
--- a/src/main/java/org/micabarrow/transport/StoreNews.java
+++ b/src/main/java/org/micabarrow/transport/StoreNews.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 import java.util.Optional;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 /**
  * What an entry that has contact with the store reports to agents of its region, so that they need not poll the store
@@ -16,7 +16,7 @@
  * @param direct whether it reads the store itself, so that other entries may rely on it
  */
 public record StoreNews(
-        int port, LastChanges changes, Optional<ManifestPlace> manifest, long knownMillisAgo, boolean direct) {
+        int port, ChangeOffsets changes, Optional<ManifestPosition> manifest, long knownMillisAgo, boolean direct) {
 
     /** Checks that no component is null. */
     public StoreNews {
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * From whom an agent asks each chunk of a version. All agents work the same out without a word: one agent of all fetches
@@ -40,7 +40,7 @@
          * @param regions the region of each data hall
          * @return the agents, each once
          */
-        public static List<Agent> beside(List<EndpointEntry> endpoints, int port, Map<String, String> regions) {
+        public static List<Agent> beside(List<EndpointRegistration> endpoints, int port, Map<String, String> regions) {
             return endpoints.stream()
                     .filter(endpoint -> !endpoint.leaving())
                     .map(endpoint -> new Agent(
--- a/src/test/java/org/micabarrow/platform/SilentStoreTest.java
+++ b/src/test/java/org/micabarrow/platform/SilentStoreTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** What is believed of a store whose open connections fall silent for good, while new ones work. */
 class SilentStoreTest {
@@ -30,7 +30,7 @@
     private static final Duration WITHIN = Duration.ofSeconds(3);
 
     private final HostedStoreStandin store = new HostedStoreStandin();
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
     private final List<Topic> asked = new ArrayList<>();
     private HttpListener listener;
     private SilentRelay relay;
--- a/src/test/java/org/micabarrow/serving/RoomLineTest.java
+++ b/src/test/java/org/micabarrow/serving/RoomLineTest.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.WaitQueue.Waiter;
 import org.micabarrow.transport.HttpCaller;
 import org.xnio.XnioWorker;
 
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -31,14 +31,14 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.process.HostedEntryProcess;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.Ignoring;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /** What an entry that stops has read is answered, and what it does not answer it does not read. */
@@ -225,11 +225,11 @@
     /** What a client reads that sends some requests at once, while the entry begins to stop before it answers the first. */
     private String answersWhenStopBegins(int requests) throws IOException {
         XnioWorker worker = HttpCaller.worker("stopping-entry", 1);
-        ViewKeeper views = new ViewKeeper(new StoreRecords(), StoppingEntryTest::steadyMillis);
+        ViewMaintainer views = new ViewMaintainer(new StoreRecords(), StoppingEntryTest::steadyMillis);
         Answering protocol = new Answering();
         ServingHandler handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
-                new EndpointChoice("region-a", Map.of("hall-a", "region-a")),
+                new EndpointSelector("region-a", Map.of("hall-a", "region-a")),
                 HttpCaller.on(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
@@ -23,7 +23,7 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
@@ -33,7 +33,7 @@
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.VersionKeys;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /** What an entry calls wrong by a manifest of which it knows how old it is, or does not. */
@@ -51,7 +51,7 @@
     private static final long LATE = 6;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), clock::get);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clock::get);
     private final String clients = Ports.freeAddress();
     private XnioWorker worker;
     private HttpCaller caller;
@@ -67,7 +67,7 @@
                 worker,
                 ServingHandler.of(new ServingHandler.Parts(
                         views::view,
-                        new EndpointChoice("region-a", Map.of()),
+                        new EndpointSelector("region-a", Map.of()),
                         HttpCaller.on(worker, 0),
                         new EndpointHeaders(),
                         new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** Which records of the store processes serve to each other while they read new ones, and the age that they state. */
 class HostedPeerServerTest {
@@ -29,7 +29,7 @@
      */
     private static final int REQUESTS = 200;
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 0);
     private final AtomicBoolean stopped = new AtomicBoolean();
 
     /** A client continues from the end offset, so a record before it that the response lacks would never be read. */
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.Common;
 import org.micabarrow.views.View;
@@ -46,9 +46,9 @@
     /** The same for the timeout of a socket, in milliseconds. */
     private static final int HANG_MILLIS = 10_000;
 
-    private final EndpointChoice choice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-    private final EndpointEntry endpoint =
-            EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
+    private final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+    private final EndpointRegistration endpoint =
+            EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
     private final List<StoreNews.Heard> readers = new CopyOnWriteArrayList<>();
     private DatagramSocket agent;
     private XnioWorker worker;
@@ -62,11 +62,11 @@
         feed.start(() -> {});
     }
 
-    private LoadFeed feed(View view, EndpointChoice choice) throws IOException {
+    private LoadFeed feed(View view, EndpointSelector choice) throws IOException {
         return feed(() -> view, choice);
     }
 
-    private LoadFeed feed(Supplier<View> view, EndpointChoice choice) throws IOException {
+    private LoadFeed feed(Supplier<View> view, EndpointSelector choice) throws IOException {
         return LoadFeed.open(new LoadFeed.Parts(
                 new Common.Place("entry-a", "region-a", "hall-a"),
                 "127.0.0.1:8000",
@@ -94,11 +94,11 @@
 
     /** A view with two endpoints at one host, which occurs for a while after a restart. */
     private View twoAtOneHost() {
-        ModelService model = new ModelService("m", 16, 1, 1, 1, 1, 4, 8, 1_000);
+        ModelProfile model = new ModelProfile("m", 16, 1, 1, 1, 1, 4, 8, 1_000);
         RouteManifest.Service service = new RouteManifest.Service("models", 100, Optional.of(model), Optional.empty());
         RouteManifest manifest =
                 RouteManifest.of(new RouteManifest.Parts(1, List.of(), Map.of("models", service), Map.of(), false, 1));
-        EndpointEntry other = EndpointEntry.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other = EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
         return new View(Optional.of(manifest), 0, Map.of("a", endpoint, "b", other), Map.of());
     }
 
@@ -143,7 +143,7 @@
 
     @Test
     void shouldSendPromptTokensOfAllEndpointsAtHostWhenOneIsQueried() throws Exception {
-        EndpointChoice choiceOfTwo = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector choiceOfTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         choiceOfTwo.load("a").began(100);
         choiceOfTwo.load("b").began(20);
         LoadFeed feedOfTwo = feed(twoAtOneHost(), choiceOfTwo);
@@ -159,7 +159,7 @@
     void shouldKeepPollingWhenUnlistedEndpointHasRequestsInFlight() throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
-        EndpointChoice waiting = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector waiting = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         waiting.load("a").began(100);
         feed(view::get, waiting).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
@@ -211,7 +211,7 @@
     }
 
     /** Answers all queries with the same report until the listed start satisfies a condition. */
-    private void replyUntil(EndpointChoice choice, LoadReport report, Predicate<EndpointLoad> condition)
+    private void replyUntil(EndpointSelector choice, LoadReport report, Predicate<EndpointLoad> condition)
             throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         boolean satisfied = false;
@@ -226,11 +226,11 @@
     @Test
     @Timeout(MAX_SECONDS)
     void shouldIgnoreReportOfAnotherStart() throws Exception {
-        EndpointEntry listed = EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
+        EndpointRegistration listed = EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
                 .withStart(LISTED.startedMillis());
         View both = twoAtOneHost();
         // The poller that all tests share lists no endpoint, which removes all endpoints from its own choice.
-        EndpointChoice ownChoice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector ownChoice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice)
                 .start(() -> {});
         replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.Query;
 import org.micabarrow.transport.LoadMessages.ReaderUpdate;
 import org.micabarrow.transport.LoadMessages.Received;
 import org.micabarrow.transport.LoadMessages.Reply;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 class LoadMessagesTest {
 
@@ -55,7 +55,7 @@
     @Test
     void shouldReadStoreUpdateWhenQueryContainsIt() throws IOException {
         StoreNews storeUpdate = new StoreNews(
-                8_000, new LastChanges(17, 1L << 40, 16), Optional.of(new ManifestPlace(7, 16)), 30, true);
+                8_000, new ChangeOffsets(17, 1L << 40, 16), Optional.of(new ManifestPosition(7, 16)), 30, true);
         Query query = new Query("entry-a", 1_200, 17, 30, true, Optional.of(storeUpdate), OptionalLong.of(1L << 40));
         assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
     }
@@ -64,7 +64,7 @@
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
     void shouldReadRateLimitWhenWritten(double perSecond) throws IOException {
         OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(LimitWord.token("a"), limit, 1_200));
+        Optional<RateLimitUpdate> rateLimit = Optional.of(new RateLimitUpdate(RateLimitUpdate.token("a"), limit, 1_200));
         Query query = new Query("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
         assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
@@ -76,9 +76,9 @@
     @Test
     void shouldRejectDatagramsThatAreTruncatedOrTooLong() {
         StoreNews storeUpdate =
-                new StoreNews(8_000, new LastChanges(17, 18), Optional.of(new ManifestPlace(7, 16)), 30, false);
+                new StoreNews(8_000, new ChangeOffsets(17, 18), Optional.of(new ManifestPosition(7, 16)), 30, false);
         ReaderUpdate reader = new ReaderUpdate("10.0.0.1:8000", 17, 40);
-        Optional<LimitWord> rateLimit = Optional.of(new LimitWord(1, OptionalDouble.of(2), 3));
+        Optional<RateLimitUpdate> rateLimit = Optional.of(new RateLimitUpdate(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
         LoadReport report = new LoadReport(3, 8, true, 7, 5, OptionalInt.of(9));
         byte[] query = bytes(LoadMessages.write(
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -20,10 +20,10 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.ReaderUpdate;
-import org.micabarrow.views.LastChanges;
+import org.micabarrow.views.ChangeOffsets;
 
 /** The replies that an agent sends to entries, over real sockets. */
 class LoadServerTest {
@@ -98,7 +98,7 @@
 
         private ByteBuffer query(long knownMillisAgo) {
             StoreNews storeUpdate =
-                    new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
+                    new StoreNews(port, new ChangeOffsets(17, 0), Optional.empty(), knownMillisAgo, direct);
             return LoadMessages.write(new LoadMessages.Query(
                     name,
                     0,
@@ -214,7 +214,7 @@
         return LoadMessages.readReply(Arrays.copyOf(packet.getData(), packet.getLength()));
     }
 
-    private static LoadMessages.Query query(String entry, Optional<LimitWord> rateLimit) {
+    private static LoadMessages.Query query(String entry, Optional<RateLimitUpdate> rateLimit) {
         return new LoadMessages.Query(entry, 0, 0, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
     }
 
@@ -226,10 +226,10 @@
             assertEquals(
                     Optional.empty(),
                     exchange(entry, agent, query("a", Optional.empty())).rateLimit());
-            LimitWord rateLimit = new LimitWord(LimitWord.token("endpoint"), OptionalDouble.of(2), 100);
+            RateLimitUpdate rateLimit = new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
             exchange(entry, agent, query("b", Optional.of(rateLimit)));
             now.addAndGet(50);
-            LimitWord older = new LimitWord(rateLimit.endpoint(), rateLimit.perSecond(), 150);
+            RateLimitUpdate older = new RateLimitUpdate(rateLimit.endpoint(), rateLimit.perSecond(), 150);
             assertEquals(
                     Optional.of(older),
                     exchange(entry, agent, query("a", Optional.empty())).rateLimit());
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Digest;
 import org.micabarrow.weights.ChunkSources.Agent;
 
@@ -217,9 +217,9 @@
 
     @Test
     void shouldNotCountOnAgentWhoseEndpointLeaves() {
-        EndpointEntry stays = EndpointEntry.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
-        EndpointEntry leaves = EndpointEntry.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
-        EndpointEntry again = EndpointEntry.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
+        EndpointRegistration stays = EndpointRegistration.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
+        EndpointRegistration leaves = EndpointRegistration.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
+        EndpointRegistration again = EndpointRegistration.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
         assertEquals(
                 List.of(new Agent("10.0.0.1:7000", "region-a")),
                 Agent.beside(List.of(stays, leaves, again), 7_000, Map.of("hall-a", "region-a")));
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/KeeperFixture.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /** A keeper with an endpoint, an origin and a clock of its own, without other agents. */
@@ -24,16 +24,16 @@
     final AtomicLong now = new AtomicLong(1_000_000);
     final FakeEndpoint endpoint = new FakeEndpoint();
     final FakeOrigin origin = new FakeOrigin(now);
-    final ViewKeeper views = new ViewKeeper(new EndpointsOnly(), now::get);
+    final ViewMaintainer views = new ViewMaintainer(new EndpointsOnly(), now::get);
     volatile int pacedBytes;
     int toldClosing;
-    volatile ReplicaKeeper.Place place = new ReplicaKeeper.Place(0, 3);
-    final ReplicaKeeper keeper = newKeeper();
+    volatile ReplicaController.Place place = new ReplicaController.Place(0, 3);
+    final ReplicaController keeper = newKeeper();
     private final List<Thread> fetching = new ArrayList<>();
 
     /** A keeper that knows nothing of what one before it has done. */
-    final ReplicaKeeper newKeeper() {
-        return new ReplicaKeeper(new ReplicaKeeper.Parts(
+    final ReplicaController newKeeper() {
+        return new ReplicaController(new ReplicaController.Parts(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
                 endpoint,
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
-            return Result.success(EndpointEntry.of(
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+            return Result.success(EndpointRegistration.of(
                     record.key(), "s", "10.0.0.1:80", "h", 1, false, Map.of("m", record.offset()), record.value()[0]));
         }
     }
--- a/src/test/java/org/micabarrow/weights/OverlapPlay.java
+++ b/src/test/java/org/micabarrow/weights/OverlapPlay.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
 import org.micabarrow.views.StoredRecord;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
@@ -84,7 +84,7 @@
     private final Policy policy;
     private final Random random;
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new NoRecords(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new NoRecords(), now::get);
     private final List<Member> members = new ArrayList<>();
     private final Map<Long, BitSet> left = Map.of(2L, new BitSet(), 3L, new BitSet());
     private double originCredit;
@@ -115,7 +115,7 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
             return none();
         }
     }
@@ -171,7 +171,7 @@
         VersionFetches fetches;
         Optional<FetchProgress> progress = Optional.empty();
         boolean onOlder;
-        private ReplicaKeeper keeper;
+        private ReplicaController keeper;
         private double down;
         private double up;
         private long busyUntil;
@@ -189,13 +189,13 @@
         }
 
         private void startAgent() {
-            keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+            keeper = new ReplicaController(new ReplicaController.Parts(
                     () -> Optional.of("m"),
                     () -> FakeEndpoint.LAYERS,
                     endpoint,
                     fetcher(true),
                     views::view,
-                    () -> new ReplicaKeeper.Place(place, day.agents()),
+                    () -> new ReplicaController.Place(place, day.agents()),
                     () -> {},
                     BOUND,
                     now::get));
