--- a/src/main/java/org/micabarrow/admission/SlotWait.java
+++ b/src/main/java/org/micabarrow/admission/SlotWait.java
@@ -3,93 +3,93 @@
 import java.util.Objects;
 import java.util.Optional;
 import org.micabarrow.admission.AdmissionControl.Decision;
-import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
 import org.micabarrow.admission.WaitQueue.Waiter;
 
 /**
- * A request's wait for room: it begins when a decision says so, and ends when another decision sends or refuses the request,
- * when its time runs out, or when the request ends for another reason. Used by one thread.
+ * The wait of a request for a free slot. It ends when a later decision sends or refuses the request, when its time
+ * expires, or when the request ends for another reason. Not thread-safe: confined to one thread.
  */
 public final class SlotWait implements Waiter {
 
-    private final Line line;
+    private final Queue queue;
     private final Request request;
-    private Optional<Place> place = Optional.empty();
-    private String why = "";
+    private Optional<QueuedRequest> queued = Optional.empty();
+    private String attemptReason = "";
 
-    /** The line in which the request waits. */
-    public interface Line {
+    /** The queue in which the request waits. */
+    public interface Queue {
 
         /**
-         * Adds the request.
+         * Adds the request to the queue.
          *
-         * @param rank its rank, 0 first
-         * @param latestStartMillis the last moment at which sending it could still bring an answer in time
-         * @param waiter learns when there may be room
-         * @return its place
+         * @param priority its priority, 0 is the most urgent
+         * @param latestStartMillis the last time at which sending it could still meet its objective
+         * @param waiter notified when there may be a free slot
+         * @return the queued request
          */
-        Place join(int rank, long latestStartMillis, Waiter waiter);
+        QueuedRequest enqueue(int priority, long latestStartMillis, Waiter waiter);
 
         /**
-         * Takes the request out.
+         * Removes the request from the queue.
          *
-         * @param place its place
+         * @param queued the queued request
          */
-        void leave(Place place);
+        void remove(QueuedRequest queued);
     }
 
     /** The request that waits. */
     public interface Request {
 
         /**
-         * Decides anew.
+         * Decides again whether the request is sent, waits or is refused.
          *
-         * @return what happens to the request now
+         * @return the new decision
          */
         Decision decide();
 
         /**
-         * The wait is over, since a decision no longer says to wait.
+         * Called when the wait ends because a decision no longer says to wait.
          *
          * @param decision the decision
-         * @param why why the request was to be sent when it began to wait
+         * @param reason the reason for sending the request, as given when the wait began
          */
-        void decided(Decision decision, String why);
+        void decided(Decision decision, String reason);
 
-        /** The wait is over, since the request cannot be in time any more. */
-        void outOfTime();
+        /** Called when the wait ends because the request can no longer meet its objective. */
+        void expired();
     }
 
     /**
-     * A wait that has not begun.
+     * Creates a wait that has not begun.
      *
-     * @param line where to wait
-     * @param request who waits
+     * @param queue the queue to wait in
+     * @param request the request that waits
      */
-    public SlotWait(Line line, Request request) {
-        this.line = Objects.requireNonNull(line, "line is null");
+    public SlotWait(Queue queue, Request request) {
+        this.queue = Objects.requireNonNull(queue, "queue is null");
         this.request = Objects.requireNonNull(request, "request is null");
     }
 
     /**
      * Begins to wait.
      *
-     * @param rank the request's rank, 0 first
-     * @param latestStartMillis the last moment at which sending it could still bring an answer in time
-     * @param reason why it is to be sent
+     * @param priority the request's priority, 0 is the most urgent
+     * @param latestStartMillis the last time at which sending it could still meet its objective
+     * @param reason the reason for sending it
      */
-    public void begin(int rank, long latestStartMillis, String reason) {
-        why = reason;
-        place = Optional.of(line.join(rank, latestStartMillis, this));
+    public void begin(int priority, long latestStartMillis, String reason) {
+        attemptReason = reason;
+        queued = Optional.of(queue.enqueue(priority, latestStartMillis, this));
     }
 
     /**
-     * Whether the request waits.
+     * Returns whether the request is waiting.
      *
      * @return true from the beginning of a wait to its end
      */
-    public boolean waits() {
-        return place.isPresent();
+    public boolean isWaiting() {
+        return queued.isPresent();
     }
 
     @Override
@@ -98,20 +98,20 @@
         if (decision instanceof Decision.Wait) {
             return false;
         }
-        place = Optional.empty();
-        request.decided(decision, why);
+        queued = Optional.empty();
+        request.decided(decision, attemptReason);
         return true;
     }
 
     @Override
-    public void tooLate() {
-        place = Optional.empty();
-        request.outOfTime();
+    public void expired() {
+        queued = Optional.empty();
+        request.expired();
     }
 
     /** Ends the wait, if there is one, because the request has ended. */
     public void end() {
-        place.ifPresent(line::leave);
-        place = Optional.empty();
+        queued.ifPresent(queue::remove);
+        queued = Optional.empty();
     }
 }
--- a/src/main/java/org/micabarrow/crashes/CrashRegistry.java
+++ b/src/main/java/org/micabarrow/crashes/CrashRegistry.java
@@ -14,144 +14,149 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The crashes of endpoints that a process knows of, and what follows from them for requests. A request that was answered is
- * cleared of what was known until then, since one that ends endpoints never has an answer. Safe for any number of threads.
+ * The endpoint crashes that a process knows of, and the poison requests inferred from them. A request that was answered
+ * is cleared of all crashes known by then, since a poison request never gets a response. Thread-safe.
  */
 public final class CrashRegistry {
 
     private static final Logger LOG = LoggerFactory.getLogger(CrashRegistry.class);
 
-    /** The most requests of one crash that are remembered: more than an endpoint runs and has waiting. */
-    private static final int MOST_ABOARD = 256;
+    /** Maximum number of requests remembered per crash: more than an endpoint runs and queues. */
+    private static final int MAX_REQUESTS_PER_CRASH = 256;
 
     private final long memoryMillis;
-    private final int most;
-    private final IntSupplier endpoints;
+    private final int maxCrashes;
+    private final IntSupplier endpointCount;
 
-    /** The crashes in the order in which they were learned of. */
-    private final Map<String, Known> crashes = new LinkedHashMap<>();
+    /** The crashes in the order in which they became known. */
+    private final Map<String, KnownCrash> crashes = new LinkedHashMap<>();
 
-    /** At which crashes each request was without a part of an answer. */
-    private final Map<RequestDigest, Set<String>> unbegun = new HashMap<>();
+    /** For each request, the crashes at which no part of its response had arrived. */
+    private final Map<RequestDigest, Set<String>> unanswered = new HashMap<>();
 
-    /** At which crashes each request was at all. */
-    private final Map<RequestDigest, Set<String>> present = new HashMap<>();
+    /** For each request, all crashes at which it was in flight. */
+    private final Map<RequestDigest, Set<String>> involved = new HashMap<>();
 
-    private Map<RequestDigest, Set<String>> culprits = Map.of();
+    private Map<RequestDigest, Set<String>> poisonRequests = Map.of();
 
-    /** The quick parts of all requests that were at a crash. */
-    private volatile Set<Integer> quick = Set.of();
+    /** The quick digests of all requests that were in flight at a crash. */
+    private volatile Set<Integer> quickDigests = Set.of();
 
-    private record Known(Set<RequestDigest> present, Set<RequestDigest> cleared, long atMillis) {
+    private record KnownCrash(Set<RequestDigest> involved, Set<RequestDigest> cleared, long atMillis) {
 
-        private boolean takes(RequestDigest request) {
-            return present.size() + cleared.size() < MOST_ABOARD && !cleared.contains(request);
+        private boolean accepts(RequestDigest request) {
+            return involved.size() + cleared.size() < MAX_REQUESTS_PER_CRASH && !cleared.contains(request);
         }
 
         private void clear(RequestDigest request) {
-            present.remove(request);
+            involved.remove(request);
             cleared.add(request);
         }
     }
 
     /**
-     * Begins with no crash.
+     * Creates a registry without crashes.
      *
-     * @param memoryMillis for how long a crash is remembered, and a culprit refused after its last, in milliseconds
-     * @param most how many crashes are remembered at the most; the oldest go first
-     * @param endpoints how many endpoints there are
+     * @param memoryMillis the time for which a crash is remembered, and a poison request is refused after its last
+     *     crash, in milliseconds
+     * @param maxCrashes the maximum number of crashes remembered; the oldest are dropped first
+     * @param endpointCount the number of endpoints
      */
-    public CrashRegistry(long memoryMillis, int most, IntSupplier endpoints) {
+    public CrashRegistry(long memoryMillis, int maxCrashes, IntSupplier endpointCount) {
         this.memoryMillis = memoryMillis;
-        this.most = most;
-        this.endpoints = Objects.requireNonNull(endpoints, "endpoints is null");
+        this.maxCrashes = maxCrashes;
+        this.endpointCount = Objects.requireNonNull(endpointCount, "endpointCount is null");
     }
 
-    // -- what happens
+    // -- events
 
     /**
-     * An endpoint crashed, or more is known of a crash.
+     * Records a crash of an endpoint, or further requests involved in a known crash.
      *
      * @param crash the crash
-     * @param atMillis when it was, on the steady clock
+     * @param atMillis the time of the crash on the monotonic clock
      */
     public synchronized void crashed(EndpointCrash crash, long atMillis) {
         Objects.requireNonNull(crash, "crash is null");
-        Known known = crashes.computeIfAbsent(
-                crash.endpoint(), endpoint -> new Known(new HashSet<>(), new HashSet<>(), atMillis));
-        for (RequestDigest request : crash.aboard()) {
-            if (was(known, request, crash.endpoint())) {
-                add(unbegun, request, crash.endpoint());
+        KnownCrash known = crashes.computeIfAbsent(
+                crash.endpoint(), endpoint -> new KnownCrash(new HashSet<>(), new HashSet<>(), atMillis));
+        for (RequestDigest request : crash.unanswered()) {
+            if (addInvolved(known, request, crash.endpoint())) {
+                add(unanswered, request, crash.endpoint());
             }
         }
-        crash.begun().forEach(request -> was(known, request, crash.endpoint()));
-        if (crashes.size() > most) {
+        crash.partlyAnswered().forEach(request -> addInvolved(known, request, crash.endpoint()));
+        if (crashes.size() > maxCrashes) {
             forget(crashes.keySet().iterator().next());
         }
-        findCulprits();
+        detectPoisonRequests();
     }
 
-    private boolean was(Known known, RequestDigest request, String endpoint) {
-        return known.takes(request) && known.present().add(request) && add(present, request, endpoint);
+    private boolean addInvolved(KnownCrash known, RequestDigest request, String endpoint) {
+        return known.accepts(request) && known.involved().add(request) && add(involved, request, endpoint);
     }
 
-    private static boolean add(Map<RequestDigest, Set<String>> of, RequestDigest request, String endpoint) {
-        return of.computeIfAbsent(request, key -> new HashSet<>()).add(endpoint);
+    private static boolean add(
+            Map<RequestDigest, Set<String>> crashesByRequest, RequestDigest request, String endpoint) {
+        return crashesByRequest.computeIfAbsent(request, key -> new HashSet<>()).add(endpoint);
     }
 
     /**
-     * An endpoint answered a request, so that this did not cause the crashes that are known by now. A part of an answer tells so of those
-     * crashes at which no part had come.
+     * Clears a request that an endpoint answered of the crashes known by now. Part of a response clears it only of
+     * crashes at which no part had arrived.
      *
      * @param request the request
-     * @param whole whether the answer came whole
-     * @return at how many crashes it had been without a part of an answer
+     * @param whole whether the response is complete
+     * @return the number of crashes at which it had been without any part of a response
      */
     public synchronized int cleared(RequestDigest request, boolean whole) {
         Objects.requireNonNull(request, "request is null");
-        Set<String> suspected = Optional.ofNullable(unbegun.remove(request)).orElse(Set.of());
-        Set<String> at = whole ? present.remove(request) : null;
-        if (at != null) {
-            at.stream().map(crashes::get).forEach(known -> known.clear(request));
+        Set<String> suspected = Optional.ofNullable(unanswered.remove(request)).orElse(Set.of());
+        Set<String> crashedEndpoints = whole ? involved.remove(request) : null;
+        if (crashedEndpoints != null) {
+            crashedEndpoints.stream().map(crashes::get).forEach(known -> known.clear(request));
         }
-        if (at != null || !suspected.isEmpty()) {
-            findCulprits();
+        if (crashedEndpoints != null || !suspected.isEmpty()) {
+            detectPoisonRequests();
         }
         return suspected.size();
     }
 
     /**
-     * Takes what another process tells.
+     * Applies an update of another process.
      *
-     * @param news what it tells
-     * @param atMillis when it was, on the steady clock
+     * @param update the update
+     * @param atMillis the time of the event on the monotonic clock
      */
-    public void take(CrashUpdate news, long atMillis) {
-        switch (news) {
+    public void apply(CrashUpdate update, long atMillis) {
+        switch (update) {
             case CrashUpdate.Crashed(EndpointCrash crash) -> crashed(crash, atMillis);
             case CrashUpdate.Cleared(RequestDigest request, boolean whole) -> cleared(request, whole);
         }
     }
 
     /**
-     * Forgets what is too old.
+     * Removes expired crashes.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
-    public synchronized void forgetOld(long nowMillis) {
-        List<String> old = crashes.entrySet().stream()
+    public synchronized void expire(long nowMillis) {
+        List<String> expired = crashes.entrySet().stream()
                 .map(Map.Entry::getKey)
-                .filter(endpoint -> nowMillis - countsFromMillis(endpoint) >= memoryMillis)
+                .filter(endpoint -> nowMillis - rememberedFromMillis(endpoint) >= memoryMillis)
                 .toList();
-        old.forEach(this::forget);
-        if (!old.isEmpty()) {
-            findCulprits();
+        expired.forEach(this::forget);
+        if (!expired.isEmpty()) {
+            detectPoisonRequests();
         }
     }
 
-    /** Since when a crash is to be remembered: one that a culprit explains, since the last of the culprit's. */
-    private long countsFromMillis(String endpoint) {
-        return culprits.values().stream()
+    /**
+     * Returns the time from which a crash is remembered. A crash attributed to a poison request counts from the last
+     * crash of that request.
+     */
+    private long rememberedFromMillis(String endpoint) {
+        return poisonRequests.values().stream()
                 .filter(explained -> explained.contains(endpoint))
                 .mapToLong(this::lastMillis)
                 .max()
@@ -159,54 +164,60 @@
     }
 
     private void forget(String endpoint) {
-        for (RequestDigest request : crashes.remove(endpoint).present()) {
-            remove(unbegun, request, endpoint);
-            remove(present, request, endpoint);
+        for (RequestDigest request : crashes.remove(endpoint).involved()) {
+            remove(unanswered, request, endpoint);
+            remove(involved, request, endpoint);
         }
     }
 
-    private static void remove(Map<RequestDigest, Set<String>> of, RequestDigest request, String endpoint) {
-        of.computeIfPresent(request, (same, at) -> {
-            at.remove(endpoint);
-            return at.isEmpty() ? null : at;
+    private static void remove(
+            Map<RequestDigest, Set<String>> crashesByRequest, RequestDigest request, String endpoint) {
+        crashesByRequest.computeIfPresent(request, (same, crashedEndpoints) -> {
+            crashedEndpoints.remove(endpoint);
+            return crashedEndpoints.isEmpty() ? null : crashedEndpoints;
         });
     }
 
-    private void findCulprits() {
-        quick = present.keySet().stream().map(RequestDigest::quick).collect(Collectors.toUnmodifiableSet());
-        boolean enough = present.values().stream().anyMatch(at -> at.size() >= PoisonRequestDetector.LEAST_CRASHES);
-        Map<RequestDigest, Set<String>> before = culprits;
-        culprits = enough ? PoisonRequestDetector.of(evidence(), endpoints.getAsInt()) : Map.of();
-        tellChange(before);
+    private void detectPoisonRequests() {
+        quickDigests = involved.keySet().stream().map(RequestDigest::quick).collect(Collectors.toUnmodifiableSet());
+        boolean enough = involved.values().stream()
+                .anyMatch(crashedEndpoints -> crashedEndpoints.size() >= PoisonRequestDetector.MIN_CRASHES);
+        Map<RequestDigest, Set<String>> before = poisonRequests;
+        poisonRequests = enough ? PoisonRequestDetector.detect(evidence(), endpointCount.getAsInt()) : Map.of();
+        logChanges(before);
     }
 
-    private void tellChange(Map<RequestDigest, Set<String>> before) {
-        culprits.forEach((request, at) -> {
+    private void logChanges(Map<RequestDigest, Set<String>> before) {
+        poisonRequests.forEach((request, crashedEndpoints) -> {
             if (!before.containsKey(request)) {
-                LOG.warn("event=culprit_found digest={} crashes={} endpoints={}", request, at.size(), at);
+                LOG.warn(
+                        "event=culprit_found digest={} crashes={} endpoints={}",
+                        request,
+                        crashedEndpoints.size(),
+                        crashedEndpoints);
             }
         });
         before.keySet().stream()
-                .filter(request -> !culprits.containsKey(request))
+                .filter(request -> !poisonRequests.containsKey(request))
                 .forEach(request ->
                         LOG.info("event=culprit_cleared digest={} crashesKnown={}", request, crashes.size()));
     }
 
     /**
-     * The crashes that count against each request. An endpoint has borne the beginning of a request of whose answer a part had come;
-     * such crashes count only against a request that has no three without.
+     * Determines the crashes that count against each request. If part of the response had arrived, the endpoint had
+     * survived the start of the request; such crashes count only against requests with fewer than three others.
      */
     private PoisonRequestDetector.Evidence evidence() {
-        Map<RequestDigest, Set<String>> counted = new HashMap<>(unbegun);
-        Set<RequestDigest> begun = new HashSet<>();
-        present.forEach((request, at) -> {
-            boolean enough = unbegun.getOrDefault(request, Set.of()).size() >= PoisonRequestDetector.LEAST_CRASHES;
-            if (!enough && at.size() > PoisonRequestDetector.LEAST_CRASHES) {
-                counted.put(request, at);
-                begun.add(request);
+        Map<RequestDigest, Set<String>> counted = new HashMap<>(unanswered);
+        Set<RequestDigest> partlyAnswered = new HashSet<>();
+        involved.forEach((request, crashedEndpoints) -> {
+            boolean enough = unanswered.getOrDefault(request, Set.of()).size() >= PoisonRequestDetector.MIN_CRASHES;
+            if (!enough && crashedEndpoints.size() > PoisonRequestDetector.MIN_CRASHES) {
+                counted.put(request, crashedEndpoints);
+                partlyAnswered.add(request);
             }
         });
-        return new PoisonRequestDetector.Evidence(counted, begun, times());
+        return new PoisonRequestDetector.Evidence(counted, partlyAnswered, times());
     }
 
     private Map<String, Long> times() {
@@ -215,37 +226,37 @@
         return times;
     }
 
-    // -- what follows
+    // -- queries
 
     /**
-     * Whether any request is suspected. Where none is, no request has to be recognised.
+     * Returns whether any request is suspected. Otherwise no request digests need to be computed.
      *
-     * @return false if no crash is known at which a request was
+     * @return false if no request was in flight at any known crash
      */
-    public boolean suspectsAny() {
-        return !quick.isEmpty();
+    public boolean hasSuspects() {
+        return !quickDigests.isEmpty();
     }
 
     /**
-     * Whether a request may have been at a crash. Where it surely was at none, its whole digest is not needed.
+     * Returns whether a request may have been in flight at a crash. If not, its full digest need not be computed.
      *
      * @param request the request's digest
-     * @return false if no request at any crash has the same quick part
+     * @return false if no request involved in a crash has the same quick digest
      */
-    public boolean mayKnow(LazyDigest request) {
-        Set<Integer> known = quick;
+    public boolean mayBeSuspect(LazyDigest request) {
+        Set<Integer> known = quickDigests;
         return !known.isEmpty() && known.contains(request.quick());
     }
 
     /**
-     * What is held of a request.
+     * Returns how strongly a request is suspected of causing crashes.
      *
      * @param request the request
-     * @param nowMillis the time on the steady clock
-     * @return its standing
+     * @param nowMillis the time on the monotonic clock
+     * @return the level of suspicion
      */
-    public synchronized SuspicionLevel standing(RequestDigest request, long nowMillis) {
-        Set<String> explained = culprits.get(Objects.requireNonNull(request, "request is null"));
+    public synchronized SuspicionLevel suspicion(RequestDigest request, long nowMillis) {
+        Set<String> explained = poisonRequests.get(Objects.requireNonNull(request, "request is null"));
         if (explained != null) {
             long left = memoryMillis - (nowMillis - lastMillis(explained));
             return left > 0 ? new SuspicionLevel.Refused(explained.size(), left) : new SuspicionLevel.Unsuspected();
@@ -254,34 +265,35 @@
         return unexplained == 0 ? new SuspicionLevel.Unsuspected() : new SuspicionLevel.Suspected(unexplained);
     }
 
-    private long lastMillis(Set<String> endpoints) {
-        return endpoints.stream()
+    private long lastMillis(Set<String> crashedEndpoints) {
+        return crashedEndpoints.stream()
                 .mapToLong(endpoint -> crashes.get(endpoint).atMillis())
                 .max()
                 .orElseThrow();
     }
 
     private int unexplained(RequestDigest request) {
-        return (int) unbegun.getOrDefault(request, Set.of()).stream()
-                .filter(endpoint -> culprits.values().stream().noneMatch(explained -> explained.contains(endpoint)))
+        return (int) unanswered.getOrDefault(request, Set.of()).stream()
+                .filter(endpoint ->
+                        poisonRequests.values().stream().noneMatch(explained -> explained.contains(endpoint)))
                 .count();
     }
 
     /**
-     * The requests that are refused.
+     * Returns the requests that are refused as poison requests.
      *
      * @return their digests
      */
     public synchronized Set<RequestDigest> refused() {
-        return Set.copyOf(culprits.keySet());
+        return Set.copyOf(poisonRequests.keySet());
     }
 
     /**
-     * The crashes that are remembered.
+     * Returns the number of crashes remembered.
      *
-     * @return their number
+     * @return the number of crashes
      */
-    public synchronized int known() {
+    public synchronized int crashCount() {
         return crashes.size();
     }
 }
--- a/src/main/java/org/micabarrow/crashes/SuspectIsolation.java
+++ b/src/main/java/org/micabarrow/crashes/SuspectIsolation.java
@@ -11,86 +11,88 @@
 import org.micabarrow.state.Digest;
 
 /**
- * Keeps suspected requests apart, so that the next crash tells which of them causes it, and so that one of them ends no more
- * endpoints than one at a time. A request that was at one crash goes where no other suspect of this process is, if it can; most
- * such are harmless and must not wait. One that was at more goes only there, one at a time, and all processes try endpoints for
- * it in the same order. Used by one thread.
+ * Keeps suspected requests apart, so that the next crash shows which of them causes it, and so that a poison request
+ * crashes endpoints only one at a time. A request that was involved in one crash is sent to an endpoint without other
+ * suspects of this process if possible; most such requests are harmless and must not wait. A request that was involved
+ * in more crashes is sent only to such endpoints, one attempt at a time, and all processes try endpoints for it in the
+ * same order. Not thread-safe: confined to one thread.
  */
 public final class SuspectIsolation {
 
-    /** From how many crashes on a request goes only where no other suspect is. */
-    private static final int ALONE_FROM = 2;
+    /** Number of crashes from which a request is sent only to endpoints without other suspects. */
+    private static final int MIN_ISOLATED_CRASHES = 2;
 
-    private final Map<EndpointStart, Map<RequestDigest, Integer>> there = new HashMap<>();
+    private final Map<EndpointStart, Map<RequestDigest, Integer>> inFlight = new HashMap<>();
 
-    /** Begins with no suspect anywhere. */
+    /** Creates an isolation without suspects. */
     public SuspectIsolation() {}
 
-    // -- what is where
+    // -- requests in flight
 
     /**
-     * A suspected request is sent to an endpoint.
+     * Records that a suspected request is sent to an endpoint.
      *
      * @param endpoint the endpoint's start
      * @param request the request
      */
-    public void began(EndpointStart endpoint, RequestDigest request) {
-        there.computeIfAbsent(endpoint, key -> new HashMap<>()).merge(request, 1, Integer::sum);
+    public void started(EndpointStart endpoint, RequestDigest request) {
+        inFlight.computeIfAbsent(endpoint, key -> new HashMap<>()).merge(request, 1, Integer::sum);
     }
 
     /**
-     * A suspected request is at an endpoint no more.
+     * Records that a suspected request is no longer in flight at an endpoint.
      *
      * @param endpoint the endpoint's start
      * @param request the request
      */
     public void ended(EndpointStart endpoint, RequestDigest request) {
-        there.computeIfPresent(endpoint, (same, requests) -> {
+        inFlight.computeIfPresent(endpoint, (same, requests) -> {
             requests.computeIfPresent(request, (key, count) -> count == 1 ? null : count - 1);
             return requests.isEmpty() ? null : requests;
         });
     }
 
-    // -- where to
+    // -- selection
 
     /**
-     * Whether a suspect has to be kept apart from others, even if it has to wait for that.
+     * Returns whether a suspect must be isolated from others, even if it has to wait for that.
      *
-     * @param suspected what is held of it
-     * @return true if it was at more than one crash
+     * @param suspected its level of suspicion
+     * @return true if it was involved in more than one crash
      */
-    public static boolean apart(SuspicionLevel.Suspected suspected) {
-        return suspected.crashes() >= ALONE_FROM;
+    public static boolean mustIsolate(SuspicionLevel.Suspected suspected) {
+        return suspected.crashes() >= MIN_ISOLATED_CRASHES;
     }
 
     /**
-     * The endpoints at which no other suspect is, in the order in which they are to be tried. None are, for a request that is to be
-     * kept apart, while it runs already.
+     * Returns the endpoints without other suspects, in the order in which they are to be tried. Returns none for a
+     * request that must be isolated while it is already in flight.
      *
-     * @param endpoints the endpoints that there are
+     * @param endpoints all endpoints
      * @param request the request
-     * @param suspected what is held of it
+     * @param suspected its level of suspicion
      * @return some of the endpoints
      */
-    public List<EndpointRegistration> free(
+    public List<EndpointRegistration> withoutOtherSuspects(
             List<EndpointRegistration> endpoints, RequestDigest request, SuspicionLevel.Suspected suspected) {
         Objects.requireNonNull(request, "request is null");
-        if (apart(suspected) && runs(request)) {
+        if (mustIsolate(suspected) && isInFlight(request)) {
             return List.of();
         }
-        List<EndpointRegistration> free = endpoints.stream()
-                .filter(endpoint -> !there.containsKey(endpoint.start())
-                        || there.get(endpoint.start()).keySet().equals(Set.of(request)))
+        List<EndpointRegistration> available = endpoints.stream()
+                .filter(endpoint -> !inFlight.containsKey(endpoint.start())
+                        || inFlight.get(endpoint.start()).keySet().equals(Set.of(request)))
                 .toList();
-        return apart(suspected) ? inCommonOrder(free, request) : free;
+        return mustIsolate(suspected) ? inStableOrder(available, request) : available;
     }
 
-    private boolean runs(RequestDigest request) {
-        return there.values().stream().anyMatch(requests -> requests.containsKey(request));
+    private boolean isInFlight(RequestDigest request) {
+        return inFlight.values().stream().anyMatch(requests -> requests.containsKey(request));
     }
 
-    /** An order that depends on the request and the endpoints alone, and differs from request to request. */
-    private static List<EndpointRegistration> inCommonOrder(List<EndpointRegistration> endpoints, RequestDigest request) {
+    /** Returns an order that depends only on the request and the endpoints, and differs from request to request. */
+    private static List<EndpointRegistration> inStableOrder(
+            List<EndpointRegistration> endpoints, RequestDigest request) {
         Map<EndpointRegistration, Long> ranks = new HashMap<>();
         endpoints.forEach(endpoint -> ranks.put(endpoint, Digest.rank(request.hex(), endpoint.id())));
         return endpoints.stream().sorted(Comparator.comparing(ranks::get)).toList();
--- a/src/main/java/org/micabarrow/platform/StoreClient.java
+++ b/src/main/java/org/micabarrow/platform/StoreClient.java
@@ -99,7 +99,7 @@
     // -- the newest of each key
 
     @Override
-    public Result<Batch> newest(Topic topic) {
+    public Result<Batch> readLatest(Topic topic) {
         List<StoredRecord> records = new ArrayList<>();
         String after = "";
         long end = -1;
@@ -177,7 +177,7 @@
                     topic,
                     offset,
                     count,
-                    StoredRecord.shown(String.valueOf(why)));
+                    StoredRecord.loggable(String.valueOf(why)));
         }
     }
 
--- a/src/main/java/org/micabarrow/process/CrashSharing.java
+++ b/src/main/java/org/micabarrow/process/CrashSharing.java
@@ -115,7 +115,7 @@
     }
 
     private void take(StoredRecord record) {
-        if (record.dropped()) {
+        if (record.isTombstone()) {
             lying.remove(record.key());
             return;
         }
@@ -124,11 +124,11 @@
                 lying.put(record.key(), told.unixMillis());
                 long age = Math.clamp(unixMillis.getAsLong() - told.unixMillis(), 0, memoryMillis);
                 if (age < memoryMillis) {
-                    book.take(told.news(), steadyMillis.getAsLong() - age);
+                    book.apply(told.news(), steadyMillis.getAsLong() - age);
                 }
             }
             case Result.Failure<CrashRecords.Told>(Fault fault) ->
-                LOG.warn("event=crash_record_refused key={} why=\"{}\"", record.shownKey(), fault.message());
+                LOG.warn("event=crash_record_refused key={} why=\"{}\"", record.loggableKey(), fault.message());
         }
     }
 
@@ -136,7 +136,7 @@
 
     /** Forgets what is too old, and drops it from the store if nobody else has after as long again. */
     private void tidy() {
-        book.forgetOld(steadyMillis.getAsLong());
+        book.expire(steadyMillis.getAsLong());
         outdated().forEach(key -> put(CrashRecords.dropping(key)));
     }
 
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -22,9 +22,9 @@
 import org.micabarrow.transport.LoadServer;
 import org.micabarrow.transport.PeerChunks;
 import org.micabarrow.transport.StoreNews;
-import org.micabarrow.views.VersionPersistence.Duty;
 import org.micabarrow.views.PeerFirstReader;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.StoreFollower.PollTiming;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.micabarrow.views.View;
 import org.micabarrow.weights.ChunkFetcher;
 import org.micabarrow.weights.ChunkSources;
@@ -78,7 +78,7 @@
     private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
-    private volatile Placed placed = new Placed(View.empty(), new ReplicaController.Place(0, 1));
+    private volatile Placed placed = new Placed(View.empty(), new ReplicaController.RegionPosition(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
     private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
@@ -86,17 +86,17 @@
     private HostedAgentProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.node = new HostedNode(settings);
-        this.news =
-                new PeerFirstReader(node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
+        this.news = new PeerFirstReader(
+                node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
-        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
+        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new PeerChunks(node.kept()),
                 new OriginCalls(node.fresh()),
                 () -> view().manifest().flatMap(RouteManifest::origin),
-                ChunkSources.following(self, this::agents),
+                ChunkSources.cached(self, this::agents),
                 node.weightPacer(this::serves)::take,
                 HostedNode::steadyMillis));
-        this.keeper = new ReplicaController(new ReplicaController.Parts(
+        this.keeper = new ReplicaController(new ReplicaController.Dependencies(
                 this::model,
                 this::layers,
                 new EndpointCalls(node.kept(), settings.endpoint().orElseThrow(), this::layers),
@@ -123,7 +123,7 @@
 
     private void begin() throws IOException {
         HostedPeerServer peers =
-                new HostedPeerServer(node.views(), keeper::set, node.metrics(), node.weightPacer(this::serves));
+                new HostedPeerServer(node.views(), keeper::chunkSet, node.metrics(), node.weightPacer(this::serves));
         HttpListener.Bounds usual = HttpListener.Bounds.usual();
         HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
         HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
@@ -135,7 +135,8 @@
                 HostedNode.readerTrustMillis(settings.bounds())));
         // After the listeners, so that no connection of our own takes one of their ports.
         Paces paces = new Paces(
-                new Pace(HostedNode.STORE_WAIT, Duration.ZERO), new Pace(HostedNode.STORE_WAIT, ENDPOINTS_REST));
+                new PollTiming(HostedNode.STORE_WAIT, Duration.ZERO),
+                new PollTiming(HostedNode.STORE_WAIT, ENDPOINTS_REST));
         node.follow(news, news, paces, settings::seeds, this::duty);
         node.metrics().registerGauge("weights.secondsNotRetired", keeper::secondsNotRetired);
         RepeatedTasks.start("report", REPORT_MILLIS, new Reports());
@@ -146,27 +147,27 @@
         LOG.info(
                 "event=started role=agent instance={} countsSuspensions={}",
                 settings.instance().id(),
-                MonotonicClock.countsSuspensions());
+                MonotonicClock.includesSuspendedTime());
     }
 
     /**
      * Asks the endpoint how it is, and tells entries at once when it takes requests again, or no more. Asked by an entry of
      * another region only every 450 ms, it would stand idle for half of that after each change of versions.
      */
-    private final class Reports implements RepeatedTasks.Step {
+    private final class Reports implements RepeatedTasks.Task {
 
         private Optional<Serving> toldLast = Optional.empty();
 
         private record Serving(boolean loading, boolean leaving, long version, OptionalInt start) {}
 
         @Override
-        public void take() {
+        public void run() {
             keeper.refresh();
             keeper.report()
                     .ifPresent(report -> loadServer.ifPresent(
-                            server -> server.limits().reported(report.limit(), HostedNode.steadyMillis())));
+                            server -> server.limits().reported(report.rateLimit(), HostedNode.steadyMillis())));
             Optional<Serving> now =
-                    told().map(told -> new Serving(told.loading(), told.leaving(), told.version(), told.start()));
+                    told().map(told -> new Serving(told.loading(), told.draining(), told.version(), told.start()));
             if (!now.equals(toldLast)) {
                 toldLast = now;
                 tellEntries();
@@ -175,12 +176,12 @@
     }
 
     /** Says that the instance stood still, so that what entries and endpoints tell of that time can be explained. */
-    private final class StandstillWatch implements RepeatedTasks.Step {
+    private final class StandstillWatch implements RepeatedTasks.Task {
 
         private long lastMillis = HostedNode.steadyMillis();
 
         @Override
-        public void take() {
+        public void run() {
             long now = HostedNode.steadyMillis();
             long stood = now - lastMillis - STANDSTILL_LOOK_MILLIS;
             lastMillis = now;
@@ -195,16 +196,16 @@
 
     /** An entry told where the last changes in the store stand. */
     private void heard(String entry, StoreNews told) {
-        news.told(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
+        news.onUpdate(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
         // A place beyond all that the entry has read would be kept for good, and be lacking everywhere.
         told.manifest()
                 .filter(place -> place.offset() < told.changes().operator())
-                .ifPresent(node.views()::manifestStands);
+                .ifPresent(node.views()::recordManifestPosition);
     }
 
     /** A version that is named is fetched at once, since the origin may go away; what follows takes seconds to come about. */
     private long replicaMillis() {
-        return keeper.settled() ? SETTLED_LOOK_MILLIS : LOOK_MILLIS;
+        return keeper.isUpToDate() ? SETTLED_LOOK_MILLIS : LOOK_MILLIS;
     }
 
     /** What entries are told of the endpoint; while it does not answer, nothing is said. */
@@ -213,23 +214,23 @@
                 .map(report -> new LoadReport(
                         report.running() + report.queued(),
                         0,
-                        report.busy() || keeper.closing(),
+                        report.busy() || keeper.isCordoned(),
                         model().map(model -> report.models().getOrDefault(model, 0L))
                                 .orElse(0L),
                         freePlaces(report),
                         EndpointStart.token(report.startedMillis()),
-                        report.leaving()));
+                        report.draining()));
     }
 
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
     private int freePlaces(ModelEndpoint.Report report) {
         return modelService()
-                .map(service -> SlotAllotment.dealable(service.slots(), report.running() + report.queued()))
-                .orElse(LoadReport.ANY_PLACES);
+                .map(service -> SlotAllotment.allottable(service.slots(), report.running() + report.queued()))
+                .orElse(LoadReport.UNLIMITED_SLOTS);
     }
 
     private boolean serves() {
-        return keeper.serves();
+        return keeper.mayHaveRequests();
     }
 
     private void tellEntries() {
@@ -260,13 +261,14 @@
     }
 
     private List<Agent> agents(View now) {
-        return Agent.beside(now.endpointsOf(settings.service().orElse("")), settings.peerPort(), settings.regions());
+        return Agent.besideEndpoints(
+                now.endpointsOf(settings.service().orElse("")), settings.peerPort(), settings.regions());
     }
 
     /** The place in a view. It is asked for twice a second and more, and views change when an endpoint does. */
-    private record Placed(View view, ReplicaController.Place place) {}
+    private record Placed(View view, ReplicaController.RegionPosition place) {}
 
-    private ReplicaController.Place place() {
+    private ReplicaController.RegionPosition place() {
         View now = view();
         Placed known = placed;
         if (known.view() != now) {
@@ -276,22 +278,22 @@
         return known.place();
     }
 
-    private ReplicaController.Place place(View now) {
+    private ReplicaController.RegionPosition place(View now) {
         List<String> region = Stream.concat(agents(now).stream(), Stream.of(self))
                 .filter(agent -> agent.region().equals(self.region()))
                 .map(Agent::address)
                 .distinct()
                 .sorted()
                 .toList();
-        return new ReplicaController.Place(region.indexOf(self.address()), region.size());
+        return new ReplicaController.RegionPosition(region.indexOf(self.address()), region.size());
     }
 
-    private Duty duty() {
-        int position = place().position();
+    private WriteRole duty() {
+        int position = place().index();
         if (position < VERSION_KEEPERS) {
-            return Duty.WRITES;
+            return WriteRole.PRIMARY;
         }
-        return position < KEEPERS_AND_STAND_INS ? Duty.STANDS_IN : Duty.NONE;
+        return position < KEEPERS_AND_STAND_INS ? WriteRole.BACKUP : WriteRole.NONE;
     }
 
     @Override
--- a/src/main/java/org/micabarrow/process/Node.java
+++ b/src/main/java/org/micabarrow/process/Node.java
@@ -186,10 +186,10 @@
     }
 
     private void pollList() {
-        while (!list.closing()) {
-            list.rest(Duration.ofMillis(
+        while (!list.isClosing()) {
+            list.pause(Duration.ofMillis(
                     instances().isEmpty() ? Math.min(listMillis, LIST_AT_START.toMillis()) : listMillis));
-            if (!list.closing()) {
+            if (!list.isClosing()) {
                 readList();
             }
         }
--- a/src/main/java/org/micabarrow/serving/AnswerRelay.java
+++ b/src/main/java/org/micabarrow/serving/AnswerRelay.java
@@ -50,7 +50,7 @@
             hold(data, more);
             return;
         }
-        byte[] whole = stream ? events.whole(data) : data;
+        byte[] whole = stream ? events.append(data) : data;
         if (whole.length == 0) {
             more.run();
         } else {
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -4,9 +4,9 @@
 import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointSelection;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,7 +45,7 @@
                 parts.viewAge());
     }
 
-    void sent(EndpointSelection.Send chosen, String why, int attempt, long millisToObjective, long millisLeft) {
+    void sent(EndpointSelection.Selected chosen, String why, int attempt, long millisToObjective, long millisLeft) {
         EndpointLoad load = parts.load(chosen.endpoint());
         long now = parts.nowMillis();
         LOG.info(
@@ -58,7 +58,7 @@
                 why,
                 Math.round(chosen.predictedMillis()),
                 load.requests(now),
-                load.hasAgent() ? load.millisSinceTold(now) : "-",
+                load.hasAgent() ? load.millisSinceReport(now) : "-",
                 millisToObjective,
                 millisLeft,
                 parts.viewAge());
--- a/src/main/java/org/micabarrow/serving/ServingParts.java
+++ b/src/main/java/org/micabarrow/serving/ServingParts.java
@@ -10,10 +10,10 @@
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.RoutingRequest;
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
@@ -114,17 +114,17 @@
     }
 
     boolean silent(EndpointRegistration endpoint) {
-        return given.choice().silent(endpoint, nowMillis());
+        return given.choice().unresponsive(endpoint, nowMillis());
     }
 
     boolean rests(EndpointRegistration endpoint) {
-        return given.choice().rests(endpoint, nowMillis());
+        return given.choice().inBackoff(endpoint, nowMillis());
     }
 
     /** Whether an endpoint has said that it leaves, so that its end is no crash. */
     boolean saysThatItLeaves(EndpointRegistration endpoint) {
         EndpointRegistration now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
-        return now.start().equals(endpoint.start()) && given.choice().leaves(now);
+        return now.start().equals(endpoint.start()) && given.choice().isDraining(now);
     }
 
     /** Whether an endpoint says that it leaves, is listed no more, or has started again without what was sent to it. */
@@ -132,25 +132,25 @@
         EndpointRegistration now = view().endpoints().get(endpoint.id());
         return now == null
                 || !now.start().equals(endpoint.start())
-                || given.choice().leaves(now);
+                || given.choice().isDraining(now);
     }
 
     /** An endpoint said in an answer that it leaves: nothing new goes there from now on, whatever else says that it stays. */
     void saidThatItLeaves(EndpointRegistration endpoint) {
-        if (given.choice().saidThatItLeaves(endpoint.start())) {
+        if (given.choice().markDraining(endpoint.start())) {
             LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
         }
     }
 
     /** Whether an endpoint's limit allows this entry a request now. */
     boolean withinLimit(EndpointRegistration endpoint) {
-        return given.choice().withinLimit(endpoint, nowMillis());
+        return given.choice().withinRateLimit(endpoint, nowMillis());
     }
 
     /** Counts a request that is turned away for want of room; agents divide their endpoints' places by it. */
     void turnedAway(ClientRequest request) {
         if (versions.model(request).isPresent()) {
-            given.choice().unmet().turnedAway(nowMillis());
+            given.choice().unmetDemand().refused(nowMillis());
         }
     }
 
@@ -160,8 +160,8 @@
         return suspects.decide(endpoints, wanted(request, millisToObjective, tried), digest, nowMillis());
     }
 
-    private Wanted wanted(ClientRequest request, long millisToObjective, Set<String> tried) {
-        return new Wanted(
+    private RoutingRequest wanted(ClientRequest request, long millisToObjective, Set<String> tried) {
+        return new RoutingRequest(
                 request.promptTokens(),
                 request.route().objectiveMillis(),
                 millisToObjective,
@@ -174,14 +174,15 @@
 
     /** Whether an endpoint's agent is to be asked before the request is sent there. */
     boolean mustAsk(ClientRequest request, EndpointRegistration endpoint) {
-        return versions.askDue(request, endpoint) && given.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
+        return versions.askDue(request, endpoint)
+                && given.choice().mustQueryAgent(endpoint, wanted(request, 0, Set.of()));
     }
 
     /** Asks an endpoint's agent, and tells then whether the request may be sent there. */
     void ask(ClientRequest request, EndpointRegistration endpoint, Consumer<Boolean> then) {
         given.questions().ask(endpoint, inTime -> {
             if (!inTime) {
-                load(endpoint).notAnswered();
+                load(endpoint).queryTimedOut();
             }
             then.accept(inTime && able(request, endpoint));
         });
@@ -198,7 +199,7 @@
 
     /** Whether an endpoint may get a request at all, by what is known now. */
     boolean able(ClientRequest request, EndpointRegistration endpoint) {
-        return given.choice().able(endpoint, wanted(request, 0, Set.of()), nowMillis());
+        return given.choice().eligible(endpoint, wanted(request, 0, Set.of()), nowMillis());
     }
 
     // -- for the client and the log
@@ -207,8 +208,8 @@
     long comeBackMillis(ClientRequest request) {
         List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return given.choice()
-                .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
-                .orElseGet(() -> AdmissionControl.comeBackMillis(request.deadlineMillis() - nowMillis()));
+                .untilBackoffEndsMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
+                .orElseGet(() -> AdmissionControl.retryAfterMillis(request.deadlineMillis() - nowMillis()));
     }
 
     /** Notes that a client is refused and when it is told to come back, which is returned. */
--- a/src/main/java/org/micabarrow/serving/SuspectCare.java
+++ b/src/main/java/org/micabarrow/serving/SuspectCare.java
@@ -5,11 +5,11 @@
 import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.crashes.SuspectIsolation;
-import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.routing.EndpointRegistration;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.RoutingRequest;
 
 /**
  * Decides what happens to a request with regard to the crashes at which it was: a culprit is refused, suspects are kept apart. While
@@ -32,7 +32,7 @@
 
     /** What is held of a request. */
     SuspicionLevel standing(LazyDigest digest, long nowMillis) {
-        return book.mayKnow(digest) ? book.standing(digest.get(), nowMillis) : UNSUSPECTED;
+        return book.mayBeSuspect(digest) ? book.suspicion(digest.get(), nowMillis) : UNSUSPECTED;
     }
 
     /** A request is sent; what is returned is to be run once it is at its endpoint no more. */
@@ -40,20 +40,20 @@
         if (!(standing(digest, nowMillis) instanceof SuspicionLevel.Suspected)) {
             return () -> {};
         }
-        placement.began(endpoint.start(), digest.get());
+        placement.started(endpoint.start(), digest.get());
         return () -> placement.ended(endpoint.start(), digest.get());
     }
 
     // -- deciding
 
     /** Decides for a request. */
-    Decision decide(List<EndpointRegistration> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
+    Decision decide(List<EndpointRegistration> endpoints, RoutingRequest wanted, LazyDigest digest, long nowMillis) {
         return switch (standing(digest, nowMillis)) {
             case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
-            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
+            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.PoisonRequest(crashes, forMillis);
             case SuspicionLevel.Suspected suspected -> {
-                List<EndpointRegistration> free = placement.free(endpoints, digest.get(), suspected);
-                yield SuspectIsolation.apart(suspected)
+                List<EndpointRegistration> free = placement.withoutOtherSuspects(endpoints, digest.get(), suspected);
+                yield SuspectIsolation.mustIsolate(suspected)
                         ? first(free, endpoints, wanted, nowMillis)
                         : preferring(free, endpoints, wanted, nowMillis);
             }
@@ -61,20 +61,27 @@
     }
 
     private Decision preferring(
-            List<EndpointRegistration> free, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
+            List<EndpointRegistration> free,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest wanted,
+            long nowMillis) {
         Decision decision = admission.decide(free, wanted, nowMillis);
         return decision instanceof Decision.Send ? decision : admission.decide(endpoints, wanted, nowMillis);
     }
 
     /** The first endpoint of some that has room; where none has, the request waits, even if others have. */
-    private Decision first(List<EndpointRegistration> free, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
+    private Decision first(
+            List<EndpointRegistration> free,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest wanted,
+            long nowMillis) {
         for (EndpointRegistration one : free) {
-            boolean well = !choice.failing(one, nowMillis);
+            boolean well = !choice.ejected(one, nowMillis);
             if (well && admission.decide(List.of(one), wanted, nowMillis) instanceof Decision.Send send) {
                 return send;
             }
         }
         Decision elsewhere = admission.decide(endpoints, wanted, nowMillis);
-        return elsewhere instanceof Decision.Send ? admission.withoutRoom(endpoints.size(), wanted) : elsewhere;
+        return elsewhere instanceof Decision.Send ? admission.withoutFreeSlot(endpoints.size(), wanted) : elsewhere;
     }
 }
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -21,6 +21,8 @@
 import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
 import org.micabarrow.steps.RepeatedTasks;
@@ -240,8 +242,8 @@
         // Prompts sent to a former start of the endpoint are no longer processed.
         int ownPromptTokens = endpoints.stream()
                 .map(parts.choice()::load)
-                .filter(load -> !load.startedAgain())
-                .mapToInt(EndpointLoad::ownPromptTokens)
+                .filter(load -> !load.restarted())
+                .mapToInt(EndpointLoad::ownPendingPromptTokens)
                 .sum();
         int unmetRequests =
                 parts.choice().unmet().lately(parts.monotonicMillis().getAsLong());
@@ -269,7 +271,7 @@
     private Optional<RateLimitUpdate> rateLimit(List<EndpointStart> endpoints) {
         long now = parts.monotonicMillis().getAsLong();
         return endpoints.stream()
-                .map(start -> parts.choice().load(start).limit().word(now))
+                .map(start -> parts.choice().load(start).rateLimit().ownUpdate(now))
                 .flatMap(Optional::stream)
                 .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
     }
@@ -353,6 +355,6 @@
                     start.id(),
                     start.startedMillis().orElse(-1));
         }
-        load.toldOfAnotherStart();
+        load.otherStartReported();
     }
 }
--- /dev/null
+++ b/src/main/java/org/micabarrow/views/OperatorState.java
@@ -0,0 +1,177 @@
+package org.micabarrow.views;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.function.LongSupplier;
+import java.util.stream.Stream;
+import org.micabarrow.routing.RouteManifest;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Result;
+import org.micabarrow.views.RecordDecoder.OperatorRecord;
+import org.micabarrow.views.View.TargetSource;
+
+/** Applies operator records, and the records that processes saved about them, to the view. Not thread-safe. */
+final class OperatorState {
+
+    private final RecordDecoder decoder;
+    private final LongSupplier monotonicMillis;
+    private final WeightTargets targets;
+    private final ManifestTracker manifests = new ManifestTracker();
+    private boolean loaded;
+
+    /** Whether an invalid manifest followed the active one, so that the rules that apply now are unknown. */
+    private boolean manifestInvalid;
+
+    OperatorState(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
+        this.decoder = decoder;
+        this.monotonicMillis = monotonicMillis;
+        this.targets = new WeightTargets(monotonicMillis, unixMillis);
+    }
+
+    /**
+     * The effect of a record.
+     *
+     * @param view the resulting view
+     * @param relevantToAgents whether agents use the record
+     */
+    record Change(View view, boolean relevantToAgents) {}
+
+    /**
+     * Marks that all operator records have been read once: from now on, this process observes when a version is named.
+     */
+    void markLoaded() {
+        loaded = true;
+    }
+
+    /** Whether all operator records have been read once. */
+    boolean isLoaded() {
+        return loaded;
+    }
+
+    // -- operator records
+
+    /** Applies an operator record. */
+    Change apply(StoredRecord record, View view) {
+        if (record.isTombstone()) {
+            OperatorLog.ignoredDeletion(record);
+            return new Change(view, false);
+        }
+        return switch (decoder.decodeOperatorRecord(record)) {
+            case Result.Failure<OperatorRecord>(Fault fault) -> {
+                OperatorLog.invalidRecord(record, fault);
+                manifestInvalid |= decoder.isManifest(record.key());
+                yield new Change(view, false);
+            }
+            case Result.Success<OperatorRecord>(OperatorRecord.ManifestPublished(RouteManifest manifest)) ->
+                applyManifest(record, manifest, view);
+            case Result.Success<OperatorRecord>(
+                    OperatorRecord.WeightsNamed(String model, long version, OptionalLong ignored)) ->
+                applyWeights(record, model, version, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.SavedManifest ignored) -> ignore(record, view);
+            case Result.Success<OperatorRecord>(OperatorRecord.UnusedRecord ignored) -> ignore(record, view);
+        };
+    }
+
+    private static Change ignore(StoredRecord record, View view) {
+        OperatorLog.unusedRecord(record);
+        return new Change(view, false);
+    }
+
+    private Change applyManifest(StoredRecord record, RouteManifest manifest, View view) {
+        if (!manifests.accept(record, manifest)) {
+            return new Change(view, false);
+        }
+        manifestInvalid = false;
+        boolean sameServices = view.manifest().filter(manifest::sameServices).isPresent();
+        return new Change(view.withManifest(manifest, record.offset()), !sameServices);
+    }
+
+    private Change applyWeights(StoredRecord record, String model, long version, View view) {
+        long newest = view.newestTarget(model).map(View.Target::version).orElse(0L);
+        View.Target target = targets.recordNamed(record, model, version, loaded);
+        View after = withTarget(model, target, view, "store offset=" + record.offset());
+        if (after == view && version < newest) {
+            OperatorLog.outdatedTargetNamed(record, model, version, newest);
+        }
+        return new Change(after, true);
+    }
+
+    /** Adds a weight version that a peer reported. */
+    View addPeerTarget(String model, long version, View view) {
+        TargetSource source = loaded ? TargetSource.OBSERVED : TargetSource.REPORTED_BY_PEER;
+        return withTarget(model, new View.Target(version, monotonicMillis.getAsLong(), source), view, "peer");
+    }
+
+    /** Returns the view with a target added, or the same view if the target is not newer. The source is only logged. */
+    private View withTarget(String model, View.Target target, View view, String source) {
+        View after = view.withTarget(model, target);
+        if (after != view) {
+            OperatorLog.targetNamed(model, target, monotonicMillis.getAsLong() - target.learnedAtMillis(), source);
+        }
+        return after;
+    }
+
+    // -- records saved by processes
+
+    /** Applies records that processes saved. */
+    View applySaved(List<StoredRecord> records, View view) {
+        List<OperatorRecord> saved = records.stream()
+                .filter(record -> !record.isTombstone())
+                .map(decoder::decodeOperatorRecord)
+                .flatMap(result -> result.toOptional().stream())
+                .toList();
+        manifests.applySaved(saved);
+        View after = view;
+        for (var newest : targets.newestSaved(saved).entrySet()) {
+            after = withTarget(newest.getKey(), newest.getValue(), after, "kept");
+        }
+        return after;
+    }
+
+    /** The newest versions that are not known to be saved in the store under their own keys. */
+    List<UnsavedItem> unsavedVersions(TopicCopy savedCopy) {
+        return targets.unsaved(savedCopy);
+    }
+
+    // -- manifests, see ManifestTracker
+
+    OptionalLong missingManifestOffset(long readTo) {
+        return manifests.missingOffset(readTo);
+    }
+
+    /** Whether this process lacks the manifest that should be active, or cannot use it. */
+    boolean lacksManifest(long readTo) {
+        return manifestInvalid || manifests.missingOffset(readTo).isPresent();
+    }
+
+    void recordManifestPosition(ManifestPosition position) {
+        manifests.recordPosition(position);
+    }
+
+    Optional<ManifestPosition> newestManifestPosition() {
+        return manifests.newestPosition();
+    }
+
+    Optional<UnsavedItem> unsavedManifest(TopicCopy savedCopy) {
+        return manifests.unsaved(savedCopy);
+    }
+
+    // -- peers
+
+    /**
+     * Adds the records of the newest manifest and versions at or after an offset, which are no longer in the topic copy
+     * if an older one was written after them. The records are in order of offset: otherwise the reader would apply the
+     * older ones and skip the newer ones.
+     */
+    List<StoredRecord> withReplaced(Collection<StoredRecord> records, long offset) {
+        Stream<StoredRecord> newest =
+                Stream.concat(manifests.activeRecordFrom(offset).stream(), targets.newestRecords(offset).stream());
+        return Stream.concat(records.stream(), newest)
+                .distinct()
+                .sorted(Comparator.comparingLong(StoredRecord::offset))
+                .toList();
+    }
+}
--- a/src/main/java/org/micabarrow/views/VersionPersistence.java
+++ b/src/main/java/org/micabarrow/views/VersionPersistence.java
@@ -15,127 +15,147 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps in the store which weight versions were named and when, one key a version, and where the newest manifest stands, and
- * recalls them at the start. The operator's own
- * record of a model does not tell this: a write that got no answer may be done seconds later, after the write of a newer
- * version, so that the newest record names an older version. A set of keys is the same in whatever order and however often its
- * members are written. Guards against endpoints that take up, and go on answering by, an older version after every process has
- * started again, and against processes that start with an older manifest than the others go by.
+ * Saves named weight versions, the time at which they were named, and the position of the newest manifest in the store,
+ * each under its own key, and restores them at startup. The operator's own record of a model is not sufficient: a write
+ * whose response was lost may take effect seconds later, after the write of a newer version, so that the latest record
+ * names an older version. A set of keys ends up the same regardless of the order and number of writes. This prevents
+ * endpoints from loading an older version and serving it after all processes have restarted, and prevents processes
+ * from starting with an older manifest than the others use.
  */
 public final class VersionPersistence implements TopicReader {
 
     private static final Logger LOG = LoggerFactory.getLogger(VersionPersistence.class);
 
     /**
-     * The pause between two looks, in milliseconds: a version is written half a second after it is known, and a store that does
-     * not answer is asked twice a second.
+     * The pause between two checks, in milliseconds: a version is saved half a second after it becomes known, and an
+     * unresponsive store is tried twice a second.
      */
-    private static final long LOOK_MILLIS = 500;
+    private static final long CHECK_INTERVAL_MILLIS = 500;
 
-    /** The last look after the start at which the versions are read again: a write comes up to 6 s late. */
-    private static final long LAST_LOOK_AFTER_START = 16;
+    /**
+     * The number of the last check after startup at which the saved versions are read again: a write may take effect up
+     * to 6 s late.
+     */
+    private static final long LAST_STARTUP_CHECK = 16;
 
-    /** How many looks a process waits for those that are to write: 5 s. They may be cut off or gone, and still be listed. */
-    private static final long LOOKS_FOR_OTHERS = 10;
+    /**
+     * How many checks a backup waits for the primary writers: 5 s. A primary may be disconnected or gone and still be
+     * listed.
+     */
+    private static final long BACKUP_DELAY_CHECKS = 10;
 
     private final TopicReader reader;
     private final VersionWriter writer;
-    private final ViewMaintainer keeper;
-    private final Supplier<Duty> duty;
-    private final Runnable askPeer;
-    private final AtomicBoolean recalled = new AtomicBoolean();
-    private long looks;
-    private long looksMissing;
-    private long looksLacking;
+    private final ViewMaintainer views;
+    private final Supplier<WriteRole> role;
+    private final Runnable requestFromPeer;
+    private final AtomicBoolean restored = new AtomicBoolean();
+    private long checks;
+    private long checksWithUnsaved;
+    private long checksWithoutManifest;
 
-    /** What a process does for the versions that it knows of; each costs calls of the store. */
-    public enum Duty {
-        /** Writes them at once: a few processes are enough. */
-        WRITES,
-        /** Writes them if nobody else has after a while: those that are to may be cut off or gone. */
-        STANDS_IN,
-        /** Leaves them to others. */
+    /** Whether a process saves the versions that it knows. Every write costs calls to the store. */
+    public enum WriteRole {
+        /** Saves versions at once. A few such processes are sufficient. */
+        PRIMARY,
+        /**
+         * Saves versions if no other process has done so after a while: the primary writers may be disconnected or
+         * gone.
+         */
+        BACKUP,
+        /** Never saves versions. */
         NONE
     }
 
-    /** Writes a version where {@link Topic#NAMED} is read from. */
+    /** Saves a version to the topic {@link Topic#NAMED}. */
     @FunctionalInterface
     public interface VersionWriter {
 
         /**
-         * Writes that a version was named, and drops keys that are of use no more. May be done any number of times.
+         * Saves that a version was named and deletes outdated keys. The operation is idempotent.
          *
-         * @param unkept the version
-         * @return the records as they lie in the topic, or why they may not lie there
+         * @param item the version or manifest position to save
+         * @return the records as stored in the topic, or why they may not have been stored
          */
-        Result<List<StoredRecord>> write(UnsavedItem unkept);
+        Result<List<StoredRecord>> write(UnsavedItem item);
     }
 
     /**
-     * Keeps the named versions of a process that has no peers.
+     * Creates an instance for a process without peers.
      *
      * @param reader reads the store
-     * @param writer writes versions
-     * @param keeper knows which versions were named
-     * @param writes whether this process is to write, else it stands in
+     * @param writer saves versions
+     * @param views knows which versions were named
+     * @param primary whether this process is a primary writer; otherwise it is a backup
      */
-    public VersionPersistence(TopicReader reader, VersionWriter writer, ViewMaintainer keeper, BooleanSupplier writes) {
-        this(reader, writer, keeper, () -> writes.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
+    public VersionPersistence(TopicReader reader, VersionWriter writer, ViewMaintainer views, BooleanSupplier primary) {
+        this(reader, writer, views, () -> primary.getAsBoolean() ? WriteRole.PRIMARY : WriteRole.BACKUP, () -> {});
     }
 
     /**
-     * Keeps the named versions of a process.
+     * Creates an instance.
      *
      * @param reader reads the store
-     * @param writer writes versions
-     * @param keeper knows which versions were named
-     * @param duty what this process does for the versions
-     * @param askPeer asks a peer for what operators wrote, from {@link ViewMaintainer#askFrom} on
+     * @param writer saves versions
+     * @param views knows which versions were named
+     * @param role whether this process saves versions
+     * @param requestFromPeer requests operator records from a peer, starting at {@link ViewMaintainer#peerReadOffset}
      */
     public VersionPersistence(
-            TopicReader reader, VersionWriter writer, ViewMaintainer keeper, Supplier<Duty> duty, Runnable askPeer) {
+            TopicReader reader,
+            VersionWriter writer,
+            ViewMaintainer views,
+            Supplier<WriteRole> role,
+            Runnable requestFromPeer) {
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.writer = Objects.requireNonNull(writer, "writer is null");
-        this.keeper = Objects.requireNonNull(keeper, "keeper is null");
-        this.duty = Objects.requireNonNull(duty, "duty is null");
-        this.askPeer = Objects.requireNonNull(askPeer, "askPeer is null");
+        this.views = Objects.requireNonNull(views, "views is null");
+        this.role = Objects.requireNonNull(role, "role is null");
+        this.requestFromPeer = Objects.requireNonNull(requestFromPeer, "requestFromPeer is null");
     }
 
     // -- reading
 
-    /** Reads the newest records; before those of operators, which may name an older version, the versions are recalled. */
+    /**
+     * Reads the latest records. Before operator records are read, which may name an older version, the saved versions
+     * are restored.
+     */
     @Override
-    public Result<Batch> newest(Topic topic) {
+    public Result<Batch> readLatest(Topic topic) {
         if (topic != Topic.OPERATOR) {
-            return reader.newest(topic);
+            return reader.readLatest(topic);
         }
-        recalled.set(false);
-        recall();
-        return reader.newest(topic).map(this::withHiddenManifest).map(this::asFarAsRecalled);
+        restored.set(false);
+        restore();
+        return reader.readLatest(topic).map(this::withReplacedManifest).map(this::withTimeIfRestored);
     }
 
-    /** Adds the newest manifest if it is not among the newest records, since an older one was written after it. */
-    private Batch withHiddenManifest(Batch batch) {
-        OptionalLong kept = keeper.lackingManifest();
-        if (kept.isEmpty() || batch.records().stream().anyMatch(record -> record.offset() == kept.getAsLong())) {
+    /** Adds the newest manifest if it is missing from the latest records because an older one was written after it. */
+    private Batch withReplacedManifest(Batch batch) {
+        OptionalLong missingOffset = views.missingManifestOffset();
+        if (missingOffset.isEmpty()
+                || batch.records().stream().anyMatch(record -> record.offset() == missingOffset.getAsLong())) {
             return batch;
         }
         List<StoredRecord> records = new ArrayList<>(batch.records());
-        records.addAll(hidden(kept.getAsLong()));
+        records.addAll(readManifest(missingOffset.getAsLong()));
         return new Batch(records, batch.end(), batch.asOfMillis());
     }
 
-    /** The manifest at an offset, from the store's history; a peer is asked for it if the history is gone. */
-    private List<StoredRecord> hidden(long offset) {
-        List<StoredRecord> found = history(offset);
-        if (found.isEmpty()) {
-            askPeer.run();
+    /**
+     * Returns the manifest at an offset from the store's history, or requests it from a peer if it is no longer in the
+     * history.
+     */
+    private List<StoredRecord> readManifest(long offset) {
+        List<StoredRecord> records = readHistory(offset);
+        if (records.isEmpty()) {
+            requestFromPeer.run();
         }
-        return found;
+        return records;
     }
 
-    private List<StoredRecord> history(long offset) {
-        return switch (reader.history(Topic.OPERATOR, offset)) {
+    private List<StoredRecord> readHistory(long offset) {
+        return switch (reader.readHistory(Topic.OPERATOR, offset)) {
             case Result.Success<Read>(Read.Records(Batch batch)) ->
                 batch.records().stream()
                         .filter(record -> record.offset() == offset)
@@ -150,108 +170,115 @@
 
     @Override
     public Result<Read> read(Topic topic, long from, Duration wait) {
-        return reader.read(topic, from, wait).map(this::asFarAsRecalled);
+        return reader.read(topic, from, wait).map(this::withTimeIfRestored);
     }
 
     @Override
-    public Result<Read> history(Topic topic, long from) {
-        return reader.history(topic, from);
+    public Result<Read> readHistory(Topic topic, long from) {
+        return reader.readHistory(topic, from);
     }
 
-    /** While it is not known what is kept, a newer manifest may be hidden: the records tell of no moment up to which all is known. */
-    private Read asFarAsRecalled(Read read) {
+    /**
+     * Removes the timestamp up to which all records are known while the saved items have not been read: a newer
+     * manifest may have been replaced by an older one.
+     */
+    private Read withTimeIfRestored(Read read) {
         return switch (read) {
-            case Read.Records(Batch batch) -> new Read.Records(asFarAsRecalled(batch));
+            case Read.Records(Batch batch) -> new Read.Records(withTimeIfRestored(batch));
             case Read.Expired expired -> expired;
         };
     }
 
-    private Batch asFarAsRecalled(Batch batch) {
-        return recalled.get() ? batch : new Batch(batch.records(), batch.end());
+    private Batch withTimeIfRestored(Batch batch) {
+        return restored.get() ? batch : new Batch(batch.records(), batch.end());
     }
 
     @Override
-    public boolean peersTell(Topic topic) {
-        return reader.peersTell(topic);
+    public boolean hasPeerUpdates(Topic topic) {
+        return reader.hasPeerUpdates(topic);
     }
 
-    private void recall() {
-        switch (reader.newest(Topic.NAMED)) {
+    private void restore() {
+        switch (reader.readLatest(Topic.NAMED)) {
             case Result.Success<Batch>(Batch batch) -> {
-                keeper.replace(Topic.NAMED, batch.records(), batch.end());
-                recalled.set(true);
+                views.replace(Topic.NAMED, batch.records(), batch.end());
+                restored.set(true);
             }
             case Result.Failure<Batch>(Fault fault) -> LOG.warn("event=versions_not_recalled why=\"{}\"", fault);
         }
     }
 
-    // -- keeping
+    // -- saving
 
-    /** Looks again and again, on a thread of its own, for as long as the process runs. */
+    /** Starts periodic checks on a separate thread, which run until the process ends. */
     public void start() {
-        RepeatedTasks.start("named-versions", LOOK_MILLIS, this::look);
+        RepeatedTasks.start("named-versions", CHECK_INTERVAL_MILLIS, this::check);
     }
 
-    /** Recalls the versions when it is time to, and writes those that are not known to lie in the store. */
-    void look() {
-        if (!keeper.knowsOperator()) {
+    /** Restores the saved versions when due, and saves those that are not known to be in the store. */
+    void check() {
+        if (!views.isOperatorLoaded()) {
             return;
         }
-        looks++;
-        boolean anyUnkept =
-                !keeper.unkept().isEmpty() || keeper.unkeptManifest().isPresent();
-        Duty now = anyUnkept ? duty.get() : Duty.NONE;
-        boolean missing = now != Duty.NONE && !keeper.unkept().isEmpty();
-        looksMissing = missing ? looksMissing + 1 : 0;
-        if (!recalled.get() || soonAfterStart() || looksMissing == LOOKS_FOR_OTHERS) {
-            recall();
+        checks++;
+        boolean anyUnsaved =
+                !views.unsavedVersions().isEmpty() || views.unsavedManifest().isPresent();
+        WriteRole activeRole = anyUnsaved ? role.get() : WriteRole.NONE;
+        boolean versionsUnsaved =
+                activeRole != WriteRole.NONE && !views.unsavedVersions().isEmpty();
+        checksWithUnsaved = versionsUnsaved ? checksWithUnsaved + 1 : 0;
+        if (!restored.get() || restoreDueAfterStartup() || checksWithUnsaved == BACKUP_DELAY_CHECKS) {
+            restore();
         }
-        if (recalled.get()) {
-            keep(now);
+        if (restored.get()) {
+            save(activeRole);
         }
-        regainManifest();
+        readMissingManifest();
     }
 
-    private void keep(Duty now) {
-        if (now == Duty.WRITES || now == Duty.STANDS_IN && looksMissing > LOOKS_FOR_OTHERS) {
-            keeper.unkept().forEach(this::write);
+    private void save(WriteRole activeRole) {
+        if (activeRole == WriteRole.PRIMARY
+                || activeRole == WriteRole.BACKUP && checksWithUnsaved > BACKUP_DELAY_CHECKS) {
+            views.unsavedVersions().forEach(this::write);
         }
-        if (now == Duty.WRITES) {
-            keeper.unkeptManifest().ifPresent(this::write);
+        if (activeRole == WriteRole.PRIMARY) {
+            views.unsavedManifest().ifPresent(this::write);
         }
     }
 
     /**
-     * Looks for a manifest that is known to be newer than the one in force: at the first look that lacks it, then at the second,
-     * the fourth and so on, since it may be gone with all that knew it.
+     * Tries to read a manifest that is known to be newer than the active one: at the first check at which it is
+     * missing, then at the second, the fourth and so on, because it may be lost together with all processes that had
+     * it.
      */
-    private void regainManifest() {
-        OptionalLong lacking = keeper.lackingManifest();
-        looksLacking = lacking.isPresent() ? looksLacking + 1 : 0;
-        if (lacking.isPresent() && Long.bitCount(looksLacking) == 1) {
-            LOG.warn("event=manifest_lacking offset={} looks={}", lacking.getAsLong(), looksLacking);
-            keeper.apply(Topic.OPERATOR, hidden(lacking.getAsLong()), 0);
+    private void readMissingManifest() {
+        OptionalLong missingOffset = views.missingManifestOffset();
+        checksWithoutManifest = missingOffset.isPresent() ? checksWithoutManifest + 1 : 0;
+        if (missingOffset.isPresent() && Long.bitCount(checksWithoutManifest) == 1) {
+            LOG.warn("event=manifest_lacking offset={} looks={}", missingOffset.getAsLong(), checksWithoutManifest);
+            views.apply(Topic.OPERATOR, readManifest(missingOffset.getAsLong()), 0);
         }
     }
 
     /**
-     * A version may be kept after a process that starts has read what is kept, and before it reads the operator's record, which a
-     * late write replaced meanwhile. So it is read again 0.5, 2 and 8 s after the start.
+     * Returns whether the saved versions have to be read again. Another process may save a version after this process
+     * has read the saved versions at startup and before it reads the operator's record, which a late write has replaced
+     * in the meantime. So they are read again 0.5, 2 and 8 s after startup.
      */
-    private boolean soonAfterStart() {
-        return looks <= LAST_LOOK_AFTER_START
-                && Long.bitCount(looks) == 1
-                && Long.numberOfTrailingZeros(looks) % 2 == 0;
+    private boolean restoreDueAfterStartup() {
+        return checks <= LAST_STARTUP_CHECK
+                && Long.bitCount(checks) == 1
+                && Long.numberOfTrailingZeros(checks) % 2 == 0;
     }
 
-    private void write(UnsavedItem unkept) {
-        switch (writer.write(unkept)) {
+    private void write(UnsavedItem item) {
+        switch (writer.write(item)) {
             case Result.Success<List<StoredRecord>>(List<StoredRecord> records) -> {
-                keeper.apply(Topic.NAMED, records, 0);
-                LOG.info("event=version_kept key={}", unkept.key());
+                views.apply(Topic.NAMED, records, 0);
+                LOG.info("event=version_kept key={}", item.key());
             }
             case Result.Failure<List<StoredRecord>>(Fault fault) ->
-                LOG.warn("event=version_not_kept key={} why=\"{}\"", unkept.key(), fault);
+                LOG.warn("event=version_not_kept key={} why=\"{}\"", item.key(), fault);
         }
     }
 }
--- a/src/main/java/org/micabarrow/weights/ReplicaController.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -9,77 +9,90 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.View;
-import org.micabarrow.weights.ModelEndpoint.OrderEnd;
+import org.micabarrow.weights.ModelEndpoint.OrderOutcome;
 import org.micabarrow.weights.ModelEndpoint.Report;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings the endpoint beside an agent to the weight version that is wanted: fetches its chunks, lays them beside the
- * endpoint, reads all of them back, and orders the endpoint to take them up.
+ * Brings the endpoint beside an agent to the target weight version: fetches the chunks, stages them beside the
+ * endpoint, reads all of them back, and orders the endpoint to load them.
  */
 public final class ReplicaController {
 
     private static final Logger LOG = LoggerFactory.getLogger(ReplicaController.class);
 
-    /** How long chunks are laid in one step, in milliseconds: some two hundred at a usual endpoint, which takes one in a millisecond. */
-    private static final long LAYING_MILLIS = 250;
+    /**
+     * The maximum time for staging chunks in one step, in milliseconds: some two hundred chunks at a typical endpoint,
+     * which takes one in a millisecond.
+     */
+    private static final long STAGING_MILLIS = 250;
 
-    private final Parts parts;
+    private final Dependencies dependencies;
     private final Cordon cordon;
-    private final LaidChunks laid;
+    private final StagedChunks stagedChunks;
     private final VersionDeadlines deadlines;
     private final VersionFetches fetches;
     private final Retirement retirement;
-    private final VersionChoice choice;
+    private final TargetVersionSelector versionSelector;
     private final AtomicReference<Optional<Report>> report = new AtomicReference<>(Optional.empty());
 
     /**
-     * What a keeper works with.
+     * The collaborators of a controller.
      *
      * @param model the model that the endpoint runs, once the manifest is known
-     * @param layers how many layers the model has, 0 while that is not known
+     * @param layers the number of layers of the model, 0 while unknown
      * @param endpoint the endpoint
      * @param fetcher fetches chunks
-     * @param view what is believed of the store
-     * @param place the agent's place among those of its region
-     * @param tellEntries tells entries at once how the endpoint is
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param view the current view of the store
+     * @param regionPosition the agent's position among those of its region
+     * @param notifyEntries notifies entries immediately that the endpoint's state has changed
+     * @param maxStalenessMillis how long older versions may be served after a newer one was named
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public record Parts(
+    public record Dependencies(
             Supplier<Optional<String>> model,
             IntSupplier layers,
             ModelEndpoint endpoint,
             ChunkFetcher fetcher,
             Supplier<View> view,
-            Supplier<Place> place,
-            Runnable tellEntries,
-            long boundMillis,
-            LongSupplier steadyMillis) {}
+            Supplier<RegionPosition> regionPosition,
+            Runnable notifyEntries,
+            long maxStalenessMillis,
+            LongSupplier monotonicMillis) {}
 
     /**
-     * A place among the agents of a region.
+     * A position among the agents of a region.
      *
-     * @param position from 0
-     * @param count how many there are
+     * @param index the position, from 0
+     * @param count the number of agents
      */
-    public record Place(int position, int count) {}
+    public record RegionPosition(int index, int count) {}
 
     /**
-     * Makes a keeper.
+     * Creates a controller.
      *
-     * @param parts what it works with
+     * @param dependencies its collaborators
      */
-    public ReplicaController(Parts parts) {
-        this.parts = Objects.requireNonNull(parts, "parts is null");
-        this.cordon = new Cordon(parts.tellEntries());
-        this.laid = new LaidChunks(parts.endpoint());
-        this.deadlines = new VersionDeadlines(parts.view(), parts.layers(), parts.boundMillis(), parts.steadyMillis());
-        this.fetches = new VersionFetches(parts.fetcher(), deadlines, parts.steadyMillis());
-        this.choice = new VersionChoice(fetches, deadlines, parts.place(), parts.steadyMillis());
-        this.retirement =
-                new Retirement(parts.endpoint(), parts.layers(), laid, fetches, deadlines, parts.steadyMillis());
+    public ReplicaController(Dependencies dependencies) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+        this.cordon = new Cordon(dependencies.notifyEntries());
+        this.stagedChunks = new StagedChunks(dependencies.endpoint());
+        this.deadlines = new VersionDeadlines(
+                dependencies.view(),
+                dependencies.layers(),
+                dependencies.maxStalenessMillis(),
+                dependencies.monotonicMillis());
+        this.fetches = new VersionFetches(dependencies.fetcher(), deadlines, dependencies.monotonicMillis());
+        this.versionSelector = new TargetVersionSelector(
+                fetches, deadlines, dependencies.regionPosition(), dependencies.monotonicMillis());
+        this.retirement = new Retirement(
+                dependencies.endpoint(),
+                dependencies.layers(),
+                stagedChunks,
+                fetches,
+                deadlines,
+                dependencies.monotonicMillis());
     }
 
     /**
@@ -92,58 +105,62 @@
     }
 
     /**
-     * Whether entries are to send the endpoint nothing, because it is about to change versions.
+     * Whether entries must send the endpoint no requests because it is about to switch versions.
      *
-     * @return true from shortly before an order until the endpoint has taken the order or it is no longer wanted
+     * @return true from shortly before an order until the endpoint has accepted the order or it is no longer needed
      */
-    public boolean closing() {
-        return cordon.closed();
+    public boolean isCordoned() {
+        return cordon.isClosed();
     }
 
     /**
-     * Whether the endpoint gets requests, which use its instance's link too.
+     * Whether the endpoint may have requests, which share its instance's link.
      *
-     * @return true if it holds a weight version or still works
+     * @return true if it holds a weight version or has unfinished requests
      */
-    public boolean serves() {
+    public boolean mayHaveRequests() {
         return report.get()
-                .filter(now -> !now.models().isEmpty() || now.running() + now.queued() > 0)
+                .filter(latest -> !latest.models().isEmpty() || latest.running() + latest.queued() > 0)
                 .isPresent();
     }
 
     /**
-     * Whether there is nothing to fetch, to order or to stop: the endpoint serves the newest version that was named.
+     * Whether the endpoint serves the newest named version, so that there is nothing to fetch, to order or to stop.
      *
-     * @return false also while the endpoint does not answer, takes up weights, or is closed to requests
+     * @return false also while the endpoint does not answer, loads weights, or is cordoned
      */
-    public boolean settled() {
-        Optional<String> model = parts.model().get();
+    public boolean isUpToDate() {
+        Optional<String> model = dependencies.model().get();
         return model.isPresent()
-                && !cordon.closed()
+                && !cordon.isClosed()
                 && report.get()
-                        .filter(now -> !now.busy())
-                        .filter(now -> now.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
+                        .filter(latest -> !latest.busy())
+                        .filter(latest ->
+                                latest.models().getOrDefault(model.get(), 0L) >= deadlines.newest(model.get()))
                         .isPresent();
     }
 
     /**
-     * For how long the endpoint was to be stopped and could not be.
+     * For how long the endpoint should have been stopped but could not be.
      *
-     * @return the seconds since this agent's start, begun ones counted whole
+     * @return the seconds since this agent's start, rounded up
      */
     public long secondsNotRetired() {
-        return retirement.timesImpossible();
+        return retirement.impossibleCount();
     }
 
-    /** Asks the endpoint for a fresh report. */
+    /** Requests a new report from the endpoint. */
     public void refresh() {
         Optional<Report> before = report.get();
-        switch (parts.endpoint().report()) {
-            case Result.Success<Report>(Report now) -> {
-                report.set(Optional.of(now));
-                if (before.isEmpty() || !before.get().models().equals(now.models())) {
+        switch (dependencies.endpoint().report()) {
+            case Result.Success<Report>(Report latest) -> {
+                report.set(Optional.of(latest));
+                if (before.isEmpty() || !before.get().models().equals(latest.models())) {
                     LOG.info(
-                            "event=endpoint_holds models={} orders={} busy={}", now.models(), now.orders(), now.busy());
+                            "event=endpoint_holds models={} orders={} busy={}",
+                            latest.models(),
+                            latest.orderCount(),
+                            latest.busy());
                 }
             }
             case Result.Failure<Report>(Fault fault) -> {
@@ -164,118 +181,123 @@
      * @param version the version
      * @return the set, empty if this agent has none
      */
-    public Optional<ChunkSet> set(String model, long version) {
-        return fetches.set(model, version);
+    public Optional<ChunkSet> chunkSet(String model, long version) {
+        return fetches.chunkSet(model, version);
     }
 
     // -- bringing the endpoint up to date
 
     /**
-     * Fetches what is missing of the wanted version.
+     * Fetches the missing chunks of the target version.
      *
      * @throws InterruptedException if the thread is interrupted
      */
     public void fetch() throws InterruptedException {
-        Optional<String> model = parts.model().get();
-        Optional<Report> now = report.get();
-        if (model.isEmpty() || now.isEmpty()) {
+        Optional<String> model = dependencies.model().get();
+        Optional<Report> latest = report.get();
+        if (model.isEmpty() || latest.isEmpty()) {
             return;
         }
-        fetches.fetchFor(model.get(), now.get().models().getOrDefault(model.get(), 0L));
+        fetches.fetchNewerThan(model.get(), latest.get().models().getOrDefault(model.get(), 0L));
     }
 
     /**
-     * Takes the next step towards the newest version that is here whole, if there is one to take, and stops the endpoint when
-     * its version may no longer answer. Waits for nothing but the endpoint beside it.
+     * Takes the next step towards the newest complete version, if there is one, and stops the endpoint when its version
+     * may no longer be served. Makes no calls except to the endpoint on the same instance.
      */
     public void step() {
-        Optional<String> model = parts.model().get();
-        Optional<Report> now = report.get();
-        now.ifPresent(told -> retirement.holds(told.models()));
-        if (model.isEmpty() || now.isEmpty()) {
-            retirement.hindered(now.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
+        Optional<String> model = dependencies.model().get();
+        Optional<Report> latest = report.get();
+        latest.ifPresent(endpointReport -> retirement.updateHeld(endpointReport.models()));
+        if (model.isEmpty() || latest.isEmpty()) {
+            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
             return;
         }
-        if (laid.startedAgain(now.get().startedMillis())) {
-            // The order that it was closed for, if any, was for the endpoint's former start.
+        if (stagedChunks.detectRestart(latest.get().startedMillis())) {
+            // A closed cordon was for an order to the endpoint before its restart.
             cordon.lift();
-            retirement.startedAgain();
+            retirement.onRestart();
         }
-        // A busy endpoint takes no requests on the version before.
-        if (!now.get().busy()) {
-            long held = now.get().models().getOrDefault(model.get(), 0L);
-            advance(model.get(), choice.target(model.get(), held), held, now.get());
+        // A busy endpoint accepts no requests on its previous version.
+        if (!latest.get().busy()) {
+            long held = latest.get().models().getOrDefault(model.get(), 0L);
+            advance(model.get(), versionSelector.select(model.get(), held), held, latest.get());
         }
     }
 
-    private void advance(String model, Optional<ChunkSet> target, long held, Report now) {
-        target.ifPresent(this::lay);
-        Optional<ChunkSet> whole = target.filter(laid::all);
-        boolean late = deadlines.lastOrderPassed(model, held);
-        boolean retires = retirement.due(model, held) && (whole.isEmpty() || late);
-        boolean orders = target.filter(set -> ordersSoon(set, held)).isPresent();
-        if (!retires && !orders) {
+    private void advance(String model, Optional<ChunkSet> target, long held, Report latest) {
+        target.ifPresent(this::stageArrived);
+        Optional<ChunkSet> staged = target.filter(stagedChunks::isComplete);
+        boolean lastOrderPassed = deadlines.lastOrderPassed(model, held);
+        boolean retireDue = retirement.isDue(model, held) && (staged.isEmpty() || lastOrderPassed);
+        boolean orderDue = target.filter(set -> isOrderDueSoon(set, held)).isPresent();
+        if (!retireDue && !orderDue) {
             cordon.lift();
             return;
         }
-        // An endpoint that serves nothing gets no requests, so there is nothing to wait for; and an agent that has just
-        // started may have no time to wait.
-        boolean quiet =
-                held == 0 || cordon.closedLongEnough(parts.steadyMillis().getAsLong()) || retires && late;
-        if (quiet && whole.filter(laid::verify).isPresent()) {
-            order(whole.get(), now);
-        } else if (quiet && retires) {
-            retirement.retire(model, held, now);
+        // An endpoint that serves nothing gets no requests, so there is no need to wait for the cordon; and an agent
+        // that has just started may have no time to wait.
+        boolean cordonElapsed = held == 0
+                || cordon.closeAndCheckElapsed(dependencies.monotonicMillis().getAsLong())
+                || retireDue && lastOrderPassed;
+        if (cordonElapsed && staged.filter(stagedChunks::verifyAndRepair).isPresent()) {
+            order(staged.get(), latest);
+        } else if (cordonElapsed && retireDue) {
+            retirement.retire(model, held, latest);
             refresh();
         }
     }
 
-    /** Lays what has come, for a while: an endpoint that takes chunks slowly must not hold up what is due. */
-    private void lay(ChunkSet set) {
-        long until = parts.steadyMillis().getAsLong() + LAYING_MILLIS;
-        laid.layNew(set, () -> parts.steadyMillis().getAsLong() < until);
+    /**
+     * Stages the chunks that have arrived, for a limited time: an endpoint that accepts chunks slowly must not delay an
+     * order or a retirement that is due.
+     */
+    private void stageArrived(ChunkSet set) {
+        long endMillis = dependencies.monotonicMillis().getAsLong() + STAGING_MILLIS;
+        stagedChunks.stageNew(set, () -> dependencies.monotonicMillis().getAsLong() < endMillis);
     }
 
-    private boolean ordersSoon(ChunkSet set, long held) {
-        // Once it is closed it bears a chunk that comes late.
-        long soonMillis = cordon.closed() ? 2 * Cordon.MILLIS : Cordon.MILLIS;
-        return (laid.all(set) || missingMillis(set) <= soonMillis)
-                && parts.steadyMillis().getAsLong() + Cordon.MILLIS >= orderAt(set.model(), held);
+    private boolean isOrderDueSoon(ChunkSet set, long held) {
+        // A closed cordon tolerates a chunk that arrives late.
+        long soonMillis = cordon.isClosed() ? 2 * Cordon.LEAD_MILLIS : Cordon.LEAD_MILLIS;
+        return (stagedChunks.isComplete(set) || remainingMillis(set) <= soonMillis)
+                && dependencies.monotonicMillis().getAsLong() + Cordon.LEAD_MILLIS >= orderAt(set.model(), held);
     }
 
     /**
-     * How long it takes until a version is laid. Counted from the fetching, not from the laying: a version that came while the
-     * one before it was laid is laid in an instant so far, and requests were kept away for up to 2.2 s before its last chunks.
+     * The expected time until a version is staged, in milliseconds. Based on the fetch rate, not on the staging rate: a
+     * version that was fetched while the previous one was being staged has most of its chunks staged in an instant,
+     * which made the estimate too short, and requests were kept away for up to 2.2 s before its last chunks.
      */
-    private long missingMillis(ChunkSet set) {
-        return fetches.expectedMillis(set, laid.missing(set));
+    private long remainingMillis(ChunkSet set) {
+        return fetches.expectedMillis(set, stagedChunks.missingCount(set));
     }
 
-    /** When to order: at once if the endpoint serves nothing, else at this agent's turn. */
+    /** When to give the order: immediately if the endpoint serves nothing, else at this agent's scheduled time. */
     private long orderAt(String model, long held) {
         return held == 0
                 ? Long.MIN_VALUE
-                : deadlines.orderAt(model, held, parts.place().get());
+                : deadlines.orderAt(model, held, dependencies.regionPosition().get());
     }
 
-    private void order(ChunkSet set, Report now) {
-        if (retirement.distrusts(set, now)) {
-            retirement.giveUp(set, now);
+    private void order(ChunkSet set, Report latest) {
+        if (retirement.mayHoldUnverifiedLayers(set, latest)) {
+            retirement.discardLayers(set, latest);
             refresh();
             return;
         }
-        Result<OrderEnd> end = parts.endpoint().start(set.model(), set.version(), now.orders());
-        LOG.info("event=ordered model={} version={} end={}", set.model(), set.version(), end);
+        Result<OrderOutcome> outcome = dependencies.endpoint().load(set.model(), set.version(), latest.orderCount());
+        LOG.info("event=ordered model={} version={} end={}", set.model(), set.version(), outcome);
         refresh();
     }
 
-    // -- handing out what the endpoint holds since before this agent started
+    // -- serving chunks that the endpoint held before this agent started
 
-    /** Reads the version that the endpoint holds back from where it lies, so that other agents can have it. */
+    /** Reads the staged chunks of the version that the endpoint holds, so that other agents can fetch them. */
     public void readBack() {
-        parts.model().get().ifPresent(model -> {
+        dependencies.model().get().ifPresent(model -> {
             long held = report.get()
-                    .map(now -> now.models().getOrDefault(model, 0L))
+                    .map(latest -> latest.models().getOrDefault(model, 0L))
                     .orElse(0L);
             if (held > 0) {
                 readBack(model, held);
@@ -284,9 +306,9 @@
     }
 
     private void readBack(String model, long held) {
-        if (set(model, held).isPresent()) {
+        if (chunkSet(model, held).isPresent()) {
             return;
         }
-        fetches.setFor(model, held).toOptional().ifPresent(laid::readInto);
+        fetches.findOrCreate(model, held).toOptional().ifPresent(stagedChunks::readInto);
     }
 }
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -7,139 +7,163 @@
 import java.util.stream.LongStream;
 import org.micabarrow.views.View;
 
-/** Which weight version is wanted, and until when endpoints may serve the ones before. Safe for any number of threads. */
+/** The target weight version, and until when endpoints may serve older ones. Thread-safe. */
 final class VersionDeadlines {
 
-    /** The version that a model has before any was named. */
+    /** The version of a model before any was named. */
     private static final long FIRST_VERSION = 1;
 
-    /** The part of the bound after which an endpoint whose newer version is not here whole must stop serving the older. */
-    private static final double RETIRE_PART = 0.84;
+    /**
+     * The fraction of the staleness limit after which an endpoint must stop serving the older version if no newer one
+     * is complete.
+     */
+    private static final double RETIRE_FRACTION = 0.84;
 
-    /** The place of the agent that orders last. */
-    private static final ReplicaController.Place LAST = new ReplicaController.Place(1, 2);
+    /** The position of the agent that gives its order last. */
+    private static final ReplicaController.RegionPosition LAST_POSITION = new ReplicaController.RegionPosition(1, 2);
 
-    /** How long after its turn an agent whose chunks had turned bad may still order, in milliseconds: two passes over them. */
-    private static final long READING_BACK_MILLIS = 200;
+    /**
+     * How long after its scheduled time an agent with corrupted chunks may still give its order, in milliseconds: two
+     * verification passes.
+     */
+    private static final long READ_BACK_MILLIS = 200;
 
     private final Supplier<View> view;
     private final IntSupplier layers;
-    private final long boundMillis;
-    private final LongSupplier steadyMillis;
+    private final long maxStalenessMillis;
+    private final LongSupplier monotonicMillis;
 
-    /** The newest version in use in a view. Agents look twenty times a second, and views change when an endpoint does. */
+    /**
+     * The newest version in use in a view. Cached, because agents check twenty times a second while views change only
+     * with an endpoint.
+     */
     private record InUse(View view, String model, int layers, long version) {}
 
     private volatile InUse inUse = new InUse(View.empty(), "", 0, 0);
 
     /**
-     * Makes the deadlines of an agent.
+     * Creates the deadlines for an agent.
      *
-     * @param view what is believed of the store
-     * @param layers how many layers the model has, 0 while that is not known
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param view the current view of the store
+     * @param layers the number of layers of the model, 0 while unknown
+     * @param maxStalenessMillis how long older versions may be served after a newer one was named
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    VersionDeadlines(Supplier<View> view, IntSupplier layers, long boundMillis, LongSupplier steadyMillis) {
+    VersionDeadlines(Supplier<View> view, IntSupplier layers, long maxStalenessMillis, LongSupplier monotonicMillis) {
         this.view = view;
         this.layers = layers;
-        this.boundMillis = boundMillis;
-        this.steadyMillis = steadyMillis;
+        this.maxStalenessMillis = maxStalenessMillis;
+        this.monotonicMillis = monotonicMillis;
     }
 
-    /** The newest version that was named, the first if none was. */
+    /** The newest named version; the first version if none was named. */
     long newest(String model) {
         return view.get().newestTarget(model).map(View.Target::version).orElse(FIRST_VERSION);
     }
 
-    /** The least version that an endpoint may still serve or take up, or has to in a while. */
-    long leastAllowed(String model, long aheadMillis) {
-        View now = view.get();
-        long due = now.leastVersion(model, retireMillis(), steadyMillis.getAsLong() + aheadMillis);
-        return sawNewestNamed(now, model) ? due : Math.max(due, newestInUse(now, model));
+    /** The minimum version that an endpoint may serve or load after {@code aheadMillis} milliseconds. */
+    long minAllowedVersion(String model, long aheadMillis) {
+        View current = view.get();
+        long minVersion = current.minVersion(model, retireAfterMillis(), monotonicMillis.getAsLong() + aheadMillis);
+        return sawNewestBeingNamed(current, model) ? minVersion : Math.max(minVersion, newestInUse(current, model));
     }
 
-    private static boolean sawNewestNamed(View now, String model) {
-        return now.newestTarget(model).filter(View.Target::seenNamed).isPresent();
+    private static boolean sawNewestBeingNamed(View current, String model) {
+        return current.newestTarget(model).filter(View.Target::namingObserved).isPresent();
     }
 
     /**
-     * The newest version that any endpoint holds with all layers. A process that found versions named at its start, or has read of
-     * none yet, cannot know for how long they have been; an endpoint takes at least 0.45 of the bound until it has a new one.
+     * The newest version of which any endpoint holds all layers. A process that found versions already named at its
+     * start, or has not read of any yet, cannot know how long ago they were named; an endpoint needs at least 0.45 of
+     * the staleness limit to load a new version.
      */
-    private long newestInUse(View now, String model) {
-        InUse known = inUse;
-        if (known.view() != now || !known.model().equals(model) || known.layers() != layers.getAsInt()) {
-            known = new InUse(now, model, layers.getAsInt(), newestHeld(now, model));
-            inUse = known;
+    private long newestInUse(View current, String model) {
+        InUse cached = inUse;
+        if (cached.view() != current || !cached.model().equals(model) || cached.layers() != layers.getAsInt()) {
+            cached = new InUse(current, model, layers.getAsInt(), newestHeld(current, model));
+            inUse = cached;
         }
-        return known.version();
+        return cached.version();
     }
 
-    private long newestHeld(View now, String model) {
-        return now.endpoints().values().stream()
+    private long newestHeld(View current, String model) {
+        return current.endpoints().values().stream()
                 .filter(endpoint -> endpoint.layers() >= layers.getAsInt())
                 .mapToLong(endpoint -> endpoint.models().getOrDefault(model, 0L))
                 .max()
                 .orElse(0);
     }
 
-    /** The version that was named first after one that may no longer answer, or else another that is known to be in use. */
-    long oldestNewer(String model, long version) {
+    /**
+     * The first version named after one that may no longer be served; if none is known, the minimum allowed version.
+     */
+    long firstNewer(String model, long version) {
         return view.get()
-                .newerNamed(model, version)
+                .nextTarget(model, version)
                 .map(View.Target::version)
-                .orElseGet(() -> leastAllowed(model, Cordon.MILLIS));
+                .orElseGet(() -> minAllowedVersion(model, Cordon.LEAD_MILLIS));
     }
 
-    /** A version that is not a certain one: the newest that was named, else the first of all; empty if that is the one. */
-    OptionalLong otherThan(String model, long version) {
+    /**
+     * Any version other than the given one: the newest named version, else the first version; empty if both are the
+     * given one.
+     */
+    OptionalLong anyOtherVersion(String model, long version) {
         return LongStream.of(newest(model), FIRST_VERSION)
                 .filter(other -> other != version)
                 .findFirst();
     }
 
-    /** When an endpoint must stop serving versions that are older than one. */
+    /** When an endpoint must stop serving versions that are older than the given one. */
     long retireAt(String model, long version) {
         return view.get()
-                .newerNamed(model, version - 1)
-                .map(named -> named.learnedMillis() + retireMillis())
+                .nextTarget(model, version - 1)
+                .map(target -> target.learnedAtMillis() + retireAfterMillis())
                 .orElse(Long.MIN_VALUE);
     }
 
-    /** Until when an endpoint may get new requests on a version; for ever if none newer was named. */
+    /**
+     * Until when an endpoint may get new requests on a version; practically unlimited if no newer version was named.
+     */
     long servesUntil(String model, long version) {
         return view.get()
-                .newerNamed(model, version)
-                .map(named -> named.learnedMillis() + retireMillis() - Cordon.MILLIS)
+                .nextTarget(model, version)
+                .map(target -> target.learnedAtMillis() + retireAfterMillis() - Cordon.LEAD_MILLIS)
                 .orElse(Long.MAX_VALUE / 2);
     }
 
-    private long retireMillis() {
-        return Math.round(boundMillis * RETIRE_PART);
+    private long retireAfterMillis() {
+        return Math.round(maxStalenessMillis * RETIRE_FRACTION);
     }
 
-    /** The oldest version that is newer than the one held, older than the newest, and good to answer; empty if there is none. */
-    OptionalLong olderThanNewest(String model, long held) {
-        View now = view.get();
+    /**
+     * The oldest version that is newer than the held one, older than the newest, and may still be served; empty if
+     * there is none.
+     */
+    OptionalLong oldestUsableBeforeNewest(String model, long held) {
+        View current = view.get();
         long newest = newest(model);
-        long least = now.leastVersion(model, boundMillis, steadyMillis.getAsLong());
-        return now.newerNamed(model, held).stream()
+        long minVersion = current.minVersion(model, maxStalenessMillis, monotonicMillis.getAsLong());
+        return current.nextTarget(model, held).stream()
                 .mapToLong(View.Target::version)
-                .filter(version -> version < newest && version >= least)
+                .filter(version -> version < newest && version >= minVersion)
                 .findFirst();
     }
 
-    /** Whether even the last agent's turn to order a newer version than the one held has passed, and a pass of reading back. */
+    /**
+     * Whether the last scheduled time of any agent to order a version newer than the held one has passed, plus the time
+     * to read back corrupted chunks.
+     */
     boolean lastOrderPassed(String model, long held) {
-        return steadyMillis.getAsLong() >= orderAt(model, held, LAST) + READING_BACK_MILLIS;
+        return monotonicMillis.getAsLong() >= orderAt(model, held, LAST_POSITION) + READ_BACK_MILLIS;
     }
 
-    /** When an agent's turn is to order its endpoint to take up a newer version than the one held. */
-    long orderAt(String model, long held, ReplicaController.Place place) {
+    /** When an agent is scheduled to order its endpoint to load a version newer than the held one. */
+    long orderAt(String model, long held, ReplicaController.RegionPosition position) {
         return view.get()
-                .newerNamed(model, held)
-                .map(newer -> OrderTimes.at(newer.learnedMillis(), boundMillis, place.position(), place.count()))
+                .nextTarget(model, held)
+                .map(target -> OrderSchedule.orderMillis(
+                        target.learnedAtMillis(), maxStalenessMillis, position.index(), position.count()))
                 .orElse(Long.MIN_VALUE);
     }
 }
--- a/src/main/java22/org/micabarrow/clock/BootClock.java
+++ b/src/main/java22/org/micabarrow/clock/BootClock.java
@@ -11,27 +11,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The clock that counts from the start of the instance, suspensions included, as the C library of Linux has it. */
+/** The time since the instance was booted, including suspensions, read through the C library of Linux. */
 final class BootClock {
 
     private static final Logger LOG = LoggerFactory.getLogger(BootClock.class);
 
     /** {@code CLOCK_BOOTTIME} of Linux. */
-    private static final int BOOT_TIME = 7;
+    private static final int CLOCK_BOOTTIME = 7;
 
-    private static final long NANOS_A_SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final MethodHandle clockGettime;
 
-    /** A {@code timespec} of each thread: seconds and nanoseconds. */
-    private final ThreadLocal<MemorySegment> times =
+    /** The {@code timespec} of each thread: seconds and nanoseconds. */
+    private final ThreadLocal<MemorySegment> timespecs =
             ThreadLocal.withInitial(() -> Arena.ofAuto().allocate(2 * ValueLayout.JAVA_LONG.byteSize()));
 
     private BootClock(MethodHandle clockGettime) {
         this.clockGettime = clockGettime;
     }
 
-    /** The clock in nanoseconds; empty if it cannot be read. */
+    /** Returns the clock in nanoseconds; empty if it cannot be read. */
     static Optional<LongSupplier> nanos() {
         try {
             Linker linker = Linker.nativeLinker();
@@ -49,19 +49,19 @@
     }
 
     private long read() {
-        MemorySegment time = times.get();
-        if (call(time) != 0) {
-            throw new IllegalStateException("the system has no clock that counts suspensions");
+        MemorySegment timespec = timespecs.get();
+        if (call(timespec) != 0) {
+            throw new IllegalStateException("clock_gettime(CLOCK_BOOTTIME) failed");
         }
-        return time.get(ValueLayout.JAVA_LONG, 0) * NANOS_A_SECOND
-                + time.get(ValueLayout.JAVA_LONG, ValueLayout.JAVA_LONG.byteSize());
+        return timespec.get(ValueLayout.JAVA_LONG, 0) * NANOS_PER_SECOND
+                + timespec.get(ValueLayout.JAVA_LONG, ValueLayout.JAVA_LONG.byteSize());
     }
 
-    private int call(MemorySegment time) {
+    private int call(MemorySegment timespec) {
         try {
-            return (int) clockGettime.invokeExact(BOOT_TIME, time);
+            return (int) clockGettime.invokeExact(CLOCK_BOOTTIME, timespec);
         } catch (Throwable e) {
-            // The signature says that anything may be thrown; a function of the C library throws nothing.
+            // MethodHandle declares Throwable; a function of the C library throws nothing.
             throw new IllegalStateException("clock_gettime", e);
         }
     }
--- a/src/test/java/org/micabarrow/admission/OccupiedSlotTest.java
+++ b/src/test/java/org/micabarrow/admission/OccupiedSlotTest.java
@@ -11,36 +11,39 @@
 import org.micabarrow.limits.EntryCount;
 import org.micabarrow.routing.EndpointLoad;
 
-/** What one sending takes at its endpoint after each row of steps. */
+/** Checks the endpoint's load after each sequence of steps, and at each notification of freed capacity. */
 class OccupiedSlotTest {
 
     private static final int PROMPT = 70;
 
     private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
-    private final List<String> looks = new ArrayList<>();
+    private final List<String> notifications = new ArrayList<>();
 
     @ParameterizedTest
     @CsvSource({
-        // steps,     idle,  prompt left, begun, what each look through the line sees
-        "-,           false, 70,          false, ''",
-        "read,        false, 0,           true,  taken:0",
-        "read read,   false, 0,           true,  taken:0",
-        "read free,   true,  0,           true,  taken:0 free:0",
-        "free,        true,  0,           true,  taken:0 free:0"
+        // steps,     idle,  pending prompt, started, state at each notification
+        "-,         false, 70,             false,   ''",
+        "read,      false, 0,              true,    taken:0",
+        "read read, false, 0,              true,    taken:0",
+        "read free, true,  0,              true,    taken:0 free:0",
+        "free,      true,  0,              true,    taken:0 free:0"
     })
-    void shouldFreePromptFirstAndThenPlace(String steps, boolean idle, int prompt, boolean begun, String seen) {
-        OccupiedSlot room = new OccupiedSlot(
-                load, PROMPT, () -> looks.add((load.idle() ? "free:" : "taken:") + load.ownPromptTokens()));
+    void shouldReleasePromptBeforeSlot(
+            String steps, boolean idle, int pendingPrompt, boolean started, String expected) {
+        OccupiedSlot slot = new OccupiedSlot(
+                load,
+                PROMPT,
+                () -> notifications.add((load.idle() ? "free:" : "taken:") + load.ownPendingPromptTokens()));
         for (String step : steps.split(" ")) {
             switch (step) {
-                case "read" -> room.promptRead();
-                case "free" -> room.free();
+                case "read" -> slot.promptRead();
+                case "free" -> slot.release();
                 default -> {}
             }
         }
         assertEquals(idle, load.idle());
-        assertEquals(prompt, load.ownPromptTokens());
-        assertEquals(begun, room.begun());
-        assertEquals(seen, String.join(" ", looks));
+        assertEquals(pendingPrompt, load.ownPendingPromptTokens());
+        assertEquals(started, slot.started());
+        assertEquals(expected, String.join(" ", notifications));
     }
 }
--- a/src/test/java/org/micabarrow/limits/RateLimitRelayTest.java
+++ b/src/test/java/org/micabarrow/limits/RateLimitRelayTest.java
@@ -15,43 +15,45 @@
 
     private final RateLimitRelay relay = new RateLimitRelay();
 
-    private static RateLimitUpdate named(double perSecond, int millisAgo) {
+    private static RateLimitUpdate stated(double perSecond, int millisAgo) {
         return new RateLimitUpdate(ENDPOINT, OptionalDouble.of(perSecond), millisAgo);
     }
 
     @Test
-    void shouldPassOnWhatWasHeardLast() {
-        relay.told(named(1, 50), NOW);
-        relay.told(named(2, 100), NOW);
-        assertEquals(Optional.of(named(1, 80)), relay.word(NOW + 30));
-        relay.told(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 10), NOW);
-        assertEquals(Optional.of(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 40)), relay.word(NOW + 30));
+    void shouldPassOnNewestObservation() {
+        relay.received(stated(1, 50), NOW);
+        relay.received(stated(2, 100), NOW);
+        assertEquals(Optional.of(stated(1, 80)), relay.update(NOW + 30));
+        relay.received(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 10), NOW);
+        assertEquals(Optional.of(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 40)), relay.update(NOW + 30));
     }
 
     @Test
-    void shouldPassNothingOnWhenNothingWasHeardForLong() {
-        assertEquals(Optional.empty(), relay.word(NOW));
-        relay.told(named(1, 0), NOW);
-        assertEquals(Optional.empty(), relay.word(NOW + EndpointRateLimit.COUNTED_MILLIS + 1));
+    void shouldPassNothingOnWhenObservationHasExpired() {
+        assertEquals(Optional.empty(), relay.update(NOW));
+        relay.received(stated(1, 0), NOW);
+        assertEquals(Optional.empty(), relay.update(NOW + EndpointRateLimit.EXPIRY_MILLIS + 1));
     }
 
     @Test
-    void shouldTakeReportsThatNameNoLimitForAnEndOnlyWhenOneDidBefore() {
-        relay.told(named(1, 0), NOW);
+    void shouldTreatReportWithoutLimitAsLiftedOnlyWhenPreviousReportHadOne() {
+        relay.received(stated(1, 0), NOW);
         relay.reported(OptionalDouble.empty(), NOW + 100);
-        assertTrue(relay.word(NOW + 100).orElseThrow().perSecond().isPresent(), "reports need not name limits");
+        assertTrue(relay.update(NOW + 100).orElseThrow().perSecond().isPresent(), "reports need not state limits");
         relay.reported(OptionalDouble.of(2), NOW + 200);
-        assertEquals(OptionalDouble.of(2), relay.word(NOW + 200).orElseThrow().perSecond());
+        assertEquals(OptionalDouble.of(2), relay.update(NOW + 200).orElseThrow().perSecond());
         relay.reported(OptionalDouble.empty(), NOW + 300);
-        assertFalse(relay.word(NOW + 300).orElseThrow().perSecond().isPresent());
+        assertFalse(relay.update(NOW + 300).orElseThrow().perSecond().isPresent());
     }
 
     @Test
-    void shouldTellWhichEndpointWasHeard() {
-        relay.told(named(1, 0), NOW);
-        assertTrue(relay.word(NOW).orElseThrow().isOf("a"));
-        assertFalse(relay.word(NOW).orElseThrow().isOf("b"), "another one at the same address");
+    void shouldIdentifyEndpointOfObservation() {
+        relay.received(stated(1, 0), NOW);
+        assertTrue(relay.update(NOW).orElseThrow().concerns("a"));
+        assertFalse(relay.update(NOW).orElseThrow().concerns("b"), "another endpoint at the same address");
         relay.reported(OptionalDouble.of(2), NOW + 1);
-        assertTrue(relay.word(NOW + 1).orElseThrow().isOf("b"), "the agent reports of whichever is beside it");
+        assertTrue(
+                relay.update(NOW + 1).orElseThrow().concerns("b"),
+                "a report concerns whichever endpoint is beside the agent");
     }
 }
--- a/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
@@ -22,7 +22,8 @@
 
     private static final RequestDigest ONE = new RequestDigest("1".repeat(32));
     private static final RequestDigest OTHER = new RequestDigest("2".repeat(32));
-    private static final CrashUpdate CRASH = new CrashUpdate.Crashed(new EndpointCrash("e@7", Set.of(ONE), Set.of(OTHER)));
+    private static final CrashUpdate CRASH =
+            new CrashUpdate.Crashed(new EndpointCrash("e@7", Set.of(ONE), Set.of(OTHER)));
 
     private final HttpCaller caller = HttpCaller.start("records", 1);
 
--- a/src/test/java/org/micabarrow/platform/VersionRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/VersionRecordsTest.java
@@ -28,7 +28,8 @@
                     .write(new UnsavedItem.Weights(LONGEST_MODEL, 2, OptionalLong.empty(), List.of()))
                     .toOptional()
                     .isPresent();
-            boolean there = platform.store().written("keyed.micabarrow.versions", VersionKeys.of(LONGEST_MODEL, 2));
+            boolean there =
+                    platform.store().written("keyed.micabarrow.versions", VersionKeys.ofVersion(LONGEST_MODEL, 2));
             assertTrue(!written || there, "said to be written, and not there under its key");
         }
     }
--- a/src/test/java/org/micabarrow/process/HostedSoakTest.java
+++ b/src/test/java/org/micabarrow/process/HostedSoakTest.java
@@ -227,8 +227,8 @@
             holding(SPARED.get(random.nextInt(SPARED.size()))).ifPresent(old -> {
                 old.endpoint().endLimit();
                 limits.remove(old);
-                limits.add(
-                        new Limit(old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), MonotonicClock.millis()));
+                limits.add(new Limit(
+                        old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), MonotonicClock.millis()));
             });
         }
 
--- a/src/test/java/org/micabarrow/serving/CrashWatchTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashWatchTest.java
@@ -43,7 +43,7 @@
         asked.getFirst().accept(true);
         assertEquals(2, goneOn);
         assertEquals(List.of(crash(Set.of(ONE), Set.of(OTHER))), told);
-        assertEquals(1, book.known());
+        assertEquals(1, book.crashCount());
     }
 
     @Test
@@ -52,7 +52,7 @@
         asked.getFirst().accept(false);
         assertEquals(1, goneOn);
         assertEquals(List.of(), told);
-        assertEquals(0, book.known());
+        assertEquals(0, book.crashCount());
         watch.broke(ENDPOINT, ONE, false, () -> goneOn++);
         assertEquals(2, asked.size(), "the next break is looked into again");
     }
--- a/src/test/java/org/micabarrow/serving/FollowedStore.java
+++ b/src/test/java/org/micabarrow/serving/FollowedStore.java
@@ -17,7 +17,7 @@
     /** Follows both topics, and waits until a manifest and an endpoint are known. */
     static void follow(HttpCaller caller, HostedSettings settings, Duration within, ViewMaintainer views) {
         StoreClient store = new StoreClient(caller, settings.store(), within);
-        StoreFollower.Pace pace = new StoreFollower.Pace(Duration.ofMillis(200), Duration.ZERO);
+        StoreFollower.PollTiming pace = new StoreFollower.PollTiming(Duration.ofMillis(200), Duration.ZERO);
         new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, pace).start();
         new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, pace).start();
         Await.until(
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -62,7 +62,7 @@
 
     /** The agent beside an endpoint tells that this is idle and which weight version it holds. */
     final void idleWith(String endpoint, long version) {
-        choice.load(endpoint).told(new LoadReport(0, 0, false, version), 0, clockMillis.get());
+        choice.load(endpoint).reported(new LoadReport(0, 0, false, version), 0, clockMillis.get());
     }
 
     /** Starts to serve, and waits until a manifest and an endpoint are known. */
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -29,6 +29,8 @@
 import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.routing.ModelProfile;
@@ -174,7 +176,7 @@
     @Test
     void shouldSendPromptTokensOfEndpointWhenNoRoundHasIncludedItYet() throws Exception {
         worker.getIoThread().execute(() -> {
-            choice.load("a").began(100);
+            choice.load("a").requestSent(100);
             feed.ask(endpoint, inTime -> {});
         });
         DatagramPacket packet = receiveQuery();
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunksTest.java
@@ -14,7 +14,7 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Result;
-import org.micabarrow.weights.ChunkPeers.Numbered;
+import org.micabarrow.weights.ChunkPeers.IndexedChunk;
 
 /** How an agent is treated that leaves a request for chunks without a response. */
 class PeerChunksTest {
@@ -63,7 +63,7 @@
     private Result<Numbered> request(PeerChunks peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
-        return peers.anyOf(relay.address(), "m", 2, wanted);
+        return peers.fetchAnyOf(relay.address(), "m", 2, wanted);
     }
 
     private static Optional<Integer> index(Result<Numbered> response) {
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -18,11 +18,13 @@
 import org.micabarrow.views.TopicReader.Batch;
 import org.micabarrow.views.TopicReader.Read;
 
-/** When the store is read, and when peers are asked, through outages, expired history and lost answers. */
+/**
+ * Tests when the store is read and when peers are queried during outages, with expired history and with lost responses.
+ */
 class StoreFollowerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -32,163 +34,166 @@
         return record("config", offset, "{\"version\":" + version + ",\"routes\":[],\"services\":[]}");
     }
 
-    private long version() {
-        return keeper.view().manifest().orElseThrow().version();
+    private long manifestVersion() {
+        return views.view().manifest().orElseThrow().version();
     }
 
     private final class FakeReader implements TopicReader {
 
         private boolean down;
         private boolean expired;
-        private boolean silentOnce;
-        private boolean brokenOnce;
-        private boolean peersTell;
+        private boolean timeOutOnce;
+        private boolean throwOnce;
+        private boolean peerUpdates;
 
-        /** Whether to hold a read that finds nothing, as a store does; else a follower on a thread of its own never rests. */
-        private boolean holding;
+        /**
+         * Whether to hold a read that finds no records, as a store does. Without a hold, a follower on its own thread
+         * never pauses.
+         */
+        private boolean holdReads;
 
         private Fault.Reason reason = Fault.Reason.TIMEOUT;
         private final List<Long> readFrom = new ArrayList<>();
         private final List<Duration> holds = new ArrayList<>();
 
         @Override
-        public Result<Batch> newest(Topic topic) {
-            if (brokenOnce) {
-                brokenOnce = false;
-                throw new IllegalStateException("a fault of the program");
+        public Result<Batch> readLatest(Topic topic) {
+            if (throwOnce) {
+                throwOnce = false;
+                throw new IllegalStateException("simulated failure");
             }
-            return down ? failed() : Result.success(new Batch(List.of(manifest(4, 6)), 10));
+            return down ? failure() : Result.success(new Batch(List.of(manifest(4, 6)), 10));
         }
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration hold) {
             readFrom.add(from);
             holds.add(hold);
-            if (holding) {
+            if (holdReads) {
                 LockSupport.parkNanos(hold.toNanos());
             }
             if (down) {
-                return failed();
+                return failure();
             }
-            if (silentOnce) {
-                silentOnce = false;
-                return failed();
+            if (timeOutOnce) {
+                timeOutOnce = false;
+                return failure();
             }
             return Result.success(expired ? new Read.Expired() : new Read.Records(new Batch(List.of(), from)));
         }
 
         @Override
-        public boolean peersTell(Topic topic) {
-            return peersTell;
+        public boolean hasPeerUpdates(Topic topic) {
+            return peerUpdates;
         }
 
-        private <T> Result<T> failed() {
+        private <T> Result<T> failure() {
             return Result.failure(Fault.of(Fault.Step.LOG, "store", reason, "down"));
         }
     }
 
     private final FakeReader reader = new FakeReader();
-    private final List<Topic> asked = new ArrayList<>();
+    private final List<Topic> queriedTopics = new ArrayList<>();
     private final StoreFollower follower = new StoreFollower(
             Topic.OPERATOR,
             reader,
-            keeper,
-            asked::add,
-            new StoreFollower.Pace(Duration.ofMillis(10), Duration.ofMillis(5)));
+            views,
+            queriedTopics::add,
+            new StoreFollower.PollTiming(Duration.ofMillis(10), Duration.ofMillis(5)));
 
     @Test
-    void shouldReadOnFromEndOfNewest() {
-        follower.once();
-        assertEquals(4, version());
-        follower.once();
+    void shouldContinueFromEndOfLatestRecords() {
+        follower.readOnce();
+        assertEquals(4, manifestVersion());
+        follower.readOnce();
         assertEquals(List.of(10L), reader.readFrom);
     }
 
     @Test
-    void shouldGoOnFollowingWhenOneReadFailsByFaultOfProgram() {
-        reader.brokenOnce = true;
-        reader.holding = true;
+    void shouldContinueWhenOneReadThrows() {
+        reader.throwOnce = true;
+        reader.holdReads = true;
         follower.start();
-        Await.until("the next read", () -> keeper.view().manifest().isPresent());
-        assertEquals(4, version());
+        Await.until("the next read", () -> views.view().manifest().isPresent());
+        assertEquals(4, manifestVersion());
     }
 
     @Test
-    void shouldAskPeerWhileStoreIsDown() {
+    void shouldQueryPeerWhileStoreIsDown() {
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next try");
-        assertEquals(List.of(Topic.OPERATOR), asked);
+        assertTrue(follower.readOnce() > 0, "it pauses before the next read");
+        assertEquals(List.of(Topic.OPERATOR), queriedTopics);
         reader.down = false;
-        follower.once();
-        assertEquals(4, version());
-        assertEquals(1, asked.size());
+        follower.readOnce();
+        assertEquals(4, manifestVersion());
+        assertEquals(1, queriedTopics.size());
     }
 
     @Test
-    void shouldReadAgainAtOnceWhenOneReadStaysWithoutAnswer() {
-        follower.once();
-        reader.silentOnce = true;
-        follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "the store may answer on a new connection");
+    void shouldRetryAtOnceWhenOneReadTimesOut() {
+        follower.readOnce();
+        reader.timeOutOnce = true;
+        follower.readOnce();
+        assertEquals(List.of(10L, 10L), reader.readFrom, "the store may respond on a new connection");
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), queriedTopics);
     }
 
     @Test
-    void shouldReadAgainAtOnceWhenConnectionOfOneReadWasReset() {
-        follower.once();
+    void shouldRetryAtOnceWhenConnectionWasReset() {
+        follower.readOnce();
         reader.reason = Fault.Reason.UNREACHABLE;
-        reader.silentOnce = true;
-        follower.once();
+        reader.timeOutOnce = true;
+        follower.readOnce();
         assertEquals(List.of(Duration.ofMillis(10), Duration.ZERO), reader.holds);
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), queriedTopics);
     }
 
     @Test
-    void shouldReadOnceInThreeTurnsWhileStoreStaysAway() {
-        follower.once();
+    void shouldReadInEveryThirdRoundWhileStoreIsUnreachable() {
+        follower.readOnce();
         reader.down = true;
-        assertTrue(follower.once() > 0, "it pauses before the next try");
+        assertTrue(follower.readOnce() > 0, "it pauses before the next read");
         assertEquals(List.of(10L, 10L), reader.readFrom);
-        follower.once();
-        follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three turns only a peer is asked");
-        follower.once();
-        assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "and once a turn in the third");
-        assertEquals(Collections.nCopies(4, Topic.OPERATOR), asked, "a peer is asked in each turn");
+        follower.readOnce();
+        follower.readOnce();
+        assertEquals(List.of(10L, 10L), reader.readFrom, "in two of three rounds only a peer is queried");
+        follower.readOnce();
+        assertEquals(List.of(10L, 10L, 10L), reader.readFrom, "in the third round the store is read once");
+        assertEquals(Collections.nCopies(4, Topic.OPERATOR), queriedTopics, "a peer is queried in each round");
     }
 
-    /** An entry that comes back from being cut off hears from agents before its next read of the store is due. */
+    /** An entry that was disconnected receives updates from agents before its next read of the store is due. */
     @Test
-    void shouldReadInNextTurnWhenPeersTellAgain() {
-        follower.once();
+    void shouldReadInNextRoundWhenPeersSendUpdatesAgain() {
+        follower.readOnce();
         reader.down = true;
-        follower.once();
-        reader.peersTell = true;
+        follower.readOnce();
+        reader.peerUpdates = true;
         reader.down = false;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L, 10L, 10L), reader.readFrom);
-        assertTrue(follower.inTouch());
+        assertTrue(follower.isConnected());
     }
 
     @Test
-    void shouldNotReadAgainAtOnceWhenStoreRefuses() {
-        follower.once();
+    void shouldNotRetryAtOnceWhenStoreRefuses() {
+        follower.readOnce();
         reader.down = true;
         reader.reason = Fault.Reason.OVERLOADED;
-        follower.once();
+        follower.readOnce();
         assertEquals(List.of(10L), reader.readFrom);
-        assertEquals(List.of(Topic.OPERATOR), asked);
+        assertEquals(List.of(Topic.OPERATOR), queriedTopics);
     }
 
     @Test
-    void shouldReadNewestAgainWhenHistoryExpired() {
-        follower.once();
+    void shouldReadLatestRecordsAgainWhenHistoryExpired() {
+        follower.readOnce();
         reader.expired = true;
-        follower.once();
+        follower.readOnce();
         reader.expired = false;
-        follower.once();
-        follower.once();
-        assertEquals(List.of(10L, 10L), reader.readFrom, "the third turn reads the newest again");
+        follower.readOnce();
+        follower.readOnce();
+        assertEquals(List.of(10L, 10L), reader.readFrom, "the third round reads the latest records again");
     }
 }
--- a/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkFetcherTest.java
@@ -17,94 +17,94 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** Whom an agent asks for the digests of a version while the origin is not to be had. */
+/** Which agents are queried for the digests of a version while the origin is unavailable. */
 class ChunkFetcherTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
-    private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
-    private static final Agent ALSO_NEAR = new Agent("10.0.0.3:7000", "region-a");
-    private static final Agent FAR = new Agent("10.1.0.1:7000", "region-b");
+    private static final Agent SAME_REGION = new Agent("10.0.0.2:7000", "region-a");
+    private static final Agent ALSO_SAME_REGION = new Agent("10.0.0.3:7000", "region-a");
+    private static final Agent OTHER_REGION = new Agent("10.1.0.1:7000", "region-b");
     private static final List<String> DIGESTS = List.of(Digest.of(new byte[] {1}), Digest.of(new byte[] {2}));
 
     private final FakePeers peers = new FakePeers();
 
-    /** Peers of whom one has the digests. */
+    /** Peers of which one has the digests. */
     private static final class FakePeers implements ChunkPeers {
 
-        private final List<String> asked = new ArrayList<>();
+        private final List<String> queried = new ArrayList<>();
         private String holder = "nobody";
 
         @Override
         public Result<List<String>> digests(String agent, String model, long version) {
-            asked.add(agent);
-            return agent.equals(holder) ? Result.success(DIGESTS) : none(agent);
+            queried.add(agent);
+            return agent.equals(holder) ? Result.success(DIGESTS) : notFound(agent);
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            return none(agent);
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
+            return notFound(agent);
         }
     }
 
-    /** An origin that has nothing. */
+    /** An origin without any version. */
     private static final class EmptyOrigin implements WeightOrigin {
 
         @Override
         public Result<List<String>> digests(String address, String model, long version) {
-            return none(address);
+            return notFound(address);
         }
 
         @Override
         public Result<byte[]> chunk(String address, String model, long version, int index) {
-            return none(address);
+            return notFound(address);
         }
     }
 
-    private static <T> Result<T> none(String whom) {
-        return Result.failure(Fault.of(Fault.Step.FETCH, whom, Fault.Reason.NOT_FOUND, "none"));
+    private static <T> Result<T> notFound(String peer) {
+        return Result.failure(Fault.of(Fault.Step.FETCH, peer, Fault.Reason.NOT_FOUND, "none"));
     }
 
-    private ChunkFetcher fetcher(FollowedSources sources) {
-        return new ChunkFetcher(new ChunkFetcher.Parts(
+    private ChunkFetcher fetcher(ChunkSourcesCache sources) {
+        return new ChunkFetcher(new ChunkFetcher.Dependencies(
                 peers, new EmptyOrigin(), () -> Optional.of("origin:80"), sources, bytes -> {}, () -> 0));
     }
 
     @Test
-    void shouldAskAgentsNearbyAndOneOfAnotherRegionWhenOriginHasNoDigests() {
-        List<Agent> agents = List.of(FAR, SELF, NEAR, ALSO_NEAR);
-        for (Agent self : List.of(SELF, NEAR, ALSO_NEAR)) {
-            peers.asked.clear();
-            fetcher(ChunkSources.following(self, () -> agents)).begin("m", 2);
-            assertEquals(3, peers.asked.size(), "asked by " + self);
-            assertEquals(FAR.address(), peers.asked.getLast(), "asked by " + self);
+    void shouldQueryAgentsOfSameRegionAndOneOfAnotherWhenOriginHasNoDigests() {
+        List<Agent> agents = List.of(OTHER_REGION, SELF, SAME_REGION, ALSO_SAME_REGION);
+        for (Agent self : List.of(SELF, SAME_REGION, ALSO_SAME_REGION)) {
+            peers.queried.clear();
+            fetcher(ChunkSources.cached(self, () -> agents)).createSet("m", 2);
+            assertEquals(3, peers.queried.size(), "queried by " + self);
+            assertEquals(OTHER_REGION.address(), peers.queried.getLast(), "queried by " + self);
             assertEquals(
-                    Set.of(SELF.address(), NEAR.address(), ALSO_NEAR.address(), FAR.address()),
-                    Stream.concat(peers.asked.stream(), Stream.of(self.address()))
+                    Set.of(SELF.address(), SAME_REGION.address(), ALSO_SAME_REGION.address(), OTHER_REGION.address()),
+                    Stream.concat(peers.queried.stream(), Stream.of(self.address()))
                             .collect(Collectors.toSet()));
         }
     }
 
     @Test
-    void shouldTakeDigestsOfFirstAgentThatHasThem() {
-        peers.holder = NEAR.address();
-        Result<ChunkSet> set =
-                fetcher(ChunkSources.following(SELF, () -> List.of(NEAR, FAR))).begin("m", 2);
+    void shouldReturnDigestsOfFirstAgentThatHasThem() {
+        peers.holder = SAME_REGION.address();
+        Result<ChunkSet> set = fetcher(ChunkSources.cached(SELF, () -> List.of(SAME_REGION, OTHER_REGION)))
+                .createSet("m", 2);
         assertEquals(DIGESTS, set.toOptional().orElseThrow().digests());
-        assertEquals(List.of(NEAR.address()), peers.asked);
+        assertEquals(List.of(SAME_REGION.address()), peers.queried);
     }
 
     @Test
-    void shouldSayWhyWhenNobodyHasDigests() {
-        Result<ChunkSet> set = fetcher(ChunkSources.following(SELF, List::of)).begin("m", 2);
+    void shouldFailWithCauseWhenNoSourceHasDigests() {
+        Result<ChunkSet> set = fetcher(ChunkSources.cached(SELF, List::of)).createSet("m", 2);
         assertTrue(set.cause().isPresent());
-        assertEquals(List.of(), peers.asked);
+        assertEquals(List.of(), peers.queried);
     }
 
     @Test
-    void shouldKeepSourcesOfVersionWhenDigestsOfAnotherAreAskedFor() {
-        FollowedSources sources = ChunkSources.following(SELF, () -> List.of(NEAR, FAR));
+    void shouldKeepCachedSourcesWhenDigestsOfAnotherVersionAreFetched() {
+        ChunkSourcesCache sources = ChunkSources.cached(SELF, () -> List.of(SAME_REGION, OTHER_REGION));
         ChunkSources before = sources.apply(DIGESTS.size());
-        fetcher(sources).begin("m", 2);
+        fetcher(sources).createSet("m", 2);
         assertSame(before, sources.apply(DIGESTS.size()));
     }
 }
--- a/src/test/java/org/micabarrow/weights/FetchRunTest.java
+++ b/src/test/java/org/micabarrow/weights/FetchRunTest.java
@@ -18,21 +18,21 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkSources.Agent;
 
-/** Whom an agent asks for chunks when the origin goes away for longer than agents wait for one another. */
+/** Which sources are used when the origin is unavailable for longer than agents wait for each other. */
 class FetchRunTest {
 
     private static final Agent SELF = new Agent("10.0.0.1:7000", "region-a");
-    private static final Agent NEAR = new Agent("10.0.0.2:7000", "region-a");
+    private static final Agent SAME_REGION = new Agent("10.0.0.2:7000", "region-a");
     private static final int CHUNKS = 8;
 
-    /** How far the clock goes on with each question. */
-    private static final long QUESTION_MILLIS = 100;
+    /** How far the clock advances with each request. */
+    private static final long REQUEST_MILLIS = 100;
 
-    /** For how many questions the origin is away: ten seconds of the clock. */
-    private static final int QUESTIONS_AWAY = 100;
+    /** The number of requests for which the origin is unavailable: ten seconds of the clock. */
+    private static final int FAILED_REQUESTS = 100;
 
     private final AtomicLong clock = new AtomicLong();
-    private final AtomicInteger askedInVain = new AtomicInteger();
+    private final AtomicInteger originRequests = new AtomicInteger();
     private final Set<Integer> fromOrigin = ConcurrentHashMap.newKeySet();
 
     private static byte[] chunk(int index) {
@@ -50,16 +50,16 @@
 
         @Override
         public Result<byte[]> chunk(String address, String model, long version, int index) {
-            clock.addAndGet(QUESTION_MILLIS);
-            if (askedInVain.incrementAndGet() <= QUESTIONS_AWAY) {
-                return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "away"));
+            clock.addAndGet(REQUEST_MILLIS);
+            if (originRequests.incrementAndGet() <= FAILED_REQUESTS) {
+                return Result.failure(Fault.of(Fault.Step.FETCH, address, Fault.Reason.UNREACHABLE, "unavailable"));
             }
             fromOrigin.add(index);
             return Result.success(FetchRunTest.chunk(index));
         }
     }
 
-    /** Waits for the origin itself, and gives its own chunks once that is back. */
+    /** A peer that waits for the origin too, and serves its own chunks once the origin is back. */
     private final class Peer implements ChunkPeers {
 
         @Override
@@ -68,25 +68,25 @@
         }
 
         @Override
-        public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
-            clock.addAndGet(QUESTION_MILLIS);
+        public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
+            clock.addAndGet(REQUEST_MILLIS);
             if (fromOrigin.size() < CHUNKS / 2) {
                 return Result.failure(Fault.of(Fault.Step.FETCH, agent, Fault.Reason.NOT_READY, "still fetching"));
             }
             int index = wanted.nextSetBit(0);
-            return Result.success(new Numbered(index, FetchRunTest.chunk(index)));
+            return Result.success(new IndexedChunk(index, FetchRunTest.chunk(index)));
         }
     }
 
     @Test
     @Timeout(60)
-    void shouldLeaveOthersChunksToThemWhenOriginComesBack() throws Exception {
-        FollowedSources sources = ChunkSources.following(SELF, () -> List.of(SELF, NEAR));
-        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Parts(
+    void shouldFetchOnlyOwnChunksFromOriginWhenItIsBack() throws Exception {
+        ChunkSourcesCache sources = ChunkSources.cached(SELF, () -> List.of(SELF, SAME_REGION));
+        ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new Peer(), new Origin(), () -> Optional.of("origin:80"), sources, bytes -> {}, clock::get));
-        ChunkSet set = fetcher.begin("m", 2).toOptional().orElseThrow();
+        ChunkSet set = fetcher.createSet("m", 2).toOptional().orElseThrow();
         fetcher.fetch(set, () -> true);
-        assertTrue(set.complete());
+        assertTrue(set.isComplete());
         assertEquals(CHUNKS / 2, fromOrigin.size(), "each of two agents leads for half of the chunks");
     }
 }
