--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -156,7 +156,7 @@
     private void handleChunk(HttpServerExchange exchange, String[] parts) {
         ChunkRequest request = new ChunkRequest(parts[0], Long.parseLong(parts[1]), PeerChunks.parseChunks(parts[2]));
         // A request for a version shows that it is wanted, which this agent may not know yet.
-        views.want(request.model(), request.version());
+        views.addPeerTarget(request.model(), request.version());
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MILLIS);
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> sendWhenAvailable(exchange, request, deadlineNanos));
     }
@@ -165,7 +165,7 @@
 
     private void sendWhenAvailable(HttpServerExchange exchange, ChunkRequest request, long deadlineNanos) {
         Optional<ChunkSet> set = chunkSets.find(request.model(), request.version());
-        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().give(request.indexes());
+        OptionalInt index = set.isEmpty() ? OptionalInt.empty() : set.get().pickLeastServed(request.indexes());
         if (index.isPresent()) {
             sendChunk(
                     exchange,
--- a/src/main/java/org/micabarrow/transport/ListenerProbe.java
+++ b/src/main/java/org/micabarrow/transport/ListenerProbe.java
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void ask(EndpointRegistration endpoint, Consumer<Boolean> callback) {
+    public void probe(EndpointRegistration endpoint, Consumer<Boolean> callback) {
         PendingProbe probe = new PendingProbe(callback);
         XnioIoThread thread = worker.getIoThread();
         thread.executeAfter(() -> probe.complete(false), TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadFeed.java
@@ -151,7 +151,7 @@
     // -- queries, on the traffic thread
 
     private void pollAndReschedule(Runnable afterRound) {
-        RepeatedTasks.guarded("load-feed", () -> poll(afterRound));
+        RepeatedTasks.runGuarded("load-feed", () -> poll(afterRound));
         parts.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
@@ -176,7 +176,7 @@
                 sendQuery(host, endpointsByHost.get(host), storeStatus);
             }
         });
-        parts.choice().keepOnly(view.endpoints().values());
+        parts.choice().retainOnly(view.endpoints().values());
         answersDue = answersDue || queriedBefore || roundNumber >= MAX_ROUNDS_WITHOUT_ENDPOINTS;
         queriedBefore = !hosts.isEmpty();
         roundNumber++;
@@ -190,7 +190,7 @@
      * in flight, since an endpoint that is not queried would seem unresponsive.
      */
     private Map<String, List<EndpointRegistration>> polledByHost(View view) {
-        polled.keySet().removeIf(start -> !parts.choice().awaits(start));
+        polled.keySet().removeIf(start -> !parts.choice().hasRequestsInFlight(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> polled.put(endpoint.start(), endpoint));
@@ -246,7 +246,7 @@
                 .mapToInt(EndpointLoad::ownPendingPromptTokens)
                 .sum();
         int unmetRequests =
-                parts.choice().unmet().lately(parts.monotonicMillis().getAsLong());
+                parts.choice().unmetDemand().recent(parts.monotonicMillis().getAsLong());
         ByteBuffer query = LoadMessages.write(new LoadMessages.Query(
                 parts.place().id(),
                 ownPromptTokens,
@@ -273,7 +273,7 @@
         return endpoints.stream()
                 .map(start -> parts.choice().load(start).rateLimit().ownUpdate(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
     }
 
     /** What a query says of the store, with the timestamp of the reply that precedes it. */
@@ -289,7 +289,7 @@
 
     private void receive() {
         while (channel.isOpen()) {
-            RepeatedTasks.guarded("load-feed", this::receiveOne);
+            RepeatedTasks.runGuarded("load-feed", this::receiveOne);
         }
     }
 
@@ -320,16 +320,16 @@
         }
         long now = parts.monotonicMillis().getAsLong();
         long delay = now - sentMillis.getAsLong();
-        reply.rank().ifPresent(rank -> parts.choice().entries().told(rank.entries(), now));
+        reply.rank().ifPresent(rank -> parts.choice().entryCount().reported(rank.entries(), now));
         for (EndpointStart start : endpoints) {
             EndpointLoad load = parts.choice().load(start);
-            if (start.mayBe(reply.report().start())) {
-                load.told(reply.report(), delay, now);
-                reply.rank().ifPresent(load.limit()::ranked);
+            if (start.mayHaveToken(reply.report().start())) {
+                load.reported(reply.report(), delay, now);
+                reply.rank().ifPresent(load.rateLimit()::rankReported);
                 reply.rateLimit()
-                        .filter(rateLimit -> rateLimit.isOf(start.id()))
-                        .filter(rateLimit -> load.limit().told(rateLimit.news(sentMillis.getAsLong(), now)))
-                        .ifPresent(rateLimit -> load.limit().logChange("agent"));
+                        .filter(rateLimit -> rateLimit.concerns(start.id()))
+                        .filter(rateLimit -> load.rateLimit().updated(rateLimit.toObservation(sentMillis.getAsLong(), now)))
+                        .ifPresent(rateLimit -> load.rateLimit().logChange("agent"));
             } else {
                 handleReportOfAnotherStart(start, load);
             }
@@ -349,7 +349,7 @@
      * not be applied to another, which may hold nothing of the version that the report names.
      */
     private static void handleReportOfAnotherStart(EndpointStart start, EndpointLoad load) {
-        if (!load.startedAgain()) {
+        if (!load.restarted()) {
             LOG.info(
                     "event=agent_tells_of_another_start endpoint={} listed={}",
                     start.id(),
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -272,7 +272,7 @@
         datagram.putInt(reply.number());
         datagram.putInt(report.requests());
         datagram.putInt(report.othersPromptTokens());
-        datagram.putInt(report.places());
+        datagram.putInt(report.allottedSlots());
         datagram.putLong(report.version());
         datagram.put(state(report));
         datagram.put(toByte(report.start().isPresent()));
@@ -291,7 +291,7 @@
     }
 
     private static byte state(LoadReport report) {
-        return (byte) ((report.loading() ? LOADING : 0) | (report.leaving() ? DRAINING : 0));
+        return (byte) ((report.loading() ? LOADING : 0) | (report.draining() ? DRAINING : 0));
     }
 
     static Reply readReply(byte[] bytes) throws IOException {
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -27,7 +27,7 @@
     private final BiConsumer<String, StoreNews> onStoreUpdate;
     private final EntryQueries entries;
     private final RateLimitRelay limitRelay = new RateLimitRelay();
-    private final SlotAllotment slotShares = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
+    private final SlotAllotment slotAllotment = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
@@ -98,7 +98,7 @@
 
     private void serve() {
         while (channel.isOpen()) {
-            RepeatedTasks.guarded("load-server", this::serveOne);
+            RepeatedTasks.runGuarded("load-server", this::serveOne);
         }
     }
 
@@ -107,7 +107,7 @@
             LoadMessages.Received received = LoadMessages.receive(channel);
             EntryQuery entryQuery =
                     entries.add(received.from(), LoadMessages.readQuery(received.bytes()), monotonicMillis.getAsLong());
-            entryQuery.query().rateLimit().ifPresent(rateLimit -> limitRelay.told(rateLimit, entryQuery.atMillis()));
+            entryQuery.query().rateLimit().ifPresent(rateLimit -> limitRelay.received(rateLimit, entryQuery.atMillis()));
             entryQuery
                     .query()
                     .storeUpdate()
@@ -126,11 +126,11 @@
     }
 
     private int allottedSlots(LoadMessages.Query query, LoadReport report) {
-        if (report.places() == LoadReport.ANY_PLACES) {
-            return LoadReport.ANY_PLACES;
+        if (report.allottedSlots() == LoadReport.UNLIMITED_SLOTS) {
+            return LoadReport.UNLIMITED_SLOTS;
         }
-        synchronized (slotShares) {
-            return slotShares.deal(query.entry(), query.unmetRequests(), report.places(), monotonicMillis.getAsLong());
+        synchronized (slotAllotment) {
+            return slotAllotment.allot(query.entry(), query.unmetRequests(), report.allottedSlots(), monotonicMillis.getAsLong());
         }
     }
 
@@ -139,11 +139,11 @@
         EntryQueries.OtherEntries others = entries.others(entryQuery, now);
         LoadMessages.Reply reply = new LoadMessages.Reply(
                 entryQuery.query().number(),
-                report.to(others.promptTokens(), slots),
+                report.forEntry(others.promptTokens(), slots),
                 others.reader(),
                 now,
                 others.rank(),
-                limitRelay.word(now));
+                limitRelay.update(now));
         channel.send(LoadMessages.write(reply), entryQuery.from());
     }
 }
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunks.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public Result<Numbered> anyOf(String agent, String model, long version, BitSet wanted) {
+    public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
         Result<HttpAnswer> response = get(agent, CHUNKS + model + "/" + version + "/" + formatChunks(wanted));
         if (response instanceof Result.Failure<HttpAnswer>(Fault fault) && lacksResponse(fault)) {
             return Result.failure(excuseIfResponsive(agent, model, version) ? connectionFault(agent, fault) : fault);
@@ -106,10 +106,10 @@
         return response.flatMap(received -> parseChunk(agent, received));
     }
 
-    private static Result<Numbered> parseChunk(String agent, HttpAnswer response) {
+    private static Result<IndexedChunk> parseChunk(String agent, HttpAnswer response) {
         try {
             int index = Integer.parseInt(response.headers().getOrDefault(INDEX, ""));
-            return Result.success(new Numbered(index, response.body()));
+            return Result.success(new IndexedChunk(index, response.body()));
         } catch (NumberFormatException e) {
             return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "the chunk has no index"));
         }
@@ -153,7 +153,7 @@
         return HexFormat.of().formatHex(wanted.toByteArray());
     }
 
-    /** Parses the set of chunks that {@link #anyOf} writes. */
+    /** Parses the set of chunks that {@link #fetchAnyOf} writes. */
     static BitSet parseChunks(String wanted) {
         return BitSet.valueOf(HexFormat.of().parseHex(wanted));
     }
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecords.java
@@ -89,7 +89,7 @@
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sentMillis = monotonicMillis.getAsLong();
-        return client.call(call, new AnswerLimits(DrainTimeBudget.PEER_ANSWER, DrainTimeBudget.PEER_ANSWER, timeout))
+        return client.call(call, new AnswerLimits(DrainTimeBudget.PEER_RESPONSE_TIMEOUT, DrainTimeBudget.PEER_RESPONSE_TIMEOUT, timeout))
                 .flatMap(response -> response.status() == OK
                         ? parse(peer, response.body(), sentMillis)
                         : Result.failure(Fault.of(
--- a/src/main/java/org/micabarrow/transport/RateLimitCodec.java
+++ b/src/main/java/org/micabarrow/transport/RateLimitCodec.java
@@ -47,11 +47,11 @@
 
     static void writeLimit(ByteBuffer datagram, Optional<RateLimitUpdate> limit) {
         datagram.put(limit.isPresent() ? PRESENT : ABSENT);
-        limit.ifPresent(report -> {
-            datagram.putInt(report.endpoint());
-            datagram.put(report.perSecond().isPresent() ? PRESENT : ABSENT);
-            datagram.putDouble(report.perSecond().orElse(0));
-            datagram.putInt(report.millisAgo());
+        limit.ifPresent(update -> {
+            datagram.putInt(update.endpointToken());
+            datagram.put(update.perSecond().isPresent() ? PRESENT : ABSENT);
+            datagram.putDouble(update.perSecond().orElse(0));
+            datagram.putInt(update.ageMillis());
         });
     }
 
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadFeedTest.java
@@ -146,8 +146,8 @@
     @Test
     void shouldSendPromptTokensOfAllEndpointsAtHostWhenOneIsQueried() throws Exception {
         EndpointSelector choiceOfTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        choiceOfTwo.load("a").began(100);
-        choiceOfTwo.load("b").began(20);
+        choiceOfTwo.load("a").requestSent(100);
+        choiceOfTwo.load("b").requestSent(20);
         LoadFeed feedOfTwo = feed(twoAtOneHost(), choiceOfTwo);
         feedOfTwo.start(() -> feedOfTwo.ask(endpoint, inTime -> {}));
         for (int number = 0; number < 2; number++) {
@@ -162,7 +162,7 @@
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
         EndpointSelector waiting = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        waiting.load("a").began(100);
+        waiting.load("a").requestSent(100);
         feed(view::get, waiting).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
             DatagramPacket packet = receiveQuery();
@@ -235,8 +235,8 @@
         EndpointSelector ownChoice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice)
                 .start(() -> {});
-        replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
-        replyUntil(ownChoice, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
+        replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::restarted);
+        replyUntil(ownChoice, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.restarted());
         CompletableFuture<Long> version = new CompletableFuture<>();
         worker.getIoThread()
                 .execute(() -> version.complete(ownChoice.load(LISTED).version()));
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -229,7 +229,7 @@
             RateLimitUpdate rateLimit = new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
             exchange(entry, agent, query("b", Optional.of(rateLimit)));
             now.addAndGet(50);
-            RateLimitUpdate older = new RateLimitUpdate(rateLimit.endpoint(), rateLimit.perSecond(), 150);
+            RateLimitUpdate older = new RateLimitUpdate(rateLimit.endpointToken(), rateLimit.perSecond(), 150);
             assertEquals(
                     Optional.of(older),
                     exchange(entry, agent, query("a", Optional.empty())).rateLimit());
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunksTest.java
@@ -60,17 +60,17 @@
         }
     }
 
-    private Result<Numbered> request(PeerChunks peers) {
+    private Result<IndexedChunk> request(PeerChunks peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
         return peers.fetchAnyOf(relay.address(), "m", 2, wanted);
     }
 
-    private static Optional<Integer> index(Result<Numbered> response) {
-        return response.toOptional().map(Numbered::index);
+    private static Optional<Integer> index(Result<IndexedChunk> response) {
+        return response.toOptional().map(IndexedChunk::index);
     }
 
-    private static Reason reason(Result<Numbered> response) {
+    private static Reason reason(Result<IndexedChunk> response) {
         return response.cause().orElseThrow().reason();
     }
 
