--- a/src/main/java/org/micabarrow/bench/Baselines.java
+++ b/src/main/java/org/micabarrow/bench/Baselines.java
@@ -30,8 +30,8 @@
 
     private void copy(LinkPacer from, LinkPacer to) {
         for (long done = 0; done < bytes; done += chunkBytes) {
-            from.take(chunkBytes);
-            to.take(chunkBytes);
+            from.acquire(chunkBytes);
+            to.acquire(chunkBytes);
         }
     }
 
--- a/src/main/java/org/micabarrow/bench/Caller.java
+++ b/src/main/java/org/micabarrow/bench/Caller.java
@@ -12,8 +12,8 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Sends requests to entries as a caller does, and judges what comes back. */
 final class Caller implements AutoCloseable {
@@ -22,10 +22,10 @@
     private static final int TRIES = 100;
     private static final long PAUSE_MILLIS = 200;
 
-    private final HttpCaller http;
+    private final HttpClient http;
 
     Caller(String name) {
-        this.http = HttpCaller.start(name, 2);
+        this.http = HttpClient.start(name, 2);
     }
 
     /** How a request ended, as its caller sees it. */
@@ -78,14 +78,14 @@
             call = call.withHeader(header.getKey(), header.getValue());
         }
         long start = System.nanoTime();
-        Result<HttpAnswer> answer = http.call(call, WITHIN);
+        Result<HttpResponse> answer = http.call(call, WITHIN);
         double millis = (System.nanoTime() - start) / 1e6;
         return answer.toOptional()
                 .map(one -> seen(one, millis))
                 .orElseGet(() -> new Seen(Ending.LOST, "", "", "", String.valueOf(answer.cause()), millis));
     }
 
-    private static Seen seen(HttpAnswer answer, double millis) {
+    private static Seen seen(HttpResponse answer, double millis) {
         Optional<String> outcome = Optional.ofNullable(answer.headers().get("X-Micabarrow-Outcome"));
         Ending ending = switch (outcome.orElse("answered")) {
             case "not_run" -> Ending.NOT_RUN;
@@ -111,7 +111,7 @@
 
     /** Reads an answer; a process that is still starting is asked again. */
     private <T> T read(HttpCall call, Class<T> type) {
-        Result<HttpAnswer> answer = http.call(call, WITHIN);
+        Result<HttpResponse> answer = http.call(call, WITHIN);
         for (int i = 0; i < TRIES && answer instanceof Result.Failure; i++) {
             pause();
             answer = http.call(call, WITHIN);
--- a/src/main/java/org/micabarrow/platform/CrashRecords.java
+++ b/src/main/java/org/micabarrow/platform/CrashRecords.java
@@ -18,7 +18,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.StoredRecord;
 
 /**
@@ -48,7 +48,7 @@
      * @param within how long the store may take
      * @param process the name of this process
      */
-    public CrashRecords(HttpCaller caller, String address, Duration within, String process) {
+    public CrashRecords(HttpClient caller, String address, Duration within, String process) {
         this.writer = new KeyedWriter(caller, address, WireNames.CRASHES_TOPIC, within);
         this.process = Objects.requireNonNull(process, "process is null");
     }
--- a/src/main/java/org/micabarrow/platform/VersionRecords.java
+++ b/src/main/java/org/micabarrow/platform/VersionRecords.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.RecordDecoder.OperatorRecord;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.UnsavedItem;
@@ -35,7 +35,7 @@
      * @param address the store's host and port
      * @param within how long the store may take
      */
-    public VersionRecords(HttpCaller caller, String address, Duration within) {
+    public VersionRecords(HttpClient caller, String address, Duration within) {
         this.writer = new KeyedWriter(caller, address, WireNames.NAMED_TOPIC, within);
     }
 
--- a/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
+++ b/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
@@ -59,7 +59,7 @@
 
     private String serve(HttpHandler handler) {
         String address = Ports.freeAddress();
-        running.add(HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), handler));
+        running.add(HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), handler));
         return address;
     }
 
--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -172,7 +172,7 @@
                         new PeerService(node.configuration(), this::status, Optional.of(parts)));
         operators = HttpListener.start(
                 settings.listen().operators(),
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
                 OperatorServer.watching(node.metrics(), node::healthy));
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -157,14 +157,14 @@
         EntrySettings.Limits limits = settings.limits();
         callerListener = HttpListener.start(
                 settings.listen().callers(),
-                new HttpListener.Bounds(
+                new HttpListener.Limits(
                         limits.bodyBytes(), limits.headerBytes(), limits.connections(), limits.idleMillis()),
                 CALLER_THREADS,
                 callerContext(),
                 callers);
         operatorListener = HttpListener.start(
                 settings.listen().operators(),
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
                 OperatorServer.api(
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -20,8 +20,8 @@
 import org.micabarrow.transport.HostedPeerServer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.LoadServer;
-import org.micabarrow.transport.PeerChunks;
-import org.micabarrow.transport.StoreNews;
+import org.micabarrow.transport.PeerChunkClient;
+import org.micabarrow.transport.StoreUpdate;
 import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower.PollTiming;
 import org.micabarrow.views.VersionPersistence.WriteRole;
@@ -81,7 +81,7 @@
     private volatile Placed placed = new Placed(View.empty(), new ReplicaController.RegionPosition(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
-    private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
+    private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::sendToAll));
 
     private HostedAgentProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
@@ -90,11 +90,11 @@
                 node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
-                new PeerChunks(node.kept()),
+                new PeerChunkClient(node.kept()),
                 new OriginCalls(node.fresh()),
                 () -> view().manifest().flatMap(RouteManifest::origin),
                 ChunkSources.cached(self, this::agents),
-                node.weightPacer(this::serves)::take,
+                node.weightPacer(this::serves)::acquire,
                 HostedNode::steadyMillis));
         this.keeper = new ReplicaController(new ReplicaController.Dependencies(
                 this::model,
@@ -124,9 +124,9 @@
     private void begin() throws IOException {
         HostedPeerServer peers =
                 new HostedPeerServer(node.views(), keeper::chunkSet, node.metrics(), node.weightPacer(this::serves));
-        HttpListener.Bounds usual = HttpListener.Bounds.usual();
-        HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
+        HttpListener.Limits usual = HttpListener.Limits.defaults();
+        HttpListener.startOnWorker(settings.listen().peers(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().metrics(), usual, node.worker(), peers);
         loadServer = Optional.of(LoadServer.start(
                 settings.listen().peers(),
                 this::told,
@@ -165,7 +165,7 @@
             keeper.refresh();
             keeper.report()
                     .ifPresent(report -> loadServer.ifPresent(
-                            server -> server.limits().reported(report.rateLimit(), HostedNode.steadyMillis())));
+                            server -> server.limitRelay().reported(report.rateLimit(), HostedNode.steadyMillis())));
             Optional<Serving> now =
                     told().map(told -> new Serving(told.loading(), told.draining(), told.version(), told.start()));
             if (!now.equals(toldLast)) {
@@ -195,7 +195,7 @@
     }
 
     /** An entry told where the last changes in the store stand. */
-    private void heard(String entry, StoreNews told) {
+    private void heard(String entry, StoreUpdate told) {
         news.onUpdate(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
         // A place beyond all that the entry has read would be kept for good, and be lacking everywhere.
         told.manifest()
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -22,8 +22,8 @@
 import org.micabarrow.transport.HostedPeerServer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.ListenerProbe;
-import org.micabarrow.transport.LoadFeed;
-import org.micabarrow.transport.StoreNews;
+import org.micabarrow.transport.LoadPoller;
+import org.micabarrow.transport.StoreUpdate;
 import org.micabarrow.views.ChangeOffsets;
 import org.micabarrow.views.DrainTimeBudget;
 import org.micabarrow.views.PeerFirstReader;
@@ -78,7 +78,7 @@
     private final HostedNode node;
     private final EndpointSelector choice;
     private final PeerFirstReader reader;
-    private final LoadFeed loadFeed;
+    private final LoadPoller loadFeed;
     private final ServingHandler handler;
     private final CrashSharing crashes;
     private volatile Optional<HttpListener> clients = Optional.empty();
@@ -96,7 +96,7 @@
                 new PeerFirstReader.Role.Entry(
                         Addresses.numeric(settings.listen().peers()), HostedNode.readerTrustMillis(bounds)),
                 HostedNode::steadyMillis);
-        this.loadFeed = LoadFeed.open(new LoadFeed.Parts(
+        this.loadFeed = LoadPoller.open(new LoadPoller.Dependencies(
                 settings.instance(),
                 settings.listen().peers(),
                 settings.regions(),
@@ -125,7 +125,7 @@
                 new RetryBudget(bounds.retryShare(), bounds.retrySlack() / ENTRIES_AT_MOST),
                 node.metrics(),
                 HostedNode::steadyMillis,
-                loadFeed::ask,
+                loadFeed::query,
                 new ServingHandler.VersionTimes(
                         Math.round(bounds.versionMillis() * ASK_PART),
                         Math.round(bounds.versionMillis() * DEMAND_PART),
@@ -148,17 +148,17 @@
     }
 
     private void begin() throws IOException {
-        HttpListener.Bounds usual = HttpListener.Bounds.usual();
+        HttpListener.Limits usual = HttpListener.Limits.defaults();
         HostedPeerServer peers = new HostedPeerServer(
                 node.views(),
                 (model, version) -> Optional.empty(),
                 node.metrics(),
                 node.weightPacer(this::takesRequests));
-        HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().ready().orElseThrow(), usual, node.worker(), this::ready);
-        clients =
-                Optional.of(HttpListener.on(settings.listen().clients().orElseThrow(), usual, node.worker(), handler));
+        HttpListener.startOnWorker(settings.listen().peers(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().metrics(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().ready().orElseThrow(), usual, node.worker(), this::ready);
+        clients = Optional.of(
+                HttpListener.startOnWorker(settings.listen().clients().orElseThrow(), usual, node.worker(), handler));
         // After the listeners, so that no connection of our own takes one of their ports.
         // Agents keep the versions: an entry would write what they know as well.
         node.follow(reader, node.store(), paces(settings.bounds()), this::peers, () -> WriteRole.NONE);
@@ -182,7 +182,7 @@
         return Duration.ofMillis(Math.round(millis * part));
     }
 
-    private Optional<StoreNews> news() {
+    private Optional<StoreUpdate> news() {
         String control = settings.listen().peers();
         int port = Integer.parseInt(control.substring(control.lastIndexOf(':') + 1));
         OptionalLong asOf = node.views().operatorAsOfMillis();
@@ -191,7 +191,7 @@
         }
         long knownMillisAgo = Math.max(0, HostedNode.steadyMillis() - asOf.getAsLong());
         return node.changesInTouch()
-                .map(changes -> new StoreNews(
+                .map(changes -> new StoreUpdate(
                         port,
                         changes,
                         node.views().newestManifestPosition(),
@@ -200,9 +200,9 @@
     }
 
     /** An agent told of the entry that reads the store for the region. */
-    private void heard(StoreNews.Heard told) {
-        reader.onUpdate(told.peer(), new ChangeOffsets(told.operator(), 0), told.asOfMillis());
-        if (node.views().end(Topic.OPERATOR) >= told.operator()) {
+    private void heard(StoreUpdate.ReaderState told) {
+        reader.onUpdate(told.peer(), new ChangeOffsets(told.operatorOffset(), 0), told.asOfMillis());
+        if (node.views().end(Topic.OPERATOR) >= told.operatorOffset()) {
             // It knows of nothing that is not known here.
             node.views().confirmOperator(told.asOfMillis());
         }
@@ -225,7 +225,7 @@
     public boolean takesRequests() {
         return !leaving
                 && node.views().view().manifest().isPresent()
-                && loadFeed.answersDue()
+                && loadFeed.repliesDue()
                 && crashNews.filter(StoreFollower::isInitialized).isPresent();
     }
 
--- a/src/main/java/org/micabarrow/process/HostedNode.java
+++ b/src/main/java/org/micabarrow/process/HostedNode.java
@@ -17,9 +17,9 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.LinkPacer;
-import org.micabarrow.transport.PeerRecords;
+import org.micabarrow.transport.PeerRecordClient;
 import org.micabarrow.views.ChangeOffsets;
 import org.micabarrow.views.DrainTimeBudget;
 import org.micabarrow.views.PeerFirstReader;
@@ -68,10 +68,10 @@
     private final HostedSettings settings;
     private final MetricRegistry metrics = new MetricRegistry();
     private final XnioWorker worker;
-    private final HttpCaller kept;
-    private final HttpCaller fresh;
+    private final HttpClient kept;
+    private final HttpClient fresh;
     private final ViewMaintainer views;
-    private final PeerRecords peerRecords;
+    private final PeerRecordClient peerRecords;
     private final StoreClient store;
     private volatile List<StoreFollower> followers = List.of();
     private final PeersInTurn turn = new PeersInTurn();
@@ -81,11 +81,11 @@
 
     HostedNode(HostedSettings settings) throws IOException {
         this.settings = settings;
-        this.worker = HttpCaller.worker("traffic", 1);
-        this.kept = HttpCaller.on(worker, KEPT_CONNECTIONS);
-        this.fresh = HttpCaller.on(worker, 0);
+        this.worker = HttpClient.worker("traffic", 1);
+        this.kept = HttpClient.onWorker(worker, KEPT_CONNECTIONS);
+        this.fresh = HttpClient.onWorker(worker, 0);
         this.views = new ViewMaintainer(new StoreRecords(), HostedNode::steadyMillis);
-        this.peerRecords = new PeerRecords(kept, HostedNode::steadyMillis);
+        this.peerRecords = new PeerRecordClient(kept, HostedNode::steadyMillis);
         this.store = new StoreClient(
                 kept, settings.store(), DrainTimeBudget.STORE_RESPONSE_TIMEOUT, HostedNode::steadyMillis);
         metrics.registerGauge(
@@ -116,12 +116,12 @@
     }
 
     /** Keeps connections for later requests. */
-    HttpCaller kept() {
+    HttpClient kept() {
         return kept;
     }
 
     /** Opens a connection for each request. */
-    HttpCaller fresh() {
+    HttpClient fresh() {
         return fresh;
     }
 
@@ -149,7 +149,7 @@
 
     /** Asks processes that tell of news for the records. */
     PeerFirstReader.PeerSource peerRecords() {
-        return peerRecords::ask;
+        return peerRecords::request;
     }
 
     /** What is known of the store, while it answers; empty while it does not, and before it was read. */
@@ -216,7 +216,7 @@
     }
 
     private boolean takeFrom(String peer, Topic topic) {
-        return switch (peerRecords.ask(peer, topic, views.peerReadOffset(topic))) {
+        return switch (peerRecords.request(peer, topic, views.peerReadOffset(topic))) {
             case Result.Success<Batch>(Batch batch) -> {
                 views.apply(topic, batch.records(), batch.end());
                 if (topic == Topic.OPERATOR) {
--- a/src/main/java/org/micabarrow/process/Node.java
+++ b/src/main/java/org/micabarrow/process/Node.java
@@ -27,7 +27,7 @@
 import org.micabarrow.settings.Common;
 import org.micabarrow.state.Instance;
 import org.micabarrow.steps.StoppableThread;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.PlatformClient;
 import org.micabarrow.transport.TlsFiles;
 import org.micabarrow.transport.grpc.PeerChannels;
@@ -53,7 +53,7 @@
     private final MetricRegistry metrics = new MetricRegistry();
     private final ControlThread control = ControlThread.start("control");
     private final Configuration configuration = new Configuration(control, clock);
-    private final HttpCaller http = HttpCaller.start("http-client", HTTP_THREADS);
+    private final HttpClient http = HttpClient.start("http-client", HTTP_THREADS);
     private final AtomicReference<List<Instance>> instances = new AtomicReference<>(List.of());
     private final PlatformClient platform;
     private final PeerChannels channels;
@@ -122,7 +122,7 @@
         return configuration;
     }
 
-    HttpCaller http() {
+    HttpClient http() {
         return http;
     }
 
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -17,14 +17,14 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.xnio.XnioExecutor;
 
 /**
  * One sending of a request to one endpoint: what comes back is counted, judged, and held or passed on. What follows from
  * an attempt that ends without an answer is for the run to decide. All of it runs on the one thread for traffic.
  */
-final class Attempt implements HttpCaller.Listener {
+final class Attempt implements HttpClient.Listener {
 
     private final ServedRequest run;
     private final ServingParts parts;
@@ -220,7 +220,7 @@
 
     /** Lets the request leave if the decision still holds, with what is left of the client's time now. */
     @Override
-    public Optional<HttpCall> onSending(HttpCall decided) {
+    public Optional<HttpCall> beforeSend(HttpCall decided) {
         if (over) {
             return Optional.empty();
         }
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -18,7 +18,7 @@
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.RouteManifest;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -72,7 +72,7 @@
     public record Parts(
             Supplier<View> view,
             EndpointSelector choice,
-            HttpCaller caller,
+            HttpClient caller,
             EndpointProtocol protocol,
             RequestReader reader,
             RetryBudget budget,
--- a/src/main/java/org/micabarrow/serving/ServingParts.java
+++ b/src/main/java/org/micabarrow/serving/ServingParts.java
@@ -14,7 +14,7 @@
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.routing.RoutingRequest;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -59,7 +59,7 @@
         return given.reader();
     }
 
-    HttpCaller caller() {
+    HttpClient caller() {
         return given.caller();
     }
 
--- a/src/main/java/org/micabarrow/standin/EngineStandin.java
+++ b/src/main/java/org/micabarrow/standin/EngineStandin.java
@@ -45,7 +45,7 @@
         this.slots = new PrioritySlots(timing.slots());
         this.listener = HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 Math.max(1, timing.slots() / 2),
                 Optional.empty(),
                 new BlockingHandler(Handlers.path()
--- a/src/main/java/org/micabarrow/standin/PlatformStandin.java
+++ b/src/main/java/org/micabarrow/standin/PlatformStandin.java
@@ -42,7 +42,7 @@
         storeLink = new LinkPacer(storeBytesPerSecond, () -> 1);
         listener = HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 THREADS,
                 Optional.empty(),
                 new BlockingHandler(Handlers.path()
@@ -203,7 +203,7 @@
         if (!origin) {
             Thread.sleep(now.storeSlowMillis());
         }
-        (origin ? originLink : storeLink).take(chunk.get().length);
+        (origin ? originLink : storeLink).acquire(chunk.get().length);
         (origin ? originBytes : storeBytes).addAndGet(chunk.get().length);
         exchange.getResponseSender().send(ByteBuffer.wrap(perhapsCorrupted(chunk.get(), now)));
     }
--- a/src/main/java/org/micabarrow/standin/ServiceStandin.java
+++ b/src/main/java/org/micabarrow/standin/ServiceStandin.java
@@ -29,7 +29,7 @@
         this.millis = millis;
         this.listener = HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 THREADS,
                 Optional.empty(),
                 new BlockingHandler(Handlers.path(this::run)
--- a/src/main/java/org/micabarrow/transport/EndpointClient.java
+++ b/src/main/java/org/micabarrow/transport/EndpointClient.java
@@ -40,7 +40,7 @@
 
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    private final HttpCaller client;
+    private final HttpClient client;
     private final String url;
 
     /**
@@ -49,7 +49,7 @@
      * @param client sends the requests
      * @param url the endpoint's base URL
      */
-    public EndpointClient(HttpCaller client, String url) {
+    public EndpointClient(HttpClient client, String url) {
         this.client = Objects.requireNonNull(client, "client is null");
         this.url = Objects.requireNonNull(url, "url is null");
     }
@@ -105,7 +105,7 @@
     /**
      * Forwards a response to the listener, and reports one that says that the request was not executed as a failure.
      */
-    private static final class ResponseForwarder implements HttpCaller.Listener {
+    private static final class ResponseForwarder implements HttpClient.Listener {
 
         private final HttpCall call;
         private final Listener listener;
--- a/src/main/java/org/micabarrow/transport/EntryQueries.java
+++ b/src/main/java/org/micabarrow/transport/EntryQueries.java
@@ -127,7 +127,7 @@
                 || !query.storeUpdate().get().direct()) {
             return Optional.empty();
         }
-        StoreNews update = query.storeUpdate().get();
+        StoreUpdate update = query.storeUpdate().get();
         return Optional.of(new StoreReader(
                 peer.orElseThrow(),
                 update.changes().operator(),
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -99,13 +99,16 @@
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         try {
-            if (path.equals(PeerRecords.PATH)) {
+            if (path.equals(PeerRecordClient.PATH)) {
                 handleRecords(exchange);
-            } else if (path.startsWith(PeerChunks.CHUNKS)) {
-                handleChunk(exchange, path.substring(PeerChunks.CHUNKS.length()).split("/"));
-            } else if (path.startsWith(PeerChunks.DIGESTS)) {
+            } else if (path.startsWith(PeerChunkClient.CHUNKS)) {
+                handleChunk(
+                        exchange,
+                        path.substring(PeerChunkClient.CHUNKS.length()).split("/"));
+            } else if (path.startsWith(PeerChunkClient.DIGESTS)) {
                 handleDigests(
-                        exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
+                        exchange,
+                        path.substring(PeerChunkClient.DIGESTS.length()).split("/"));
             } else if (path.equals("/metrics")) {
                 send(exchange, Metrics.snapshot(registry));
             } else {
@@ -131,7 +134,7 @@
     private void handleRecords(HttpServerExchange exchange) {
         Topic topic = Topic.valueOf(parameter(exchange, "topic"));
         long from = Long.parseLong(parameter(exchange, "from"));
-        send(exchange, PeerRecords.write(views.since(topic, from), monotonicMillis.getAsLong()));
+        send(exchange, PeerRecordClient.write(views.since(topic, from), monotonicMillis.getAsLong()));
     }
 
     private static String parameter(HttpServerExchange exchange, String name) {
@@ -154,7 +157,8 @@
     }
 
     private void handleChunk(HttpServerExchange exchange, String[] parts) {
-        ChunkRequest request = new ChunkRequest(parts[0], Long.parseLong(parts[1]), PeerChunks.parseChunks(parts[2]));
+        ChunkRequest request =
+                new ChunkRequest(parts[0], Long.parseLong(parts[1]), PeerChunkClient.parseChunks(parts[2]));
         // A request for a version shows that it is wanted, which this agent may not know yet.
         views.addPeerTarget(request.model(), request.version());
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAX_HOLD_MILLIS);
@@ -172,7 +176,7 @@
                     index.getAsInt(),
                     set.get().chunk(index.getAsInt()).orElseThrow());
         } else if (System.nanoTime() - deadlineNanos > 0) {
-            fail(exchange, set.isPresent() ? PeerChunks.FETCHING : NOT_FOUND);
+            fail(exchange, set.isPresent() ? PeerChunkClient.FETCHING : NOT_FOUND);
         } else {
             exchange.getIoThread()
                     .executeAfter(
@@ -183,7 +187,7 @@
     }
 
     private void sendChunk(HttpServerExchange exchange, int index, byte[] bytes) {
-        exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), index);
+        exchange.getResponseHeaders().put(new HttpString(PeerChunkClient.INDEX), index);
         PacedBody.send(exchange, bytes, uplink.reserve(bytes.length));
     }
 }
--- a/src/main/java/org/micabarrow/transport/HttpCall.java
+++ b/src/main/java/org/micabarrow/transport/HttpCall.java
@@ -8,7 +8,7 @@
 import org.micabarrow.state.Fault;
 
 /**
- * An HTTP request that {@link HttpCaller} sends.
+ * An HTTP request that {@link HttpClient} sends.
  *
  * <pre>{@code
  * HttpCall call = HttpCall.post(Fault.Step.LOG, uri, body).withHeader("Authorization", "Bearer " + token);
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpClient.java
@@ -27,10 +27,10 @@
  * Sends HTTP requests with Undertow's client, and keeps connections open for further requests to the same address.
  *
  * <pre>{@code
- * Result<HttpAnswer> response = client.call(HttpCall.get(Fault.Step.INSTANCES, uri), Duration.ofSeconds(2));
+ * Result<HttpResponse> response = client.call(HttpCall.get(Fault.Step.INSTANCES, uri), Duration.ofSeconds(2));
  * }</pre>
  */
-public final class HttpCaller implements AutoCloseable {
+public final class HttpClient implements AutoCloseable {
 
     /** The size of a buffer, in bytes: about the default of Undertow's servers. */
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -48,7 +48,7 @@
     private final boolean ownsWorker;
     private final HttpExchange.Shared shared;
 
-    private HttpCaller(XnioWorker worker, boolean ownsWorker, int maxIdle) {
+    private HttpClient(XnioWorker worker, boolean ownsWorker, int maxIdle) {
         this.worker = worker;
         this.ownsWorker = ownsWorker;
         this.shared = new HttpExchange.Shared(
@@ -65,9 +65,9 @@
      * @param threads the number of its I/O threads
      * @return the running client
      */
-    public static HttpCaller start(String name, int threads) {
+    public static HttpClient start(String name, int threads) {
         try {
-            return new HttpCaller(worker(name, threads), true, DEFAULT_MAX_IDLE);
+            return new HttpClient(worker(name, threads), true, DEFAULT_MAX_IDLE);
         } catch (IOException e) {
             throw new IllegalStateException("cannot start the threads of the HTTP client", e);
         }
@@ -81,8 +81,8 @@
      *     own
      * @return the client
      */
-    public static HttpCaller on(XnioWorker worker, int maxIdle) {
-        return new HttpCaller(Objects.requireNonNull(worker, "worker is null"), false, maxIdle);
+    public static HttpClient onWorker(XnioWorker worker, int maxIdle) {
+        return new HttpClient(Objects.requireNonNull(worker, "worker is null"), false, maxIdle);
     }
 
     /**
@@ -112,7 +112,7 @@
      * @param headers the headers by their names, which are compared without case
      * @param body the body
      */
-    public record HttpAnswer(int status, Map<String, String> headers, byte[] body) {}
+    public record HttpResponse(int status, Map<String, String> headers, byte[] body) {}
 
     /** Receives a response part by part, on an I/O thread that must not block. */
     public interface Listener {
@@ -121,11 +121,11 @@
          * Called when the connection is open, just before the request is written. The process may have been paused
          * since it decided to send the request, so that decision can be checked again here.
          *
-         * @param call the request as it was passed to {@link HttpCaller#send}
+         * @param call the request as it was passed to {@link HttpClient#send}
          * @return the request to write, to the same address; empty to send nothing, after which the listener is not
          *     called again
          */
-        default Optional<HttpCall> onSending(HttpCall call) {
+        default Optional<HttpCall> beforeSend(HttpCall call) {
             return Optional.of(call);
         }
 
@@ -184,8 +184,8 @@
      * @param timeout the timeout for the complete response
      * @return the response, whatever its status
      */
-    public Result<HttpAnswer> call(HttpCall call, Duration timeout) {
-        return call(call, AnswerLimits.total(timeout));
+    public Result<HttpResponse> call(HttpCall call, Duration timeout) {
+        return call(call, ResponseTimeouts.total(timeout));
     }
 
     /**
@@ -195,7 +195,7 @@
      * @param timeouts the timeouts for the response
      * @return the response, whatever its status
      */
-    public Result<HttpAnswer> call(HttpCall call, AnswerLimits timeouts) {
+    public Result<HttpResponse> call(HttpCall call, ResponseTimeouts timeouts) {
         return callAsync(call).await(timeouts);
     }
 
@@ -222,11 +222,11 @@
      */
     record PendingCall(HttpCall call, ResponseCollector collector, Runnable cancel, Runnable closeIdle) {
 
-        Result<HttpAnswer> await(Duration timeout) {
-            return await(AnswerLimits.total(timeout));
+        Result<HttpResponse> await(Duration timeout) {
+            return await(ResponseTimeouts.total(timeout));
         }
 
-        Result<HttpAnswer> await(AnswerLimits timeouts) {
+        Result<HttpResponse> await(ResponseTimeouts timeouts) {
             long startNanos = System.nanoTime();
             try {
                 return collector.await(timeouts);
--- a/src/main/java/org/micabarrow/transport/HttpListener.java
+++ b/src/main/java/org/micabarrow/transport/HttpListener.java
@@ -59,15 +59,15 @@
      * @param connections the maximum number of open connections
      * @param idleMillis how long a connection may be idle
      */
-    public record Bounds(long bodyBytes, int headerBytes, int connections, int idleMillis) {
+    public record Limits(long bodyBytes, int headerBytes, int connections, int idleMillis) {
 
         /**
          * Returns default limits, which suit operators and stand-ins.
          *
          * @return the limits
          */
-        public static Bounds usual() {
-            return new Bounds(64L << 20, 16 * 1024, 10_000, 600_000);
+        public static Limits defaults() {
+            return new Limits(64L << 20, 16 * 1024, 10_000, 600_000);
         }
     }
 
@@ -82,7 +82,7 @@
      * @return the running server
      */
     public static HttpListener start(
-            String address, Bounds limits, int threads, Optional<SSLContext> tls, HttpHandler handler) {
+            String address, Limits limits, int threads, Optional<SSLContext> tls, HttpHandler handler) {
         InetSocketAddress socketAddress = Addresses.parse(address);
         Undertow.Builder builder = configure(limits).setIoThreads(threads).setWorkerThreads(threads * 8);
         if (tls.isPresent()) {
@@ -105,7 +105,7 @@
      * @return the running server
      * @throws IOException if the address cannot be used
      */
-    public static HttpListener on(String address, Bounds limits, XnioWorker worker, HttpHandler handler)
+    public static HttpListener startOnWorker(String address, Limits limits, XnioWorker worker, HttpHandler handler)
             throws IOException {
         HttpOpenListener connections = new HttpOpenListener(
                 new DefaultByteBufferPool(true, bufferBytes(), POOLED_BUFFERS, BUFFERS_PER_THREAD),
@@ -131,7 +131,7 @@
         return Runtime.getRuntime().maxMemory() < SMALL_HEAP_BYTES ? SMALL_BUFFER_BYTES : BUFFER_BYTES;
     }
 
-    private static Undertow.Builder configure(Bounds limits) {
+    private static Undertow.Builder configure(Limits limits) {
         Undertow.Builder builder = Undertow.builder();
         OptionMap server = serverOptions(limits);
         server.forEach(option -> setServerOption(builder, option, server));
@@ -148,7 +148,7 @@
         builder.setSocketOption(option, options.get(option));
     }
 
-    private static OptionMap serverOptions(Bounds limits) {
+    private static OptionMap serverOptions(Limits limits) {
         return OptionMap.builder()
                 .set(UndertowOptions.BUFFER_PIPELINED_DATA, true)
                 .set(UndertowOptions.MAX_ENTITY_SIZE, limits.bodyBytes())
@@ -159,7 +159,7 @@
                 .getMap();
     }
 
-    private static OptionMap socketOptions(Bounds limits) {
+    private static OptionMap socketOptions(Limits limits) {
         return OptionMap.builder()
                 .set(Options.CONNECTION_HIGH_WATER, limits.connections())
                 .set(Options.CONNECTION_LOW_WATER, limits.connections())
--- a/src/main/java/org/micabarrow/transport/LinkPacer.java
+++ b/src/main/java/org/micabarrow/transport/LinkPacer.java
@@ -9,7 +9,7 @@
  * Thread-safe.
  *
  * <pre>{@code
- * pacer.take(chunk.length);
+ * pacer.acquire(chunk.length);
  * }</pre>
  */
 public final class LinkPacer {
@@ -41,7 +41,7 @@
      *
      * @param bytes the number of bytes
      */
-    public void take(int bytes) {
+    public void acquire(int bytes) {
         long untilNanos = reserve(bytes).untilNanos();
         for (long remaining = untilNanos - System.nanoTime();
                 remaining > 0;
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -110,7 +110,7 @@
             int number,
             int unmetRequests,
             boolean sameRegion,
-            Optional<StoreNews> storeUpdate,
+            Optional<StoreUpdate> storeUpdate,
             OptionalLong replyTimestamp,
             Optional<RateLimitUpdate> rateLimit) {
 
@@ -121,7 +121,7 @@
                 int number,
                 int unmetRequests,
                 boolean sameRegion,
-                Optional<StoreNews> storeUpdate,
+                Optional<StoreUpdate> storeUpdate,
                 OptionalLong replyTimestamp) {
             this(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, replyTimestamp, Optional.empty());
         }
@@ -133,7 +133,7 @@
                 int number,
                 int unmetRequests,
                 boolean sameRegion,
-                Optional<StoreNews> storeUpdate) {
+                Optional<StoreUpdate> storeUpdate) {
             this(entry, promptTokens, number, unmetRequests, sameRegion, storeUpdate, OptionalLong.empty());
         }
 
@@ -170,7 +170,8 @@
             boolean sameRegion = readFlag(datagram);
             boolean hasTimestamp = readFlag(datagram);
             long timestampMillis = datagram.getLong();
-            Optional<StoreNews> storeUpdate = readFlag(datagram) ? Optional.of(readUpdate(datagram)) : Optional.empty();
+            Optional<StoreUpdate> storeUpdate =
+                    readFlag(datagram) ? Optional.of(readUpdate(datagram)) : Optional.empty();
             Optional<RateLimitUpdate> rateLimit = RateLimitCodec.readLimit(datagram);
             String entry = readText(datagram);
             OptionalLong replyTimestamp = hasTimestamp ? OptionalLong.of(timestampMillis) : OptionalLong.empty();
@@ -185,11 +186,11 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static int updateSize(StoreNews storeUpdate) {
+    private static int updateSize(StoreUpdate storeUpdate) {
         return UPDATE_BYTES + (storeUpdate.manifest().isPresent() ? MANIFEST_POSITION_BYTES : 0);
     }
 
-    private static void write(ByteBuffer datagram, StoreNews storeUpdate) {
+    private static void write(ByteBuffer datagram, StoreUpdate storeUpdate) {
         datagram.putInt(storeUpdate.port());
         datagram.putLong(storeUpdate.changes().operator());
         datagram.putLong(storeUpdate.changes().endpoints());
@@ -203,7 +204,7 @@
         });
     }
 
-    private static StoreNews readUpdate(ByteBuffer datagram) {
+    private static StoreUpdate readUpdate(ByteBuffer datagram) {
         int port = datagram.getInt();
         ChangeOffsets changes = new ChangeOffsets(datagram.getLong(), datagram.getLong(), datagram.getLong());
         long knownMillisAgo = readAge(datagram);
@@ -211,7 +212,7 @@
         Optional<ManifestPosition> manifest = readFlag(datagram)
                 ? Optional.of(new ManifestPosition(datagram.getLong(), datagram.getLong()))
                 : Optional.empty();
-        return new StoreNews(port, changes, manifest, knownMillisAgo, direct);
+        return new StoreUpdate(port, changes, manifest, knownMillisAgo, direct);
     }
 
     // -- replies
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadPoller.java
@@ -18,8 +18,6 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 import org.micabarrow.limits.RateLimitUpdate;
-import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointSelector;
@@ -31,10 +29,10 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/** Polls agents for the load of their endpoints, and passes the replies to the choice of endpoints. */
-public final class LoadFeed {
+/** Polls agents for the load of their endpoints, and passes the replies to the endpoint selector. */
+public final class LoadPoller {
 
-    private static final Logger LOG = LoggerFactory.getLogger(LoadFeed.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LoadPoller.class);
 
     /**
      * How often agents of the entry's region are polled, in milliseconds: about as often as they poll their endpoints.
@@ -47,7 +45,7 @@
     /** After this many rounds without an endpoint to query, there is assumed to be none. */
     private static final int MAX_ROUNDS_WITHOUT_ENDPOINTS = 3;
 
-    private final Parts parts;
+    private final Dependencies dependencies;
     private final DatagramChannel channel;
     private final LoadQueries queries;
 
@@ -65,7 +63,7 @@
     private final PauseDetector pauseDetector = new PauseDetector(ROUND_MILLIS);
     private int roundNumber;
     private boolean queriedBefore;
-    private volatile boolean answersDue;
+    private volatile boolean repliesDue;
 
     /**
      * What a poller needs.
@@ -76,32 +74,32 @@
      * @param regions the region of each data hall
      * @param peerPort the port at which agents receive queries
      * @param view the current view of the store
-     * @param choice receives what agents report
-     * @param traffic the thread that owns the choice, called the traffic thread
+     * @param selector receives what agents report
+     * @param traffic the thread that owns the selector, called the traffic thread
      * @param monotonicMillis a monotonic clock, in milliseconds
      * @param storeUpdate what agents of the region are informed of about the store; empty while this entry has no
      *     contact with the store
      * @param onReader receives what agents report about the entry that reads the store for the region
      */
-    public record Parts(
+    public record Dependencies(
             Common.Place place,
             String self,
             Map<String, String> regions,
             int peerPort,
             Supplier<View> view,
-            EndpointSelector choice,
+            EndpointSelector selector,
             XnioIoThread traffic,
             LongSupplier monotonicMillis,
-            Supplier<Optional<StoreNews>> storeUpdate,
-            Consumer<StoreNews.Heard> onReader) {
+            Supplier<Optional<StoreUpdate>> storeUpdate,
+            Consumer<StoreUpdate.ReaderState> onReader) {
 
         /** Checks that no component is null. */
-        public Parts {
+        public Dependencies {
             Objects.requireNonNull(place, "place is null");
             Objects.requireNonNull(self, "self is null");
             Objects.requireNonNull(regions, "regions is null");
             Objects.requireNonNull(view, "view is null");
-            Objects.requireNonNull(choice, "choice is null");
+            Objects.requireNonNull(selector, "selector is null");
             Objects.requireNonNull(traffic, "traffic is null");
             Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
             Objects.requireNonNull(storeUpdate, "storeUpdate is null");
@@ -109,23 +107,23 @@
         }
     }
 
-    private LoadFeed(Parts parts, DatagramChannel channel) {
-        this.parts = parts;
+    private LoadPoller(Dependencies dependencies, DatagramChannel channel) {
+        this.dependencies = dependencies;
         this.channel = channel;
-        this.queries = new LoadQueries(parts.traffic(), parts.monotonicMillis());
+        this.queries = new LoadQueries(dependencies.traffic(), dependencies.monotonicMillis());
     }
 
     /**
      * Creates a poller that sends no queries yet.
      *
-     * @param parts what it needs
+     * @param dependencies what it needs
      * @return the poller
      * @throws IOException if no port is free
      */
-    public static LoadFeed open(Parts parts) throws IOException {
+    public static LoadPoller open(Dependencies dependencies) throws IOException {
         InetSocketAddress anyPort =
-                new InetSocketAddress(Addresses.parse(parts.self()).getAddress(), 0);
-        return new LoadFeed(parts, DatagramChannel.open().bind(anyPort));
+                new InetSocketAddress(Addresses.parse(dependencies.self()).getAddress(), 0);
+        return new LoadPoller(dependencies, DatagramChannel.open().bind(anyPort));
     }
 
     /**
@@ -135,7 +133,7 @@
      */
     public void start(Runnable afterRound) {
         Thread.ofPlatform().name("load-feed").daemon().start(this::receive);
-        parts.traffic().execute(() -> pollAndReschedule(afterRound));
+        dependencies.traffic().execute(() -> pollAndReschedule(afterRound));
     }
 
     /**
@@ -144,20 +142,20 @@
      *
      * @return true from the second round on, or if there seem to be no agents to query
      */
-    public boolean answersDue() {
-        return answersDue;
+    public boolean repliesDue() {
+        return repliesDue;
     }
 
     // -- queries, on the traffic thread
 
     private void pollAndReschedule(Runnable afterRound) {
         RepeatedTasks.runGuarded("load-feed", () -> poll(afterRound));
-        parts.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
+        dependencies.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void poll(Runnable afterRound) {
-        boolean onTime = pauseDetector.onTime(parts.monotonicMillis().getAsLong());
-        View view = parts.view().get();
+        boolean onTime = pauseDetector.onTime(dependencies.monotonicMillis().getAsLong());
+        View view = dependencies.view().get();
         Map<String, List<EndpointRegistration>> hosts = polledByHost(view);
         // Set before the queries are sent, since a reply may arrive immediately.
         endpointsByHost = startsOf(hosts);
@@ -165,7 +163,7 @@
         // The timestamps are read before the store update: a reply that arrived in between, while this process was
         // paused, would make the update look newer than it is.
         Map<String, Long> timestamps = Map.copyOf(replyTimestamps);
-        Optional<StoreNews> storeUpdate = parts.storeUpdate().get();
+        Optional<StoreUpdate> storeUpdate = dependencies.storeUpdate().get();
         hosts.forEach((host, endpoints) -> {
             boolean sameRegion = isSameRegion(endpoints.getFirst());
             if (sameRegion || roundNumber % OTHER_REGION_ROUNDS == 0) {
@@ -176,8 +174,8 @@
                 sendQuery(host, endpointsByHost.get(host), storeStatus);
             }
         });
-        parts.choice().retainOnly(view.endpoints().values());
-        answersDue = answersDue || queriedBefore || roundNumber >= MAX_ROUNDS_WITHOUT_ENDPOINTS;
+        dependencies.selector().retainOnly(view.endpoints().values());
+        repliesDue = repliesDue || queriedBefore || roundNumber >= MAX_ROUNDS_WITHOUT_ENDPOINTS;
         queriedBefore = !hosts.isEmpty();
         roundNumber++;
         if (onTime) {
@@ -190,7 +188,7 @@
      * in flight, since an endpoint that is not queried would seem unresponsive.
      */
     private Map<String, List<EndpointRegistration>> polledByHost(View view) {
-        polled.keySet().removeIf(start -> !parts.choice().hasRequestsInFlight(start));
+        polled.keySet().removeIf(start -> !dependencies.selector().hasRequestsInFlight(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> polled.put(endpoint.start(), endpoint));
@@ -214,7 +212,7 @@
     }
 
     private boolean isSameRegion(EndpointRegistration endpoint) {
-        return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
+        return dependencies.place().region().equals(dependencies.regions().get(endpoint.dataHall()));
     }
 
     /**
@@ -223,12 +221,14 @@
      * @param endpoint the endpoint
      * @param callback called on the same thread, once, with whether the agent replied in time
      */
-    public void ask(EndpointRegistration endpoint, Consumer<Boolean> callback) {
+    public void query(EndpointRegistration endpoint, Consumer<Boolean> callback) {
         String host = endpoint.instanceHost();
         boolean sameRegion = isSameRegion(endpoint);
         OptionalLong replyTimestamp = lastTimestamp(replyTimestamps, host);
         StoreStatus storeStatus = new StoreStatus(
-                sameRegion, replyTimestamp, sameRegion ? parts.storeUpdate().get() : Optional.empty());
+                sameRegion,
+                replyTimestamp,
+                sameRegion ? dependencies.storeUpdate().get() : Optional.empty());
         int number = sendQuery(host, endpointsByHost.getOrDefault(host, List.of(endpoint.start())), storeStatus);
         queries.await(number, callback);
     }
@@ -241,14 +241,16 @@
         int number = queries.nextNumber();
         // Prompts sent to a former start of the endpoint are no longer processed.
         int ownPromptTokens = endpoints.stream()
-                .map(parts.choice()::load)
+                .map(dependencies.selector()::load)
                 .filter(load -> !load.restarted())
                 .mapToInt(EndpointLoad::ownPendingPromptTokens)
                 .sum();
-        int unmetRequests =
-                parts.choice().unmetDemand().recent(parts.monotonicMillis().getAsLong());
-        ByteBuffer query = LoadMessages.write(new LoadMessages.Query(
-                parts.place().id(),
+        int unmetRequests = dependencies
+                .selector()
+                .unmetDemand()
+                .recent(dependencies.monotonicMillis().getAsLong());
+        ByteBuffer datagram = LoadMessages.write(new LoadMessages.Query(
+                dependencies.place().id(),
                 ownPromptTokens,
                 number,
                 unmetRequests,
@@ -257,7 +259,7 @@
                 storeStatus.replyTimestamp(),
                 rateLimit(endpoints)));
         try {
-            channel.send(query, new InetSocketAddress(host, parts.peerPort()));
+            channel.send(datagram, new InetSocketAddress(host, dependencies.peerPort()));
         } catch (IOException e) {
             LOG.debug("event=load_question_not_sent host={} why=\"{}\"", host, e.toString());
         }
@@ -269,15 +271,15 @@
      * recent information is used.
      */
     private Optional<RateLimitUpdate> rateLimit(List<EndpointStart> endpoints) {
-        long now = parts.monotonicMillis().getAsLong();
+        long now = dependencies.monotonicMillis().getAsLong();
         return endpoints.stream()
-                .map(start -> parts.choice().load(start).rateLimit().ownUpdate(now))
+                .map(start -> dependencies.selector().load(start).rateLimit().ownUpdate(now))
                 .flatMap(Optional::stream)
                 .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
     }
 
     /** What a query says of the store, with the timestamp of the reply that precedes it. */
-    private record StoreStatus(boolean sameRegion, OptionalLong replyTimestamp, Optional<StoreNews> storeUpdate) {}
+    private record StoreStatus(boolean sameRegion, OptionalLong replyTimestamp, Optional<StoreUpdate> storeUpdate) {}
 
     /** The timestamp of the last reply from a host; empty before the first. */
     private static OptionalLong lastTimestamp(Map<String, Long> timestamps, String host) {
@@ -306,29 +308,30 @@
     private void accept(String host, LoadMessages.Reply reply) {
         List<EndpointStart> endpoints = endpointsByHost.getOrDefault(host, List.of());
         replyTimestamps.put(host, reply.timestampMillis());
-        parts.traffic().execute(() -> apply(endpoints, reply));
+        dependencies.traffic().execute(() -> apply(endpoints, reply));
     }
 
     /**
-     * Applies a reply to the choice of endpoints before the callbacks that wait for it run, so that they decide with
-     * its content.
+     * Applies a reply to the endpoint selector before the callbacks that wait for it run, so that they decide with its
+     * content.
      */
     private void apply(List<EndpointStart> endpoints, LoadMessages.Reply reply) {
         OptionalLong sentMillis = queries.sentMillis(reply.number());
         if (sentMillis.isEmpty()) {
             return;
         }
-        long now = parts.monotonicMillis().getAsLong();
+        long now = dependencies.monotonicMillis().getAsLong();
         long delay = now - sentMillis.getAsLong();
-        reply.rank().ifPresent(rank -> parts.choice().entryCount().reported(rank.entries(), now));
+        reply.rank().ifPresent(rank -> dependencies.selector().entryCount().reported(rank.entries(), now));
         for (EndpointStart start : endpoints) {
-            EndpointLoad load = parts.choice().load(start);
+            EndpointLoad load = dependencies.selector().load(start);
             if (start.mayHaveToken(reply.report().start())) {
                 load.reported(reply.report(), delay, now);
                 reply.rank().ifPresent(load.rateLimit()::rankReported);
                 reply.rateLimit()
                         .filter(rateLimit -> rateLimit.concerns(start.id()))
-                        .filter(rateLimit -> load.rateLimit().updated(rateLimit.toObservation(sentMillis.getAsLong(), now)))
+                        .filter(rateLimit ->
+                                load.rateLimit().updated(rateLimit.toObservation(sentMillis.getAsLong(), now)))
                         .ifPresent(rateLimit -> load.rateLimit().logChange("agent"));
             } else {
                 handleReportOfAnotherStart(start, load);
@@ -337,8 +340,9 @@
         queries.onReply(reply.number());
         // Counted from the time of the query: the information is at most that much older than the agent reports.
         reply.reader()
-                .ifPresent(reader -> parts.onReader()
-                        .accept(new StoreNews.Heard(
+                .ifPresent(reader -> dependencies
+                        .onReader()
+                        .accept(new StoreUpdate.ReaderState(
                                 reader.peer(),
                                 reader.operatorOffset(),
                                 sentMillis.getAsLong() - reader.knownMillisAgo())));
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -24,7 +24,7 @@
     private final DatagramChannel channel;
     private final Supplier<Optional<LoadReport>> endpoint;
     private final LongSupplier monotonicMillis;
-    private final BiConsumer<String, StoreNews> onStoreUpdate;
+    private final BiConsumer<String, StoreUpdate> onStoreUpdate;
     private final EntryQueries entries;
     private final RateLimitRelay limitRelay = new RateLimitRelay();
     private final SlotAllotment slotAllotment = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
@@ -34,7 +34,7 @@
             String address,
             Supplier<Optional<LoadReport>> endpoint,
             LongSupplier monotonicMillis,
-            BiConsumer<String, StoreNews> onStoreUpdate,
+            BiConsumer<String, StoreUpdate> onStoreUpdate,
             long maxStoreAgeMillis) {
         this.channel = channel;
         this.endpoint = endpoint;
@@ -60,7 +60,7 @@
             String address,
             Supplier<Optional<LoadReport>> endpoint,
             LongSupplier monotonicMillis,
-            BiConsumer<String, StoreNews> onStoreUpdate,
+            BiConsumer<String, StoreUpdate> onStoreUpdate,
             long maxStoreAgeMillis)
             throws IOException {
         Objects.requireNonNull(endpoint, "endpoint is null");
@@ -78,12 +78,12 @@
      *
      * @return the relay, which can also be given what the endpoint itself reports
      */
-    public RateLimitRelay limits() {
+    public RateLimitRelay limitRelay() {
         return limitRelay;
     }
 
     /** Sends the endpoint's load to all entries that queried recently, without waiting for their next queries. */
-    public void tellAll() {
+    public void sendToAll() {
         for (EntryQuery entryQuery : entries.all()) {
             try {
                 sendReply(entryQuery);
@@ -107,7 +107,10 @@
             LoadMessages.Received received = LoadMessages.receive(channel);
             EntryQuery entryQuery =
                     entries.add(received.from(), LoadMessages.readQuery(received.bytes()), monotonicMillis.getAsLong());
-            entryQuery.query().rateLimit().ifPresent(rateLimit -> limitRelay.received(rateLimit, entryQuery.atMillis()));
+            entryQuery
+                    .query()
+                    .rateLimit()
+                    .ifPresent(rateLimit -> limitRelay.received(rateLimit, entryQuery.atMillis()));
             entryQuery
                     .query()
                     .storeUpdate()
@@ -130,7 +133,8 @@
             return LoadReport.UNLIMITED_SLOTS;
         }
         synchronized (slotAllotment) {
-            return slotAllotment.allot(query.entry(), query.unmetRequests(), report.allottedSlots(), monotonicMillis.getAsLong());
+            return slotAllotment.allot(
+                    query.entry(), query.unmetRequests(), report.allottedSlots(), monotonicMillis.getAsLong());
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunkClient.java
@@ -16,15 +16,15 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.weights.ChunkPeers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Requests chunks of weights from other agents. */
-public final class PeerChunks implements ChunkPeers {
+public final class PeerChunkClient implements ChunkPeers {
 
-    private static final Logger LOG = LoggerFactory.getLogger(PeerChunks.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerChunkClient.class);
 
     static final String CHUNKS = "/chunks/";
     static final String DIGESTS = "/digests/";
@@ -43,7 +43,7 @@
 
     private static final int OK = 200;
 
-    private final HttpCaller client;
+    private final HttpClient client;
     private final Duration responseTimeout;
     private final Duration newConnectionTimeout;
 
@@ -55,7 +55,7 @@
      *
      * @param client sends its requests
      */
-    public PeerChunks(HttpCaller client) {
+    public PeerChunkClient(HttpClient client) {
         this(Objects.requireNonNull(client, "client is null"), RESPONSE_TIMEOUT, NEW_CONNECTION_TIMEOUT);
     }
 
@@ -66,13 +66,13 @@
      * @param responseTimeout the timeout for a response
      * @param newConnectionTimeout the timeout for a response on a new connection, after a request without a response
      */
-    PeerChunks(HttpCaller client, Duration responseTimeout, Duration newConnectionTimeout) {
+    PeerChunkClient(HttpClient client, Duration responseTimeout, Duration newConnectionTimeout) {
         this.client = client;
         this.responseTimeout = responseTimeout;
         this.newConnectionTimeout = newConnectionTimeout;
     }
 
-    private Result<HttpAnswer> get(String peer, String path) {
+    private Result<HttpResponse> get(String peer, String path) {
         HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + peer + path));
         return client.call(call, responseTimeout).flatMap(response -> switch (response.status()) {
             case OK -> Result.success(response);
@@ -98,15 +98,15 @@
 
     @Override
     public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
-        Result<HttpAnswer> response = get(agent, CHUNKS + model + "/" + version + "/" + formatChunks(wanted));
-        if (response instanceof Result.Failure<HttpAnswer>(Fault fault) && lacksResponse(fault)) {
+        Result<HttpResponse> response = get(agent, CHUNKS + model + "/" + version + "/" + formatChunks(wanted));
+        if (response instanceof Result.Failure<HttpResponse>(Fault fault) && lacksResponse(fault)) {
             return Result.failure(excuseIfResponsive(agent, model, version) ? connectionFault(agent, fault) : fault);
         }
         excusedAgents.remove(agent);
         return response.flatMap(received -> parseChunk(agent, received));
     }
 
-    private static Result<IndexedChunk> parseChunk(String agent, HttpAnswer response) {
+    private static Result<IndexedChunk> parseChunk(String agent, HttpResponse response) {
         try {
             int index = Integer.parseInt(response.headers().getOrDefault(INDEX, ""));
             return Result.success(new IndexedChunk(index, response.body()));
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecordClient.java
@@ -23,7 +23,7 @@
 import org.micabarrow.views.TopicReader.Batch;
 
 /** Requests records of the store from other processes, and writes the responses to such requests. */
-public final class PeerRecords {
+public final class PeerRecordClient {
 
     static final String PATH = "/records";
 
@@ -41,7 +41,7 @@
      */
     private static final String KNOWN_MILLIS_AGO = "knownMsAgo";
 
-    private final HttpCaller client;
+    private final HttpClient client;
     private final LongSupplier monotonicMillis;
 
     /**
@@ -49,7 +49,7 @@
      *
      * @param client sends its requests
      */
-    public PeerRecords(HttpCaller client) {
+    public PeerRecordClient(HttpClient client) {
         this(client, MonotonicClock::millis);
     }
 
@@ -59,7 +59,7 @@
      * @param client sends its requests
      * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public PeerRecords(HttpCaller client, LongSupplier monotonicMillis) {
+    public PeerRecordClient(HttpClient client, LongSupplier monotonicMillis) {
         this.client = Objects.requireNonNull(client, "client is null");
         this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
     }
@@ -72,8 +72,8 @@
      * @param from the offset
      * @return the records, valid as of the time of sending the request minus the age of the peer's knowledge
      */
-    public Result<Batch> ask(String peer, Topic topic, long from) {
-        return ask(peer, topic, from, TOTAL_TIMEOUT);
+    public Result<Batch> request(String peer, Topic topic, long from) {
+        return request(peer, topic, from, TOTAL_TIMEOUT);
     }
 
     /**
@@ -85,11 +85,14 @@
      * @param timeout the timeout for the complete response
      * @return the records, valid as of the time of sending the request minus the age of the peer's knowledge
      */
-    public Result<Batch> ask(String peer, Topic topic, long from, Duration timeout) {
+    public Result<Batch> request(String peer, Topic topic, long from, Duration timeout) {
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sentMillis = monotonicMillis.getAsLong();
-        return client.call(call, new AnswerLimits(DrainTimeBudget.PEER_RESPONSE_TIMEOUT, DrainTimeBudget.PEER_RESPONSE_TIMEOUT, timeout))
+        return client.call(
+                        call,
+                        new ResponseTimeouts(
+                                DrainTimeBudget.PEER_RESPONSE_TIMEOUT, DrainTimeBudget.PEER_RESPONSE_TIMEOUT, timeout))
                 .flatMap(response -> response.status() == OK
                         ? parse(peer, response.body(), sentMillis)
                         : Result.failure(Fault.of(
@@ -124,7 +127,7 @@
                 : OptionalLong.empty();
     }
 
-    /** Writes the response to {@link #ask}; {@code nowMillis} is on the same clock as the time of the batch. */
+    /** Writes the response to {@link #request}; {@code nowMillis} is on the same clock as the time of the batch. */
     static byte[] write(Batch batch, long nowMillis) {
         ObjectNode json = CanonicalJson.mapper().createObjectNode();
         json.put("end", batch.end());
--- a/src/main/java/org/micabarrow/transport/PlatformClient.java
+++ b/src/main/java/org/micabarrow/transport/PlatformClient.java
@@ -15,7 +15,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Instance;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Accesses the platform's log and list of instances over HTTP. */
 public final class PlatformClient implements PlatformLog, InstanceList {
@@ -31,7 +31,7 @@
 
     private static final int OK = 200;
 
-    private final HttpCaller client;
+    private final HttpClient client;
     private final Common.Platform platform;
 
     /**
@@ -40,7 +40,7 @@
      * @param client sends the requests
      * @param platform the addresses of the services
      */
-    public PlatformClient(HttpCaller client, Common.Platform platform) {
+    public PlatformClient(HttpClient client, Common.Platform platform) {
         this.client = Objects.requireNonNull(client, "client is null");
         this.platform = Objects.requireNonNull(platform, "platform is null");
     }
@@ -80,7 +80,7 @@
      * @param <T> the body's type
      * @return the body, or a fault for any status but 200
      */
-    static <T> Result<T> read(HttpCall call, HttpAnswer response, Class<T> type) {
+    static <T> Result<T> read(HttpCall call, HttpResponse response, Class<T> type) {
         if (response.status() != OK) {
             return Result.failure(Fault.of(
                     call.step(),
--- a/src/main/java/org/micabarrow/transport/ResponseCollector.java
+++ b/src/main/java/org/micabarrow/transport/ResponseCollector.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.TimeoutException;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Collects a response until it is complete. */
-final class ResponseCollector implements HttpCaller.Listener {
+final class ResponseCollector implements HttpClient.Listener {
 
-    private final CompletableFuture<Result<HttpAnswer>> done = new CompletableFuture<>();
+    private final CompletableFuture<Result<HttpResponse>> done = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private volatile boolean begun;
     private volatile long lastPartNanos;
@@ -31,7 +31,8 @@
      * @param timeouts the timeouts for the response, counted from now
      * @throws TimeoutException if a timeout expired before the response was complete
      */
-    Result<HttpAnswer> await(AnswerLimits timeouts) throws InterruptedException, ExecutionException, TimeoutException {
+    Result<HttpResponse> await(ResponseTimeouts timeouts)
+            throws InterruptedException, ExecutionException, TimeoutException {
         long startNanos = System.nanoTime();
         while (true) {
             long remaining = timeouts.deadlineNanos(startNanos, begun ? lastPartNanos : startNanos) - System.nanoTime();
@@ -66,7 +67,7 @@
 
     @Override
     public void onComplete() {
-        done.complete(Result.success(new HttpAnswer(status, headers, body.toByteArray())));
+        done.complete(Result.success(new HttpResponse(status, headers, body.toByteArray())));
     }
 
     @Override
--- a/src/main/java/org/micabarrow/transport/AnswerLimits.java
+++ b/src/main/java/org/micabarrow/transport/ResponseTimeouts.java
@@ -12,10 +12,10 @@
  * @param nextPart how long it may take from one part of the response to the next
  * @param total how long the complete response may take
  */
-public record AnswerLimits(Duration firstPart, Duration nextPart, Duration total) {
+public record ResponseTimeouts(Duration firstPart, Duration nextPart, Duration total) {
 
     /** Checks that no component is null. */
-    public AnswerLimits {
+    public ResponseTimeouts {
         requireNonNull(firstPart, "firstPart is null");
         requireNonNull(nextPart, "nextPart is null");
         requireNonNull(total, "total is null");
@@ -27,8 +27,8 @@
      * @param timeout how long the complete response may take
      * @return the timeouts
      */
-    public static AnswerLimits total(Duration timeout) {
-        return new AnswerLimits(timeout, timeout, timeout);
+    public static ResponseTimeouts total(Duration timeout) {
+        return new ResponseTimeouts(timeout, timeout, timeout);
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/StoreNews.java
+++ b/src/main/java/org/micabarrow/transport/StoreUpdate.java
@@ -15,11 +15,11 @@
  * @param knownMillisAgo how long ago it knew everything that operators had written, in milliseconds
  * @param direct whether it reads the store itself, so that other entries may rely on it
  */
-public record StoreNews(
+public record StoreUpdate(
         int port, ChangeOffsets changes, Optional<ManifestPosition> manifest, long knownMillisAgo, boolean direct) {
 
     /** Checks that no component is null. */
-    public StoreNews {
+    public StoreUpdate {
         Objects.requireNonNull(changes, "changes is null");
         Objects.requireNonNull(manifest, "manifest is null");
     }
@@ -28,14 +28,14 @@
      * What an agent reported to an entry about the entry that reads the store for the region.
      *
      * @param peer the host and port at which the reading entry serves records
-     * @param operator the offset after the last operator change that it knows of
+     * @param operatorOffset the offset after the last operator change that it knows of
      * @param asOfMillis the time on the receiving entry's monotonic clock up to which the reading entry knows
      *     everything that operators wrote
      */
-    public record Heard(String peer, long operator, long asOfMillis) {
+    public record ReaderState(String peer, long operatorOffset, long asOfMillis) {
 
         /** Checks that no component is null. */
-        public Heard {
+        public ReaderState {
             Objects.requireNonNull(peer, "peer is null");
         }
     }
--- a/src/main/java/org/micabarrow/transport/WeightsClient.java
+++ b/src/main/java/org/micabarrow/transport/WeightsClient.java
@@ -29,7 +29,7 @@
     /** The maximum number of concurrent requests for chunks, which limits the connections to the store. */
     private static final int MAX_CONCURRENT = 32;
 
-    private final HttpCaller client;
+    private final HttpClient client;
     private final Common.Platform platform;
     private final AgentChunks agents;
     private final LinkPacer link;
@@ -47,7 +47,7 @@
      * @param prefetchBytes how many bytes may be in transit from the store at once
      */
     public WeightsClient(
-            HttpCaller client,
+            HttpClient client,
             Common.Platform platform,
             AgentChunks agents,
             LinkPacer link,
@@ -119,7 +119,7 @@
         @Override
         public Result<byte[]> next(Patience timeouts) {
             Result<byte[]> data = feed.next(timeouts);
-            data.toOptional().ifPresent(bytes -> link.take(bytes.length));
+            data.toOptional().ifPresent(bytes -> link.acquire(bytes.length));
             return data;
         }
 
@@ -139,7 +139,7 @@
         private final String artifact;
         private final long maxBytesInTransit;
         private int concurrency = MIN_CONCURRENT;
-        private final Deque<HttpCaller.PendingCall> pending = new ArrayDeque<>();
+        private final Deque<HttpClient.PendingCall> pending = new ArrayDeque<>();
         private int nextIndex;
         private int remaining;
 
--- a/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
@@ -133,7 +133,7 @@
     }
 
     private void send(int index, byte[] data) {
-        link.take(data.length);
+        link.acquire(data.length);
         if (!replies.isCancelled()) {
             replies.onNext(Chunk.newBuilder()
                     .setIndex(index)
--- a/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.RequestDigest;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.StoredRecord;
 
 class CrashRecordsTest {
@@ -25,7 +25,7 @@
     private static final CrashUpdate CRASH =
             new CrashUpdate.Crashed(new EndpointCrash("e@7", Set.of(ONE), Set.of(OTHER)));
 
-    private final HttpCaller caller = HttpCaller.start("records", 1);
+    private final HttpClient caller = HttpClient.start("records", 1);
 
     @AfterEach
     void stop() {
--- a/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
+++ b/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.weights.ModelEndpoint.Report;
 
@@ -21,18 +21,18 @@
     private volatile String report = "";
     private String address;
     private HttpListener listener;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() throws Exception {
         address = Ports.freeAddress();
         listener = HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
                 exchange -> exchange.getResponseSender().send(report, StandardCharsets.UTF_8));
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/platform/SilentStoreTest.java
+++ b/src/test/java/org/micabarrow/platform/SilentStoreTest.java
@@ -14,7 +14,7 @@
 import org.micabarrow.platform.standin.HostedStoreStandin;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.Topic;
@@ -34,14 +34,14 @@
     private final List<Topic> asked = new ArrayList<>();
     private HttpListener listener;
     private SilentRelay relay;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() throws Exception {
         String address = Ports.freeAddress();
-        listener = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), store);
+        listener = HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), store);
         relay = SilentRelay.to(address);
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/process/HostedSoakTest.java
+++ b/src/test/java/org/micabarrow/process/HostedSoakTest.java
@@ -29,8 +29,8 @@
 import org.micabarrow.platform.standin.Received;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Entries over sockets while requests end endpoints, endpoints say that they leave, ask for rest, name limits, are killed and fail, entries
@@ -94,7 +94,7 @@
         private final long seed;
         private final Random random;
         private final HostedSystem platform = HostedSystem.start();
-        private final HttpCaller client = HttpCaller.start("client", 2);
+        private final HttpClient client = HttpClient.start("client", 2);
         private final HostedSettings beside;
         private final List<HostedSettings> settings = new ArrayList<>();
         private final List<HostedEntryProcess> entries = new ArrayList<>();
@@ -276,7 +276,8 @@
             String id = nextId(entry);
             String clients = settings.get(entry).listen().clients().orElseThrow();
             HttpCall call = HostedSystem.request(clients, path, id, body).withHeader("Deadline-Ms", "2000");
-            HttpAnswer answer = client.call(call, WITHIN).toOptional().orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+            HttpResponse answer =
+                    client.call(call, WITHIN).toOptional().orElse(new HttpResponse(0, Map.of(), new byte[0]));
             statuses.put(id, answer.status());
             String text = new String(answer.body(), StandardCharsets.UTF_8);
             if (!CRASHING.contains(body) && text.contains("it has ended")) {
--- a/src/test/java/org/micabarrow/process/RecoveryTest.java
+++ b/src/test/java/org/micabarrow/process/RecoveryTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.standin.EngineStandin;
 import org.micabarrow.standin.Faults;
 import org.micabarrow.state.Digest;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Deaths, outages and lost answers on real sockets, step by step on one system. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
@@ -71,7 +71,7 @@
         fixture.system.platform().fail(ANSWERS_LOST);
         String plan = fixture.plan("entry-1", fixture.intent(fixture.weights.version(), BOTH_HALLS, 3))
                 .id();
-        HttpAnswer confirmed = fixture.confirm("entry-2", plan);
+        HttpResponse confirmed = fixture.confirm("entry-2", plan);
         assertEquals(200, confirmed.status(), SystemFixture.text(confirmed));
         fixture.system.platform().fail(Faults.none());
         fixture.awaitReady(fixture.weights.version());
@@ -152,7 +152,7 @@
         awaitNewProcessesKnown();
         fixture.system.service("billing-1").slow(600_000);
         fixture.system.service("billing-2").slow(600_000);
-        CompletableFuture<HttpAnswer> first =
+        CompletableFuture<HttpResponse> first =
                 CompletableFuture.supplyAsync(() -> fixture.charge("entry-1", "key", "charge"));
         Await.until("the run", () -> {
             boolean ran = fixture.runsOf("charge") == 1;
@@ -161,7 +161,7 @@
         });
         boolean atFirst = fixture.system.service("billing-1").runs().containsKey(Digest.of("charge"));
         String running = atFirst ? "billing-1" : "billing-2";
-        HttpAnswer meanwhile = fixture.charge("entry-2", "key", "charge");
+        HttpResponse meanwhile = fixture.charge("entry-2", "key", "charge");
         assertEquals(409, meanwhile.status());
         assertEquals("unknown", meanwhile.headers().get("X-Micabarrow-Outcome"));
         fixture.system.agent(running).kill();
@@ -170,7 +170,7 @@
         fixture.system.startAgent(running);
         Await.until("the new process", () -> generation(running) >= 6);
         for (String entry : List.of("entry-1", "entry-2")) {
-            HttpAnswer again = fixture.charge(entry, "key", "charge");
+            HttpResponse again = fixture.charge(entry, "key", "charge");
             assertEquals("unknown", again.headers().get("X-Micabarrow-Outcome"), SystemFixture.text(again));
         }
         assertEquals(1, fixture.runsOf("charge"));
--- a/src/test/java/org/micabarrow/process/WholePathTest.java
+++ b/src/test/java/org/micabarrow/process/WholePathTest.java
@@ -27,7 +27,7 @@
 import org.micabarrow.standin.Faults;
 import org.micabarrow.standin.WeightsStandin;
 import org.micabarrow.state.CanonicalJson;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** The whole path over real sockets, step by step on one system. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
@@ -45,7 +45,7 @@
         fixture.close();
     }
 
-    private static String error(HttpAnswer answer, String field) throws IOException {
+    private static String error(HttpResponse answer, String field) throws IOException {
         return CanonicalJson.mapper()
                 .readTree(answer.body())
                 .path("error")
@@ -83,7 +83,7 @@
                 "\"norte-a\" | -1 | /placements/0/replicas: -1 is not allowed; allowed: a whole number from 0",
             })
     void shouldRefuseBadIntentsWithReason(String halls, int replicas, String message) throws IOException {
-        HttpAnswer answer = fixture.operator(
+        HttpResponse answer = fixture.operator(
                 "entry-1",
                 LocalSystem.OPERATOR_TOKEN,
                 "POST",
@@ -113,7 +113,7 @@
     void shouldServeOnlyInsidePlacementOnceConfirmed() throws IOException {
         fixture.rollOut(fixture.weights.version(), "\"norte-a\"", 2);
         for (int i = 0; i < 10; i++) {
-            HttpAnswer answer = fixture.chat("entry-" + (1 + i % 2), SystemFixture.RIDERS, 4, i % 3 == 0);
+            HttpResponse answer = fixture.chat("entry-" + (1 + i % 2), SystemFixture.RIDERS, 4, i % 3 == 0);
             assertEquals(200, answer.status(), SystemFixture.text(answer));
             assertTrue(SystemFixture.text(answer).contains(fixture.weights.fingerprint()));
             assertEquals("norte-a", answer.headers().get("X-Micabarrow-Hall"));
@@ -131,7 +131,7 @@
         OperatorMessages.Planned planned =
                 fixture.plan("entry-1", fixture.intent(fixture.weights.version(), "\"norte-a\"", 2));
         assertEquals(200, fixture.confirm("entry-1", planned.id()).status());
-        HttpAnswer again = fixture.confirm("entry-2", planned.id());
+        HttpResponse again = fixture.confirm("entry-2", planned.id());
         assertEquals(409, again.status());
         assertTrue(SystemFixture.text(again).contains("is waiting to be confirmed"));
     }
@@ -152,7 +152,7 @@
             })
     void shouldRefuseBadRequestsAsNotRunWithStepAndPeer(
             String path, String organisation, String body, int status, String code) throws IOException {
-        HttpAnswer answer = fixture.call("entry-1", path, "token-of-" + organisation, body, Map.of());
+        HttpResponse answer = fixture.call("entry-1", path, "token-of-" + organisation, body, Map.of());
         assertEquals(status, answer.status(), SystemFixture.text(answer));
         assertEquals("not_run", answer.headers().get("X-Micabarrow-Outcome"));
         assertTrue(answer.headers().containsKey("Retry-After"));
@@ -163,7 +163,7 @@
     @Test
     @Order(7)
     void shouldRefuseBodyLargerThanLimit() throws IOException {
-        HttpAnswer answer = fixture.call(
+        HttpResponse answer = fixture.call(
                 "entry-1", "/v1/chat/completions", SystemFixture.RIDERS, "x".repeat((1 << 20) + 1), Map.of());
         assertEquals(413, answer.status());
         assertEquals("too_large", error(answer, "code"));
@@ -174,14 +174,14 @@
     @Test
     @Order(8)
     void shouldRunChargeOnceThoughBothEntriesAreAskedAtOnce() {
-        List<CompletableFuture<HttpAnswer>> answers = new ArrayList<>();
+        List<CompletableFuture<HttpResponse>> answers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String entry = "entry-" + (1 + i % 2);
             answers.add(CompletableFuture.supplyAsync(() -> fixture.charge(entry, "key-a", "charge a")));
         }
         Map<Integer, Long> statuses = answers.stream()
                 .map(CompletableFuture::join)
-                .collect(Collectors.groupingBy(HttpAnswer::status, Collectors.counting()));
+                .collect(Collectors.groupingBy(HttpResponse::status, Collectors.counting()));
         assertEquals(1, fixture.runsOf("charge a"));
         assertTrue(statuses.getOrDefault(200, 0L) >= 1, statuses.toString());
         assertTrue(List.of(200, 409).containsAll(statuses.keySet()), statuses.toString());
@@ -190,8 +190,8 @@
     @Test
     @Order(9)
     void shouldGiveKeptAnswerToCallerWhoLostIt() {
-        HttpAnswer first = fixture.charge("entry-1", "key-b", "charge b");
-        HttpAnswer again = fixture.chargeUntilSettled("entry-2", "key-b", "charge b");
+        HttpResponse first = fixture.charge("entry-1", "key-b", "charge b");
+        HttpResponse again = fixture.chargeUntilSettled("entry-2", "key-b", "charge b");
         assertEquals(200, again.status());
         assertEquals(SystemFixture.text(first), SystemFixture.text(again));
         assertEquals(1, fixture.runsOf("charge b"));
@@ -201,7 +201,7 @@
     @Order(10)
     void shouldRefuseKeyThatWasUsedWithAnotherBody() throws IOException {
         fixture.charge("entry-1", "key-c", "charge c");
-        HttpAnswer other = fixture.charge("entry-2", "key-c", "another charge");
+        HttpResponse other = fixture.charge("entry-2", "key-c", "another charge");
         assertEquals(409, other.status());
         assertEquals("not_run", error(other, "type"));
         assertEquals(0, fixture.runsOf("another charge"));
@@ -211,7 +211,7 @@
     @Order(11)
     void shouldSayNotRunWhenLogIsOutAndServeModelsOn() throws IOException {
         fixture.system.platform().fail(new Faults(true, 0, false, false, 0, 0, false));
-        HttpAnswer charge = fixture.charge("entry-1", "key-d", "charge d");
+        HttpResponse charge = fixture.charge("entry-1", "key-d", "charge d");
         assertEquals("not_run", error(charge, "type"), SystemFixture.text(charge));
         assertEquals(
                 200, fixture.chat("entry-1", SystemFixture.RIDERS, 2, false).status());
@@ -234,7 +234,7 @@
         });
         int answered = 0;
         while (!rollOut.isDone() || answered < 5) {
-            HttpAnswer answer = fixture.chat("entry-1", SystemFixture.RIDERS, 8, answered % 2 == 0);
+            HttpResponse answer = fixture.chat("entry-1", SystemFixture.RIDERS, 8, answered % 2 == 0);
             assertEquals(200, answer.status(), SystemFixture.text(answer));
             answered++;
             boolean old = SystemFixture.text(answer).contains(fixture.weights.fingerprint());
@@ -254,7 +254,7 @@
     @Test
     @Order(13)
     void shouldCutNothingWhenAgentIsStopped() {
-        List<CompletableFuture<HttpAnswer>> streams = new ArrayList<>();
+        List<CompletableFuture<HttpResponse>> streams = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             streams.add(CompletableFuture.supplyAsync(() -> fixture.chat("entry-1", SystemFixture.RIDERS, 200, true)));
         }
@@ -268,7 +268,7 @@
             assertEquals(200, stream.join().status());
             assertTrue(SystemFixture.text(stream.join()).endsWith("data: [DONE]\n\n"));
         });
-        Optional<HttpAnswer> after = Optional.of(fixture.chat("entry-1", SystemFixture.RIDERS, 2, false));
+        Optional<HttpResponse> after = Optional.of(fixture.chat("entry-1", SystemFixture.RIDERS, 2, false));
         assertEquals(other, after.get().headers().get("X-Micabarrow-Instance"));
     }
 
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -38,8 +38,8 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** The whole path of an entry on the users' platform, against stand-ins over real sockets. */
 class HostedEntryTest {
@@ -53,13 +53,13 @@
     private static final String PATIENT_MILLIS = "60000";
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
     }
 
@@ -93,7 +93,7 @@
         platform.add("plain-2", "plain", 0);
         begin(2);
         platform.next(first);
-        HttpAnswer answer = ask(path, Map.of());
+        HttpResponse answer = ask(path, Map.of());
         assertEquals(status, answer.status(), () -> "received: " + received());
         assertEquals(sendings, received().size());
     }
@@ -104,8 +104,8 @@
         platform.add("plain-2", "plain", 0);
         begin(2);
         platform.next(Behaviour.MISDIRECT);
-        HttpAnswer first = ask("/once/x", Map.of());
-        HttpAnswer second = ask("/once/x", Map.of());
+        HttpResponse first = ask("/once/x", Map.of());
+        HttpResponse second = ask("/once/x", Map.of());
         assertEquals(200, first.status());
         assertEquals(
                 first.headers().get("Instance-Id"),
@@ -154,7 +154,7 @@
         platform.add("model-2", "models", 1);
         begin(2);
         platform.next(Behaviour.CUT);
-        HttpAnswer answer = ask("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
+        HttpResponse answer = ask("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
         String body = new String(answer.body(), StandardCharsets.UTF_8);
         assertEquals(
                 List.of("id: 1", "id: 2", "id: 3"),
@@ -184,7 +184,7 @@
             begin(1);
             tellLoad(agent);
             Map<String, String> headers = Map.of("Model", "model-a", "Token-Count", "100,20", "Deadline-Ms", "9000");
-            CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> ask("/stream/x", headers));
+            CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(() -> ask("/stream/x", headers));
             waitUntil(() -> platform.endpoint("model-1").hanging() == 1);
             platform.add("model-2", "models", 1);
             // The agent answers no more questions, and the endpoint sends nothing.
@@ -234,7 +234,7 @@
         platform.add("plain-1", "plain", 0);
         HostedEntryProcess entry = beginPatient();
         platform.next(Behaviour.HANG);
-        HttpCaller leaving = HttpCaller.start("leaving", 1);
+        HttpClient leaving = HttpClient.start("leaving", 1);
         HttpCall call = call("/again/x", Map.of("Key", PATIENT_KEY, "Deadline-Ms", PATIENT_MILLIS), "a body");
         assertTrue(leaving.call(call, Duration.ofMillis(300)).cause().isPresent());
         leaving.close();
@@ -365,7 +365,7 @@
         platform.enter("plain-1", "plain", 0, "draining");
         waitUntil(() -> ask("/once/x", Map.of()).status() == 503);
         int before = received().size();
-        HttpAnswer refused = ask("/once/x", Map.of());
+        HttpResponse refused = ask("/once/x", Map.of());
         assertEquals(503, refused.status());
         assertTrue(Optional.ofNullable(refused.headers().get("Retry-After")).isPresent());
         assertEquals(before, received().size());
@@ -431,14 +431,14 @@
         return new HttpCall(Step.READ, "POST", uri, Optional.of(path), headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer ask(String path, Map<String, String> more) {
+    private HttpResponse ask(String path, Map<String, String> more) {
         return ask(path, more, "a body");
     }
 
-    private HttpAnswer ask(String path, Map<String, String> more, String body) {
+    private HttpResponse ask(String path, Map<String, String> more, String body) {
         return caller.call(call(path, more, body), WITHIN)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
     }
 
     private static void waitUntil(BooleanSupplier condition) {
--- a/src/test/java/org/micabarrow/serving/LateSendingTest.java
+++ b/src/test/java/org/micabarrow/serving/LateSendingTest.java
@@ -26,7 +26,7 @@
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * What leaves an entry that stood still between its decision and the first byte of the request. The standstill is played on
@@ -221,7 +221,7 @@
     void shouldSendNothingWhenTimeIsUp() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         standStill(CLIENT_MILLIS);
-        HttpAnswer refused = ask("/stream/x");
+        HttpResponse refused = ask("/stream/x");
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, received("model-1"));
--- a/src/test/java/org/micabarrow/serving/LeavingAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/LeavingAnswerTest.java
@@ -17,8 +17,8 @@
 import org.micabarrow.process.HostedAgentProcess;
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * An endpoint that says in its answers that it leaves.
@@ -35,12 +35,12 @@
     private static final long FIRST_START = 1_764_718_000_000L;
 
     private HostedSystem platform;
-    private HttpCaller client;
+    private HttpClient client;
 
     @BeforeEach
     void start() {
         platform = HostedSystem.start();
-        client = HttpCaller.start("client", 1);
+        client = HttpClient.start("client", 1);
     }
 
     @AfterEach
@@ -59,7 +59,7 @@
         String clients = entry.listen().clients().orElseThrow();
         return client.call(HostedSystem.request(clients, path, "attempt-1"), WITHIN)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]))
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]))
                 .status();
     }
 
--- a/src/test/java/org/micabarrow/serving/LimitTest.java
+++ b/src/test/java/org/micabarrow/serving/LimitTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.Await;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Guards against sending an endpoint more requests a second than it says that it takes. */
 class LimitTest extends ServingFixture {
@@ -86,7 +86,7 @@
         serveWithoutVersions();
         platform.endpoint("plain-1").limit(0.1);
         assertEquals(200, ask("/once/x").status());
-        HttpAnswer refused = ask("/once/x");
+        HttpResponse refused = ask("/once/x");
         assertEquals(503, refused.status());
         assertTrue(Double.parseDouble(refused.headers().get("Retry-After")) > 0);
         assertEquals(1, received("plain-1"));
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.serving.ServingHandler.AgentQuestions;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** What is sent to an endpoint that still holds an older weight version than was named. */
 class OlderVersionTest extends ServingFixture {
@@ -51,7 +51,7 @@
                 new VersionTimes(askMillis, NEVER_MILLIS, cancelMillis));
     }
 
-    private HttpAnswer ask() {
+    private HttpResponse ask() {
         return ask("/stream/x");
     }
 
@@ -84,7 +84,7 @@
         serve(0, NEVER_MILLIS);
         views.addPeerTarget(MODEL, 2);
         agentAnswers.set(false);
-        HttpAnswer refused = ask();
+        HttpResponse refused = ask();
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, platform.endpoint("model-1").received().size());
@@ -96,7 +96,7 @@
         serve(0, 400);
         views.addPeerTarget(MODEL, 2);
         platform.next(Behaviour.HANG);
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(this::ask);
+        CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(this::ask);
         Await.until("the sending", () -> platform.endpoint("model-1").hanging() == 1);
         platform.add("model-2", "models", 2);
         assertEquals(200, answer.join().status());
--- a/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** An endpoint that takes a request and never answers it, while its agent tells that all is well. */
 class OverdueAnswerTest extends ServingFixture {
@@ -60,8 +60,8 @@
     }
 
     /** Sends a request, waits until it lies at the endpoint that will not answer, and lists another one then. */
-    private CompletableFuture<HttpAnswer> sent(String path) {
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> ask(path));
+    private CompletableFuture<HttpResponse> sent(String path) {
+        CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(() -> ask(path));
         Await.until("the request", () -> mute.waiting() == 1);
         platform.add("model-2", "models", 1);
         Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
@@ -79,14 +79,14 @@
 
     @Test
     void shouldAskAnotherEndpointWhenFirstPartIsOverdue() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
+        CompletableFuture<HttpResponse> answer = sent("/stream/x");
         pass(OVERDUE_MILLIS, 0);
         assertEquals(OK, answer.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS).status());
     }
 
     @Test
     void shouldWaitWhenAnswerIsOnlyLate() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
+        CompletableFuture<HttpResponse> answer = sent("/stream/x");
         pass(LATE_MILLIS, 0);
         assertFalse(answer.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
@@ -94,7 +94,7 @@
 
     @Test
     void shouldWaitWhenOthersHaveNoRoomToSpare() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
+        CompletableFuture<HttpResponse> answer = sent("/stream/x");
         pass(OVERDUE_MILLIS, 14);
         assertFalse(answer.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
@@ -111,7 +111,7 @@
             HttpCall call = HostedSystem.request(clients(), "/stream/x", "attempt-1")
                     .withHeader("Model", MODEL)
                     .withHeader("Token-Count", "100,20");
-            CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(
+            CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(
                     () -> client.call(call, WITHIN).toOptional().orElseThrow());
             try (Socket stalled = server.accept()) {
                 stalled.getOutputStream().write(FIRST_EVENT.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/org/micabarrow/serving/RawAnswersTest.java
+++ b/src/test/java/org/micabarrow/serving/RawAnswersTest.java
@@ -17,8 +17,8 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** What an entry makes of an endpoint's answer, byte by byte. */
 class RawAnswersTest {
@@ -27,14 +27,14 @@
     private static final String OTHER = HEAD.replace("attempt-1", "attempt-0");
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private ServerSocket endpoint;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         endpoint = new ServerSocket(0);
         settings = platform.entry();
         platform.place("raw-1", "127.0.0.1:" + endpoint.getLocalPort());
@@ -111,11 +111,11 @@
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("a manifest and the endpoint", () -> entry.takesRequests() && entry.endpoints() == 1);
         answerOnce(bytes(form), reset);
-        HttpAnswer answer = caller.call(
+        HttpResponse answer = caller.call(
                         HostedSystem.request(settings.listen().clients().orElseThrow(), "/once/x", "attempt-1"),
                         Duration.ofSeconds(5))
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
         assertEquals(status, answer.status());
         if (status == 200) {
             assertEquals("whole", new String(answer.body(), StandardCharsets.US_ASCII));
--- a/src/test/java/org/micabarrow/serving/RestTest.java
+++ b/src/test/java/org/micabarrow/serving/RestTest.java
@@ -8,8 +8,8 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient.HttpResponse;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * An endpoint that turns a request away and asks for rest.
@@ -36,7 +36,7 @@
         assertEquals(503, ask("/again/x").status());
         for (long passed = 100; passed < REST_MILLIS; passed += 100) {
             clockMillis.addAndGet(100);
-            HttpAnswer refused = ask("/again/x");
+            HttpResponse refused = ask("/again/x");
             assertEquals(503, refused.status());
             double left = (REST_MILLIS - passed) / 1_000.0;
             assertEquals(left, Double.parseDouble(refused.headers().get("Retry-After")), 0.001);
@@ -50,7 +50,7 @@
     void shouldTellWhenToComeBackWhenOnlyEndpointBeginsToRest() throws IOException {
         serveWithoutVersions();
         platform.next(Behaviour.REFUSE_AND_REST);
-        HttpAnswer refused = ask("/once/x");
+        HttpResponse refused = ask("/once/x");
         assertEquals(503, refused.status());
         assertEquals("3.000", refused.headers().get("Retry-After"));
     }
@@ -83,7 +83,7 @@
         ask("/again/x");
         clockMillis.addAndGet(REST_MILLIS);
         platform.next(Behaviour.HANG);
-        Runnable leave = client.send(HostedSystem.request(clients(), "/again/x", "attempt-2"), new Ignoring());
+        Runnable leave = client.send(HostedSystem.request(clients(), "/again/x", "attempt-2"), new IgnoringListener());
         Await.until("the first", () -> platform.endpoint("plain-1").hanging() == 1);
         assertEquals(503, ask("/again/x").status(), "no other before the endpoint has answered");
         leave.run();
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -19,8 +19,8 @@
 import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
@@ -42,15 +42,15 @@
     HostedSystem platform;
     HostedSettings settings;
     XnioWorker worker;
-    HttpCaller client;
+    HttpClient client;
     ServingHandler handler;
 
     @BeforeEach
     final void startPlatform() throws IOException {
         platform = HostedSystem.start();
         settings = platform.entry();
-        worker = HttpCaller.worker("serving", 1);
-        client = HttpCaller.start("client", 1);
+        worker = HttpClient.worker("serving", 1);
+        client = HttpClient.start("client", 1);
     }
 
     @AfterEach
@@ -75,7 +75,7 @@
         handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
                 choice,
-                HttpCaller.on(worker, 0),
+                HttpClient.onWorker(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 budget,
@@ -85,7 +85,7 @@
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
                 Crashes.unnoticed()));
-        HttpListener.on(clients(), HttpListener.Bounds.usual(), worker, handler);
+        HttpListener.startOnWorker(clients(), HttpListener.Limits.defaults(), worker, handler);
         FollowedStore.follow(client, settings, WITHIN, views);
     }
 
@@ -123,9 +123,9 @@
     }
 
     /** Sends a request and waits for its answer; status 0 if there is none. */
-    final HttpAnswer ask(String path) {
+    final HttpResponse ask(String path) {
         return client.call(HostedSystem.request(clients(), path, "attempt-1"), WITHIN)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
     }
 }
--- a/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
@@ -14,9 +14,9 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * Users saw requests begin on weights that had been replaced, and requests reach an endpoint that had long said it was
@@ -71,8 +71,8 @@
     // -- steps
 
     /** Sends a request and waits until it lies in front of the instance. */
-    private CompletableFuture<HttpAnswer> sent() {
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> ask("/stream/x"));
+    private CompletableFuture<HttpResponse> sent() {
+        CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(() -> ask("/stream/x"));
         Await.until("the request", () -> standing.waiting() == 1);
         return answer;
     }
@@ -92,8 +92,9 @@
     @Test
     void shouldTakeBackWhatWaitsWhenClientLeaves() throws Exception {
         serve(NEVER_MILLIS);
-        try (HttpCaller leaving = HttpCaller.start("leaving", 1)) {
-            Runnable leave = leaving.send(HostedSystem.request(clients(), "/stream/x", "attempt-1"), new Ignoring());
+        try (HttpClient leaving = HttpClient.start("leaving", 1)) {
+            Runnable leave =
+                    leaving.send(HostedSystem.request(clients(), "/stream/x", "attempt-1"), new IgnoringListener());
             Await.until("the request", () -> standing.waiting() == 1);
             leave.run();
             Await.until("the end of the request", () -> handler.connections().busy() == 0);
@@ -104,7 +105,7 @@
     @Test
     void shouldTakeBackWhatWaitsWhenVersionIsNamedAfterSending() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         views.addPeerTarget(MODEL, 2);
         standStill(SILENCE_MILLIS);
         assertEquals(BAD_GATEWAY, answer.join().status());
@@ -114,7 +115,7 @@
     @Test
     void shouldTakeBackWhatWaitsWhenEndpointLeaves() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         platform.enter("model-1", "models", 1, "draining");
         Await.until(
                 "the news that it leaves",
@@ -127,7 +128,7 @@
     @Test
     void shouldTakeBackWhatWaitsWhenEndpointIsListedNoMore() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         platform.store().append("keyed.servers", "model-1", "");
         Await.until("the end of its entry", () -> views.view().endpoints().isEmpty());
         choice.retainOnly(views.view().endpoints().values());
@@ -139,7 +140,7 @@
     @Test
     void shouldTakeBackWhatWaitsWhenEndpointStartedAgain() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         platform.startedAt("model-1", 1_764_718_674_123L);
         platform.enter("model-1", "models", 1, "ready");
         Await.until(
@@ -153,7 +154,7 @@
     @Test
     void shouldTakeBackWhatWaitsWhenObjectiveIsOver() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         standStill(LATE_MILLIS);
         assertEquals(BAD_GATEWAY, answer.join().status());
         assertEquals(List.of(), standing.wake());
@@ -162,7 +163,7 @@
     @Test
     void shouldLeaveWhatWaitsWhenEndpointIsHeard() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         views.addPeerTarget(MODEL, 2);
         clockMillis.addAndGet(SILENCE_MILLIS);
         choice.load("model-1").reported(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
@@ -174,7 +175,7 @@
     @Test
     void shouldTakeBackWhatIsNotBegunInTimeWhenVersionIsNamedAfterSending() throws Exception {
         serve(CANCEL_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         views.addPeerTarget(MODEL, 2);
         // The agent is heard all the while, so nothing but the time tells.
         lookAfterRequests();
@@ -185,7 +186,7 @@
     @Test
     void shouldLeaveWhatWaitsWhenNothingSpeaksAgainstIt() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         standStill(SILENCE_MILLIS);
         assertEquals(1, standing.wake().size());
         answer.cancel(true);
@@ -195,7 +196,7 @@
     void shouldTakeBackWhatWaitsWhenSecondVersionIsNamedAfterFirstWasTaken() throws Exception {
         serve(CANCEL_MILLIS);
         views.addPeerTarget(MODEL, 2);
-        CompletableFuture<HttpAnswer> answer = sent();
+        CompletableFuture<HttpResponse> answer = sent();
         // The time for the first version passes while the endpoint holds it already; then another is named.
         choice.load("model-1").reported(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
         CompletableFuture<Void> passed = new CompletableFuture<>();
--- a/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * An entry whose instance was suspended for seconds. Timers do not count that time, and go off as much too late.
@@ -44,8 +44,8 @@
         serve(new EndpointHeaders(), new RetryBudget(0, 0), (endpoint, then) -> then.accept(true), times);
     }
 
-    private CompletableFuture<HttpAnswer> begin() {
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> client.call(
+    private CompletableFuture<HttpResponse> begin() {
+        CompletableFuture<HttpResponse> answer = CompletableFuture.supplyAsync(() -> client.call(
                         HostedSystem.request(clients(), "/stream/x", "attempt-1")
                                 .withHeader("Deadline-Ms", String.valueOf(PATIENT_MILLIS)),
                         WITHIN)
@@ -65,7 +65,7 @@
     @Test
     void shouldAnswerAtOnceWhenTimeOfRequestEndedMeanwhile() throws Exception {
         serve();
-        CompletableFuture<HttpAnswer> answer = begin();
+        CompletableFuture<HttpResponse> answer = begin();
         suspended(PATIENT_MILLIS + 1);
         assertEquals(504, answer.get(WITHIN.toSeconds(), TimeUnit.SECONDS).status());
         Await.until(
@@ -76,7 +76,7 @@
     void shouldTakeBackAtOnceWhatOlderVersionMayBeginNoMore() throws Exception {
         serve();
         views.addPeerTarget(MODEL, 2);
-        CompletableFuture<HttpAnswer> answer = begin();
+        CompletableFuture<HttpResponse> answer = begin();
         suspended(CANCEL_MILLIS + 1);
         Await.until(
                 "the end at the endpoint", () -> platform.endpoint("model-1").hanging() == 0);
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
@@ -27,8 +27,8 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
@@ -54,21 +54,21 @@
     private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clock::get);
     private final String clients = Ports.freeAddress();
     private XnioWorker worker;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HttpListener listener;
 
     @BeforeEach
     void start() throws IOException {
-        worker = HttpCaller.worker("traffic", 1);
-        caller = HttpCaller.start("test", 1);
-        listener = HttpListener.on(
+        worker = HttpClient.worker("traffic", 1);
+        caller = HttpClient.start("test", 1);
+        listener = HttpListener.startOnWorker(
                 clients,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 worker,
                 ServingHandler.of(new ServingHandler.Parts(
                         views::view,
                         new EndpointSelector("region-a", Map.of()),
-                        HttpCaller.on(worker, 0),
+                        HttpClient.onWorker(worker, 0),
                         new EndpointHeaders(),
                         new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                         new RetryBudget(0, 0),
@@ -97,7 +97,7 @@
         return new StoredRecord("config", offset, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer ask(String path, String key, Optional<String> id, String body) {
+    private HttpResponse ask(String path, String key, Optional<String> id, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Host", "h.example", "Key", key, "Deadline-Ms", "3000"));
         id.ifPresent(one -> headers.put("Attempt-Id", one));
         HttpCall call = new HttpCall(
@@ -110,11 +110,11 @@
         return caller.call(call, WITHIN).toOptional().orElseThrow();
     }
 
-    private HttpAnswer ask(String path, String key) {
+    private HttpResponse ask(String path, String key) {
         return ask(path, key, Optional.of("id-1"), "a body");
     }
 
-    private HttpAnswer askWithLargeBody() {
+    private HttpResponse askWithLargeBody() {
         return ask("/once/x", "key-a", Optional.of("id-1"), "a body of 20 bytes..");
     }
 
@@ -126,7 +126,7 @@
     }
 
     private void assertNotKnown() {
-        for (HttpAnswer answer : List.of(ask("/once/x", "key-b"), ask("/new/x", "key-a"), askWithLargeBody())) {
+        for (HttpResponse answer : List.of(ask("/once/x", "key-b"), ask("/new/x", "key-a"), askWithLargeBody())) {
             assertEquals(UNAVAILABLE, answer.status());
             assertEquals("0.300", answer.headers().get("Retry-After"));
             String why = new String(answer.body(), StandardCharsets.UTF_8);
@@ -213,7 +213,7 @@
     /** Nothing serves here: the request was understood, and its answer names that. */
     @Test
     void shouldTakeWhatManifestAllowsWhateverItsAge() {
-        HttpAnswer answer = ask("/once/x", "key-a");
+        HttpResponse answer = ask("/once/x", "key-a");
         assertEquals(UNAVAILABLE, answer.status());
         assertEquals("no endpoint can serve\n", new String(answer.body(), StandardCharsets.UTF_8));
     }
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -40,11 +40,12 @@
                 views, (model, version) -> Optional.empty(), new MetricRegistry(), new LinkPacer(1e9, () -> 1));
         Thread writer = Thread.ofPlatform().daemon().start(this::applyRecords);
         try (HttpListener listener =
-                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller client = HttpCaller.start("test", 1)) {
-            PeerRecords peers = new PeerRecords(client);
+                        HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), server);
+                HttpClient client = HttpClient.start("test", 1)) {
+            PeerRecordClient peers = new PeerRecordClient(client);
             for (int i = 0; i < REQUESTS; i++) {
-                Batch batch = peers.ask(address, Topic.OPERATOR, 0).toOptional().orElseThrow();
+                Batch batch =
+                        peers.request(address, Topic.OPERATOR, 0).toOptional().orElseThrow();
                 long lastOffset = batch.records().stream()
                         .mapToLong(StoredRecord::offset)
                         .max()
@@ -84,10 +85,10 @@
     private Batch request(Topic topic, HttpHandler server) throws Exception {
         String address = Ports.freeAddress();
         try (HttpListener listener =
-                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller client = HttpCaller.start("test", 1)) {
-            return new PeerRecords(client, clientClock::get)
-                    .ask(address, topic, 0)
+                        HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), server);
+                HttpClient client = HttpClient.start("test", 1)) {
+            return new PeerRecordClient(client, clientClock::get)
+                    .request(address, topic, 0)
                     .toOptional()
                     .orElseThrow();
         }
--- a/src/test/java/org/micabarrow/transport/HttpCallerTest.java
+++ b/src/test/java/org/micabarrow/transport/HttpClientTest.java
@@ -24,7 +24,7 @@
 import org.micabarrow.state.Fault;
 
 /** What a server receives from the client, byte by byte. */
-class HttpCallerTest {
+class HttpClientTest {
 
     /**
      * Ends a test that hangs, in milliseconds; less than the ten seconds after which a server closes a connection that
@@ -63,11 +63,11 @@
     @Test
     void shouldResetConnectionWhenCancelledBeforeResponse() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller client = HttpCaller.start("test", 1)) {
+                HttpClient client = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
             byte[] body = WaitingClientProcess.BODY.getBytes(StandardCharsets.US_ASCII);
             HttpCall call = new HttpCall(Fault.Step.RUN, "POST", uri, Optional.of("/x"), Map.of(), body);
-            Runnable cancel = client.send(call, new Ignoring());
+            Runnable cancel = client.send(call, new IgnoringListener());
             try (Socket connection = server.accept()) {
                 connection.setSoTimeout(HANG_MILLIS);
                 readRequest(connection.getInputStream());
@@ -93,12 +93,12 @@
     }
 
     /** Withholds its request, as if it had become obsolete while the connection was being opened. */
-    private static final class WithholdingListener extends Ignoring {
+    private static final class WithholdingListener extends IgnoringListener {
 
         private final CountDownLatch called = new CountDownLatch(1);
 
         @Override
-        public Optional<HttpCall> onSending(HttpCall call) {
+        public Optional<HttpCall> beforeSend(HttpCall call) {
             called.countDown();
             return Optional.empty();
         }
@@ -107,7 +107,7 @@
     @Test
     void shouldSendNothingWhenListenerWithholdsRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller client = HttpCaller.start("test", 1)) {
+                HttpClient client = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
             WithholdingListener listener = new WithholdingListener();
             client.send(HttpCall.get(Fault.Step.RUN, uri), listener);
@@ -135,7 +135,7 @@
     private static HttpListener startServer(String address, CountDownLatch allArrived) {
         return HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
                 exchange -> exchange.dispatch(() -> {
@@ -158,9 +158,9 @@
         String address = Ports.freeAddress();
         HttpListener server = startServer(address, new CountDownLatch(IDLE_CONNECTIONS));
         try (SilentRelay relay = SilentRelay.to(address);
-                HttpCaller client = HttpCaller.start("test", 1)) {
+                HttpClient client = HttpClient.start("test", 1)) {
             HttpCall call = HttpCall.get(Fault.Step.READ, URI.create("http://" + relay.address() + "/x"));
-            List<HttpCaller.PendingCall> calls = Stream.generate(() -> client.callAsync(call))
+            List<HttpClient.PendingCall> calls = Stream.generate(() -> client.callAsync(call))
                     .limit(IDLE_CONNECTIONS)
                     .toList();
             calls.forEach(one -> assertTrue(
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -54,7 +54,7 @@
 
     @Test
     void shouldReadStoreUpdateWhenQueryContainsIt() throws IOException {
-        StoreNews storeUpdate = new StoreNews(
+        StoreUpdate storeUpdate = new StoreUpdate(
                 8_000, new ChangeOffsets(17, 1L << 40, 16), Optional.of(new ManifestPosition(7, 16)), 30, true);
         Query query = new Query("entry-a", 1_200, 17, 30, true, Optional.of(storeUpdate), OptionalLong.of(1L << 40));
         assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
@@ -64,7 +64,8 @@
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
     void shouldReadRateLimitWhenWritten(double perSecond) throws IOException {
         OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<RateLimitUpdate> rateLimit = Optional.of(new RateLimitUpdate(RateLimitUpdate.token("a"), limit, 1_200));
+        Optional<RateLimitUpdate> rateLimit =
+                Optional.of(new RateLimitUpdate(RateLimitUpdate.token("a"), limit, 1_200));
         Query query = new Query("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), rateLimit);
         assertEquals(query, LoadMessages.readQuery(bytes(LoadMessages.write(query))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
@@ -75,8 +76,8 @@
     /** Anything may be sent to the port. It must neither end the receiving thread nor be accepted as a message. */
     @Test
     void shouldRejectDatagramsThatAreTruncatedOrTooLong() {
-        StoreNews storeUpdate =
-                new StoreNews(8_000, new ChangeOffsets(17, 18), Optional.of(new ManifestPosition(7, 16)), 30, false);
+        StoreUpdate storeUpdate =
+                new StoreUpdate(8_000, new ChangeOffsets(17, 18), Optional.of(new ManifestPosition(7, 16)), 30, false);
         ReaderUpdate reader = new ReaderUpdate("10.0.0.1:8000", 17, 40);
         Optional<RateLimitUpdate> rateLimit = Optional.of(new RateLimitUpdate(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadPollerTest.java
@@ -26,8 +26,6 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointSelector;
@@ -40,7 +38,7 @@
 import org.xnio.XnioWorker;
 
 /** Queries that a request waits for, over real sockets. */
-class LoadFeedTest {
+class LoadPollerTest {
 
     /** Ends a test that hangs. */
     private static final long MAX_SECONDS = 30;
@@ -48,34 +46,34 @@
     /** The same for the timeout of a socket, in milliseconds. */
     private static final int HANG_MILLIS = 10_000;
 
-    private final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+    private final EndpointSelector selector = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
     private final EndpointRegistration endpoint =
             EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
-    private final List<StoreNews.Heard> readers = new CopyOnWriteArrayList<>();
+    private final List<StoreUpdate.ReaderState> readers = new CopyOnWriteArrayList<>();
     private DatagramSocket agent;
     private XnioWorker worker;
-    private LoadFeed feed;
+    private LoadPoller poller;
 
     @BeforeEach
     void start() throws IOException {
         agent = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        worker = HttpCaller.worker("load-feed-test", 1);
-        feed = feed(View.empty(), choice);
-        feed.start(() -> {});
+        worker = HttpClient.worker("load-feed-test", 1);
+        poller = poller(View.empty(), selector);
+        poller.start(() -> {});
     }
 
-    private LoadFeed feed(View view, EndpointSelector choice) throws IOException {
-        return feed(() -> view, choice);
+    private LoadPoller poller(View view, EndpointSelector selector) throws IOException {
+        return poller(() -> view, selector);
     }
 
-    private LoadFeed feed(Supplier<View> view, EndpointSelector choice) throws IOException {
-        return LoadFeed.open(new LoadFeed.Parts(
+    private LoadPoller poller(Supplier<View> view, EndpointSelector selector) throws IOException {
+        return LoadPoller.open(new LoadPoller.Dependencies(
                 new Common.Place("entry-a", "region-a", "hall-a"),
                 "127.0.0.1:8000",
                 Map.of("hall-a", "region-a"),
                 agent.getLocalPort(),
                 view,
-                choice,
+                selector,
                 worker.getIoThread(),
                 () -> System.nanoTime() / 1_000_000,
                 Optional::empty,
@@ -90,7 +88,7 @@
 
     private CompletableFuture<Boolean> query() {
         CompletableFuture<Boolean> inTime = new CompletableFuture<>();
-        worker.getIoThread().execute(() -> feed.ask(endpoint, inTime::complete));
+        worker.getIoThread().execute(() -> poller.query(endpoint, inTime::complete));
         return inTime;
     }
 
@@ -100,7 +98,8 @@
         RouteManifest.Service service = new RouteManifest.Service("models", 100, Optional.of(model), Optional.empty());
         RouteManifest manifest =
                 RouteManifest.of(new RouteManifest.Parts(1, List.of(), Map.of("models", service), Map.of(), false, 1));
-        EndpointRegistration other = EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other =
+                EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
         return new View(Optional.of(manifest), 0, Map.of("a", endpoint, "b", other), Map.of());
     }
 
@@ -145,11 +144,11 @@
 
     @Test
     void shouldSendPromptTokensOfAllEndpointsAtHostWhenOneIsQueried() throws Exception {
-        EndpointSelector choiceOfTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        choiceOfTwo.load("a").requestSent(100);
-        choiceOfTwo.load("b").requestSent(20);
-        LoadFeed feedOfTwo = feed(twoAtOneHost(), choiceOfTwo);
-        feedOfTwo.start(() -> feedOfTwo.ask(endpoint, inTime -> {}));
+        EndpointSelector selectorOfTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+        selectorOfTwo.load("a").requestSent(100);
+        selectorOfTwo.load("b").requestSent(20);
+        LoadPoller pollerOfTwo = poller(twoAtOneHost(), selectorOfTwo);
+        pollerOfTwo.start(() -> pollerOfTwo.query(endpoint, inTime -> {}));
         for (int number = 0; number < 2; number++) {
             DatagramPacket packet = receiveQuery();
             LoadMessages.Query query = LoadMessages.readQuery(Arrays.copyOf(packet.getData(), packet.getLength()));
@@ -161,9 +160,9 @@
     void shouldKeepPollingWhenUnlistedEndpointHasRequestsInFlight() throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
-        EndpointSelector waiting = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        waiting.load("a").requestSent(100);
-        feed(view::get, waiting).start(() -> view.set(View.empty()));
+        EndpointSelector busySelector = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+        busySelector.load("a").requestSent(100);
+        poller(view::get, busySelector).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
             DatagramPacket packet = receiveQuery();
             assertEquals(
@@ -176,8 +175,8 @@
     @Test
     void shouldSendPromptTokensOfEndpointWhenNoRoundHasIncludedItYet() throws Exception {
         worker.getIoThread().execute(() -> {
-            choice.load("a").requestSent(100);
-            feed.ask(endpoint, inTime -> {});
+            selector.load("a").requestSent(100);
+            poller.query(endpoint, inTime -> {});
         });
         DatagramPacket packet = receiveQuery();
         assertEquals(
@@ -196,7 +195,7 @@
             }
             return twoAtOneHost();
         };
-        feed(view, choice).start(() -> {});
+        poller(view, selector).start(() -> {});
         receiveQuery();
         assertTrue(failed.get());
     }
@@ -213,14 +212,14 @@
     }
 
     /** Answers all queries with the same report until the listed start satisfies a condition. */
-    private void replyUntil(EndpointSelector choice, LoadReport report, Predicate<EndpointLoad> condition)
+    private void replyUntil(EndpointSelector selector, LoadReport report, Predicate<EndpointLoad> condition)
             throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(MAX_SECONDS));
         boolean satisfied = false;
         while (!satisfied) {
             reply(receiveQuery(), report);
             CompletableFuture<Boolean> now = new CompletableFuture<>();
-            worker.getIoThread().execute(() -> now.complete(condition.test(choice.load(LISTED))));
+            worker.getIoThread().execute(() -> now.complete(condition.test(selector.load(LISTED))));
             satisfied = now.get(MAX_SECONDS, TimeUnit.SECONDS);
         }
     }
@@ -228,18 +227,19 @@
     @Test
     @Timeout(MAX_SECONDS)
     void shouldIgnoreReportOfAnotherStart() throws Exception {
-        EndpointRegistration listed = EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
+        EndpointRegistration listed = EndpointRegistration.of(
+                        "a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
                 .withStart(LISTED.startedMillis());
         View both = twoAtOneHost();
-        // The poller that all tests share lists no endpoint, which removes all endpoints from its own choice.
-        EndpointSelector ownChoice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
-        feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownChoice)
+        // The poller that all tests share lists no endpoint, which removes all endpoints from its own selector.
+        EndpointSelector ownSelector = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+        poller(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), ownSelector)
                 .start(() -> {});
-        replyUntil(ownChoice, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::restarted);
-        replyUntil(ownChoice, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.restarted());
+        replyUntil(ownSelector, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::restarted);
+        replyUntil(ownSelector, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.restarted());
         CompletableFuture<Long> version = new CompletableFuture<>();
         worker.getIoThread()
-                .execute(() -> version.complete(ownChoice.load(LISTED).version()));
+                .execute(() -> version.complete(ownSelector.load(LISTED).version()));
         assertEquals(2L, version.get(MAX_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/org/micabarrow/transport/LoadQueriesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadQueriesTest.java
@@ -35,7 +35,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        worker = HttpCaller.worker("load-queries", 1);
+        worker = HttpClient.worker("load-queries", 1);
         traffic = worker.getIoThread();
         queries = new LoadQueries(traffic, now::get);
     }
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -97,8 +97,8 @@
         }
 
         private ByteBuffer query(long knownMillisAgo) {
-            StoreNews storeUpdate =
-                    new StoreNews(port, new ChangeOffsets(17, 0), Optional.empty(), knownMillisAgo, direct);
+            StoreUpdate storeUpdate =
+                    new StoreUpdate(port, new ChangeOffsets(17, 0), Optional.empty(), knownMillisAgo, direct);
             return LoadMessages.write(new LoadMessages.Query(
                     name,
                     0,
@@ -226,7 +226,8 @@
             assertEquals(
                     Optional.empty(),
                     exchange(entry, agent, query("a", Optional.empty())).rateLimit());
-            RateLimitUpdate rateLimit = new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
+            RateLimitUpdate rateLimit =
+                    new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
             exchange(entry, agent, query("b", Optional.of(rateLimit)));
             now.addAndGet(50);
             RateLimitUpdate older = new RateLimitUpdate(rateLimit.endpointToken(), rateLimit.perSecond(), 150);
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Sending a chunk over a shared link. */
 @Timeout(30)
@@ -53,9 +53,9 @@
 
     @Test
     void shouldArriveCompletelyWhenSentInPieces() throws Exception {
-        try (HttpCaller client = HttpCaller.start("test", 1)) {
+        try (HttpClient client = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://" + address.getHostString() + ":" + address.getPort() + "/");
-            HttpAnswer response = client.call(HttpCall.get(Step.FETCH, uri), Duration.ofSeconds(10))
+            HttpResponse response = client.call(HttpCall.get(Step.FETCH, uri), Duration.ofSeconds(10))
                     .toOptional()
                     .orElseThrow();
             assertArrayEquals(chunk, response.body());
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunkClientTest.java
@@ -17,7 +17,7 @@
 import org.micabarrow.weights.ChunkPeers.IndexedChunk;
 
 /** How an agent is treated that leaves a request for chunks without a response. */
-class PeerChunksTest {
+class PeerChunkClientTest {
 
     /** Every request without a response delays a test by this time; a busy machine responds within it. */
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
@@ -29,16 +29,16 @@
 
     private HttpListener agent;
     private SilentRelay relay;
-    private HttpCaller client;
+    private HttpClient client;
     private volatile boolean sendsChunks = true;
     private volatile boolean sendsDigests = true;
 
     @BeforeEach
     void start() throws Exception {
         String address = Ports.freeAddress();
-        agent = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::respond);
+        agent = HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), this::respond);
         relay = SilentRelay.to(address);
-        client = HttpCaller.start("test", 1);
+        client = HttpClient.start("test", 1);
     }
 
     @AfterEach
@@ -49,9 +49,9 @@
     }
 
     private void respond(HttpServerExchange exchange) {
-        boolean chunk = exchange.getRequestPath().startsWith(PeerChunks.CHUNKS);
+        boolean chunk = exchange.getRequestPath().startsWith(PeerChunkClient.CHUNKS);
         if (chunk && sendsChunks) {
-            exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), 3);
+            exchange.getResponseHeaders().put(new HttpString(PeerChunkClient.INDEX), 3);
             exchange.getResponseSender().send("a chunk");
         } else if (!chunk && sendsDigests) {
             exchange.getResponseSender().send("[]");
@@ -60,7 +60,7 @@
         }
     }
 
-    private Result<IndexedChunk> request(PeerChunks peers) {
+    private Result<IndexedChunk> request(PeerChunkClient peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
         return peers.fetchAnyOf(relay.address(), "m", 2, wanted);
@@ -76,7 +76,7 @@
 
     @Test
     void shouldKeepUsingAgentWhenOnlyItsConnectionWasUnresponsive() {
-        PeerChunks peers = new PeerChunks(client, TIMEOUT, LONG_TIMEOUT);
+        PeerChunkClient peers = new PeerChunkClient(client, TIMEOUT, LONG_TIMEOUT);
         assertEquals(Optional.of(3), index(request(peers)));
         relay.silence();
         assertEquals(Reason.NOT_READY, reason(request(peers)), "it responds on a new connection, so it is not skipped");
@@ -89,13 +89,13 @@
     void shouldReportTimeoutWhenAgentDoesNotRespondOnNewConnectionEither() {
         sendsChunks = false;
         sendsDigests = false;
-        assertEquals(Reason.TIMEOUT, reason(request(new PeerChunks(client, SHORT_TIMEOUT, SHORT_TIMEOUT))));
+        assertEquals(Reason.TIMEOUT, reason(request(new PeerChunkClient(client, SHORT_TIMEOUT, SHORT_TIMEOUT))));
     }
 
     @Test
     void shouldReportTimeoutWhenAgentDoesNotRespondToNextRequestEither() {
         sendsChunks = false;
-        PeerChunks peers = new PeerChunks(client, SHORT_TIMEOUT, LONG_TIMEOUT);
+        PeerChunkClient peers = new PeerChunkClient(client, SHORT_TIMEOUT, LONG_TIMEOUT);
         assertEquals(Reason.NOT_READY, reason(request(peers)));
         assertEquals(Reason.TIMEOUT, reason(request(peers)));
     }
