--- a/src/test/java/org/micabarrow/transport/Ignoring.java
+++ b/src/test/java/org/micabarrow/transport/IgnoringListener.java
@@ -2,17 +2,17 @@
 
 import java.util.Map;
 import org.micabarrow.state.Fault;
-import org.micabarrow.transport.HttpCaller.Listener;
+import org.micabarrow.transport.HttpClient.Listener;
 
-/** Does nothing with an answer. */
-public class Ignoring implements Listener {
+/** Ignores the response. */
+public class IgnoringListener implements Listener {
 
     @Override
     public void onHead(int status, Map<String, String> headers) {}
 
     @Override
-    public void onData(byte[] data, Runnable more) {
-        more.run();
+    public void onData(byte[] data, Runnable requestMore) {
+        requestMore.run();
     }
 
     @Override
