--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -21,341 +21,347 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One sending of a request to one endpoint: what comes back is counted, judged, and held or passed on. What follows from
- * an attempt that ends without an answer is for the run to decide. All of it runs on the one thread for traffic.
+ * A single attempt to have one endpoint run a request. It accounts for the request at the endpoint, classifies the
+ * response, and forwards it. If it ends without a response, {@link ServedRequest} decides what follows. All methods run
+ * on the traffic thread.
  */
 final class Attempt implements HttpCaller.Listener {
 
-    private final ServedRequest run;
-    private final ServingParts parts;
+    private final ServedRequest served;
+    private final ServingContext context;
     private final ClientRequest request;
-    private final ClientAnswer answer;
+    private final ClientResponse response;
     private final EventSplitter events;
     private final EndpointEntry endpoint;
     private final double predictedMillis;
     private final EndpointLoad load;
-    private final TakenRoom room;
-    private final Runnable suspectGone;
-    private final AnswerRelay relay;
-    private final BeginLimit beginLimit;
-    private final long beganMillis;
-    private final AwaitedPart awaited;
+    private final TakenRoom slot;
+    private final Runnable releaseSuspect;
+    private final ResponseRelay relay;
+    private final StartDeadline startDeadline;
+    private final long startMillis;
+    private final ResponseStallTimer stallTimer;
     private Optional<XnioExecutor.Key> connectTimer = Optional.empty();
     private Runnable cancel = () -> {};
-    private boolean over;
-    private boolean sending;
-
-    Attempt(ServedRequest run, Choice.Send chosen) {
-        this.run = run;
-        this.parts = run.parts();
-        this.request = run.request();
-        this.answer = run.answer();
-        this.events = run.events();
+    private boolean closed;
+    private boolean sendStarted;
+
+    Attempt(ServedRequest served, Choice.Send chosen) {
+        this.served = served;
+        this.context = served.context();
+        this.request = served.request();
+        this.response = served.response();
+        this.events = served.events();
         this.endpoint = chosen.endpoint();
         this.predictedMillis = chosen.predictedMillis();
-        this.relay = new AnswerRelay(run);
-        this.beginLimit = new BeginLimit(run, endpoint, this::notBegun);
-        this.load = parts.load(endpoint);
-        this.beganMillis = parts.nowMillis();
-        this.awaited = new AwaitedPart(parts::nowMillis);
-        this.suspectGone = parts.suspects().sent(endpoint, run.digest(), beganMillis);
-        load.limit().sent(beganMillis);
-        this.room = new TakenRoom(load, request.promptTokens(), parts.line()::roomMayBe);
+        this.relay = new ResponseRelay(served);
+        this.startDeadline = new StartDeadline(served, endpoint, this::onStartDeadline);
+        this.load = context.load(endpoint);
+        this.startMillis = context.nowMillis();
+        this.stallTimer = new ResponseStallTimer(context::nowMillis);
+        this.releaseSuspect = context.suspects().onSent(endpoint, served.digest(), startMillis);
+        load.limit().sent(startMillis);
+        this.slot = new TakenRoom(load, request.promptTokens(), context.waitQueue()::onSlotFreed);
     }
 
-    /** Sends the request, for which its room is taken already. */
+    /** Sends the request, whose slot the constructor has already taken. */
     void begin() {
-        connectTimer = Optional.of(after(LastLook.CONNECT_MILLIS, this::notConnected));
-        beginLimit.look();
-        cancel = parts.caller().send(call(), this);
+        connectTimer = Optional.of(after(PreSendCheck.CONNECT_TIMEOUT_MILLIS, this::onConnectTimeout));
+        startDeadline.update();
+        cancel = context.caller().send(call(), this);
     }
 
-    /** The request as it is to be sent now. */
+    /** Builds the request with the current remaining time and required version. */
     private HttpCall call() {
-        Sending sending = new Sending(
+        Sending parameters = new Sending(
                 endpoint,
-                Math.max(1, run.millisLeft()),
-                parts.versions().expected(request, endpoint),
+                Math.max(1, served.remainingMillis()),
+                context.versions().requiredVersion(request, endpoint),
                 events.lastId(),
-                run.late());
-        return parts.protocol().call(request, sending);
+                served.objectiveMissed());
+        return context.protocol().call(request, parameters);
     }
 
     private XnioExecutor.Key after(long millis, Runnable step) {
-        return run.thread().executeAfter(step, millis, TimeUnit.MILLISECONDS);
+        return served.thread().executeAfter(step, millis, TimeUnit.MILLISECONDS);
     }
 
     private void release() {
-        over = true;
+        closed = true;
         connectTimer.ifPresent(XnioExecutor.Key::remove);
-        beginLimit.end();
-        // Before the room: what waits for either is looked at when that is free.
-        suspectGone.run();
-        room.free();
+        startDeadline.cancel();
+        // Before the slot is freed: requests that wait for either are reconsidered as soon as the slot is free.
+        releaseSuspect.run();
+        slot.free();
     }
 
-    /** Whether the endpoint may run the request, now or later: it has left, and nothing has ended the attempt. */
+    /** Whether the endpoint may run the request now or later: it has been sent, and the attempt has not ended. */
     boolean mayRun() {
-        return sending && !over;
+        return sendStarted && !closed;
     }
 
-    /** Stops the attempt for good, because nobody wants its answer any more. */
-    void abandon(String why) {
-        if (!over) {
-            run.log().takenBack(endpoint, progress(), why);
-            takeBack();
+    /** Cancels the attempt because its response is no longer needed. */
+    void abandon(String reason) {
+        if (!closed) {
+            served.log().cancelled(endpoint, progress(), reason);
+            cancelAndRecord();
         }
     }
 
-    /** Nothing that the attempt's connection does counts any more. */
+    /** Releases what the attempt holds and cancels its connection, whose events are ignored from now on. */
     private void stop() {
         release();
         cancel.run();
     }
 
-    /** Stops the attempt although its endpoint may still run it for a moment, and end by it. */
-    private void takeBack() {
-        if (sending) {
-            parts.crashes().takenBack(endpoint, run.digest(), request.body().length, room.begun());
+    /** Cancels the attempt and records that its endpoint may still run the request for a moment, and crash on it. */
+    private void cancelAndRecord() {
+        if (sendStarted) {
+            context.crashes().recordCancelled(endpoint, served.digest(), request.body().length, slot.begun());
         }
         stop();
     }
 
-    private void failed(AttemptEnd end, String why) {
-        logFailed(end, why);
-        takeBack();
-        run.again(end, why);
+    private void fail(AttemptEnd end, String reason) {
+        logFailed(end, reason);
+        cancelAndRecord();
+        served.onAttemptFailed(end, reason);
     }
 
-    private void logFailed(AttemptEnd end, String why) {
-        run.log().failed(endpoint, end, progress(), why);
+    private void logFailed(AttemptEnd end, String reason) {
+        served.log().attemptFailed(endpoint, end, progress(), reason);
     }
 
-    /** How far the request came at the endpoint, for the log: whether a head of an answer came, and a part of it. */
+    /**
+     * The progress of the request at the endpoint for the log: whether a response head has arrived, and whether any of
+     * the body has.
+     */
     private String progress() {
-        return "afterMs=" + (parts.nowMillis() - beganMillis) + " taken=" + relay.begun() + " begun=" + room.begun();
+        return "afterMs=" + (context.nowMillis() - startMillis) + " taken=" + relay.hasHead() + " begun=" + slot.begun();
     }
 
     /**
-     * Looks whether the request is still well where it was sent, by what is known now. A version may have been named since; and
-     * while nothing is heard of the endpoint, the request is taken back if it waits there in vain, and goes on at another
-     * endpoint if it may run twice. Otherwise it stays, since the answer may still come.
+     * Re-evaluates the attempt with current information. A newer weight version may have been named since it was sent.
+     * While the endpoint is unresponsive, a request that would start too late is cancelled, and one that may run twice
+     * is moved to another endpoint. Otherwise the attempt stays, since the response may still arrive.
      */
-    void lookAfter() {
-        if (over) {
+    void check() {
+        if (closed) {
             return;
         }
-        if (!room.begun()) {
-            beginLimit.look();
+        if (!slot.begun()) {
+            startDeadline.update();
         }
-        if (over) {
+        if (closed) {
             return;
         }
-        if (!parts.silent(endpoint)) {
-            lookWhetherOverdue();
+        if (!context.isUnresponsive(endpoint)) {
+            switchIfOverdue();
             return;
         }
-        if (!room.begun() && waitsInVain()) {
-            failed(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
-        } else if ((!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
+        if (!slot.begun() && wouldStartTooLate()) {
+            fail(AttemptEnd.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
+        } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint or its agent");
+            switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint and its agent are unresponsive");
         }
     }
 
     /**
-     * Moves a request to another endpoint if the next part of its answer is overdue although the endpoint's instance is heard: the
-     * endpoint may have lost it without a word. Nothing moves where no other endpoint has room, since then all are slow for want of it,
-     * nor behind a link that is slow: what is late there is on its way.
+     * Moves the request to another endpoint if the next part of its response is overdue although the endpoint's
+     * instance responds: the endpoint may have lost the request. Nothing is moved if no other endpoint has a free slot,
+     * since a shortage of capacity then slows all of them, nor if the link was slow lately, since the data is then
+     * probably in transit.
      */
-    private void lookWhetherOverdue() {
-        long dueMillis = awaited.dueMillis();
+    private void switchIfOverdue() {
+        long waitingMillis = stallTimer.waitingMillis();
         boolean overdue =
-                sending && !load.delayedLately(parts.nowMillis()) && AttemptPolicy.overdue(request.route(), dueMillis);
-        if (overdue && (!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
+                sendStarted && !load.delayedLately(context.nowMillis()) && AttemptPolicy.overdue(request.route(), waitingMillis);
+        if (overdue && (!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + dueMillis + " ms");
+            switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + waitingMillis + " ms");
         }
     }
 
     /**
-     * Whether nobody is served if an instance that stands still begins the request when it goes on: that would be on weights
-     * that were replaced, after its endpoint left, or, of a stream that may run twice, after the objective, when another try of
-     * the client does better.
+     * Whether it would be of no use for a paused instance to start the request once it resumes: it would run on weights
+     * that have been replaced, after its endpoint has drained, or, for a stream that may run twice, after the
+     * objective, when a retry by the client is faster.
      */
-    private boolean waitsInVain() {
+    private boolean wouldStartTooLate() {
         RequestKind kind = request.route().kind();
-        boolean late = kind.stream()
+        boolean objectiveMissed = kind.stream()
                 && kind.repeatable()
-                && run.millisTaken() > request.route().objectiveMillis();
-        return late || parts.leaves(endpoint) || parts.versions().older(request, endpoint);
+                && served.elapsedMillis() > request.route().objectiveMillis();
+        return objectiveMissed || context.isGoneOrDraining(endpoint) || context.versions().holdsOutdated(request, endpoint);
     }
 
-    private void moveOn(AttemptEnd end, String why) {
-        logFailed(end, why);
-        takeBack();
-        run.moveOn(end, why);
+    private void switchEndpoint(AttemptEnd end, String reason) {
+        logFailed(end, reason);
+        cancelAndRecord();
+        served.switchEndpoint(end, reason);
     }
 
-    /** A timer that was due when it was removed runs all the same, so it must look whether it still counts. */
-    private void notConnected() {
-        if (over || sending) {
+    /** A timer that was already due when it was removed still runs, so the state is checked again here. */
+    private void onConnectTimeout() {
+        if (closed || sendStarted) {
             return;
         }
-        load.failures().broke(parts.nowMillis());
-        failed(AttemptEnd.NOT_RUN, "no connection within " + LastLook.CONNECT_MILLIS + " ms");
+        load.failures().broke(context.nowMillis());
+        fail(AttemptEnd.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
     }
 
-    /** An older weight version may begin nothing any more. */
-    private void notBegun() {
-        if (!over && !room.begun()) {
-            failed(AttemptEnd.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
+    /** Cancels the request if the endpoint, which holds an older weight version, has not begun it in time. */
+    private void onStartDeadline() {
+        if (!closed && !slot.begun()) {
+            fail(AttemptEnd.UNKNOWN, "a newer weight version is required, and the endpoint has not begun the request");
         }
     }
 
-    // -- the sending
+    // -- sending
 
-    /** Lets the request leave if the decision still holds, with what is left of the client's time now. */
+    /** Sends the request with the time that is left now, if the routing decision is still valid. */
     @Override
     public Optional<HttpCall> onSending(HttpCall decided) {
-        if (over) {
+        if (closed) {
             return Optional.empty();
         }
-        return switch (LastLook.at(run, endpoint, beganMillis)) {
-            case LastLook.Verdict.Holds ignored -> {
-                sending = true;
-                run.leaves();
+        return switch (PreSendCheck.check(served, endpoint, startMillis)) {
+            case PreSendCheck.Result.Valid ignored -> {
+                sendStarted = true;
+                served.countIfRetry();
                 connectTimer.ifPresent(XnioExecutor.Key::remove);
                 yield Optional.of(call());
             }
-            case LastLook.Verdict.Outdated outdated -> {
+            case PreSendCheck.Result.Outdated outdated -> {
                 withhold(outdated);
                 yield Optional.empty();
             }
         };
     }
 
-    private void withhold(LastLook.Verdict.Outdated outdated) {
-        logFailed(AttemptEnd.NOT_RUN, outdated.why());
+    private void withhold(PreSendCheck.Result.Outdated outdated) {
+        logFailed(AttemptEnd.NOT_RUN, outdated.reason());
         stop();
-        run.withheld(endpoint, outdated);
+        served.onPreSendCheckFailed(endpoint, outdated);
     }
 
-    // -- the answer
+    // -- response
 
     @Override
     public void onHead(int status, Map<String, String> headers) {
-        if (over) {
+        if (closed) {
             return;
         }
-        load.heard(parts.nowMillis());
-        AnswerHead read = parts.protocol().head(request, status, headers);
+        load.heard(context.nowMillis());
+        AnswerHead read = context.protocol().head(request, status, headers);
         read.weightVersion().ifPresent(load::answeredBy);
         if (read.ofThisEndpoint()) {
-            heed(read);
+            applyEndpointState(read);
         }
-        switch (HeadVerdict.of(read, request.route().kind().repeatable(), answer.begun())) {
-            case NOT_RUN -> failed(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
+        switch (HeadClassification.classify(read, request.route().kind().repeatable(), response.started())) {
+            case NOT_RUN -> fail(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
-                load.failures().misdirected(parts.nowMillis());
-                failed(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
+                load.failures().misdirected(context.nowMillis());
+                fail(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
-                load.failures().broke(parts.nowMillis());
-                failed(AttemptEnd.UNKNOWN, "what came is no answer to this request");
+                load.failures().broke(context.nowMillis());
+                fail(AttemptEnd.UNKNOWN, "the response does not belong to this request");
             }
             case NOT_TO_PASS -> {
-                remember(read.status());
-                failed(AttemptEnd.UNKNOWN, "the endpoint answered " + read.status() + " without saying it has not run");
+                recordStatus(read.status());
+                fail(AttemptEnd.UNKNOWN, "the endpoint responded with " + read.status() + " without stating that the request was not run");
             }
             case ERROR -> {
-                remember(read.status());
-                endpointFailed(read);
+                recordStatus(read.status());
+                onEndpointError(read);
             }
             case ANSWER -> {
-                remember(read.status());
-                relay.begin(read, false);
+                recordStatus(read.status());
+                relay.start(read, false);
             }
         }
     }
 
-    /** Remembers what the endpoint says beside its answer, of use to all that is sent there later. */
-    private void heed(AnswerHead read) {
+    /** Records what the response states about the endpoint itself, which later routing decisions use. */
+    private void applyEndpointState(AnswerHead read) {
         if (read.leaving()) {
-            parts.saidThatItLeaves(endpoint);
+            context.markDraining(endpoint);
         }
         read.restMillis().ifPresent(millis -> {
-            load.rest().asked(millis, parts.nowMillis());
-            run.log().rests(endpoint, millis);
+            load.rest().asked(millis, context.nowMillis());
+            served.log().backoffRequested(endpoint, millis);
         });
-        if (load.limit().answered(read.limit(), beganMillis, parts.nowMillis())) {
+        if (load.limit().answered(read.limit(), startMillis, context.nowMillis())) {
             load.limit().logChange("answer");
         }
     }
 
-    private void remember(int status) {
-        if (HeadVerdict.isError(status)) {
-            load.failures().failed(parts.nowMillis());
+    private void recordStatus(int status) {
+        if (HeadClassification.isError(status)) {
+            load.failures().failed(context.nowMillis());
         } else {
             load.failures().succeeded();
-            load.rest().answered(parts.nowMillis());
-            parts.metrics().firstByte.update(run.millisTaken(), TimeUnit.MILLISECONDS);
+            load.rest().answered(context.nowMillis());
+            context.metrics().firstByte.update(served.elapsedMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
-    private void endpointFailed(AnswerHead read) {
-        if (run.mayTakeAnother()) {
-            moveOn(AttemptEnd.FAILED, "the endpoint failed with " + read.status());
+    private void onEndpointError(AnswerHead read) {
+        if (served.reserveRetry()) {
+            switchEndpoint(AttemptEnd.FAILED, "the endpoint failed with " + read.status());
         } else {
-            relay.begin(read, true);
+            relay.start(read, true);
         }
     }
 
     @Override
     public void onData(byte[] data, Runnable more) {
-        if (over) {
+        if (closed) {
             return;
         }
-        load.heard(parts.nowMillis());
-        if (!room.begun()) {
-            parts.crashes().answered(run.digest(), false);
-            load.firstEvents().observed(predictedMillis, parts.nowMillis() - beganMillis, parts.nowMillis());
+        load.heard(context.nowMillis());
+        if (!slot.begun()) {
+            context.crashes().onResponse(served.digest(), false);
+            load.firstEvents().observed(predictedMillis, context.nowMillis() - startMillis, context.nowMillis());
         }
-        // The head may come as soon as the endpoint has taken the request; its prompt is read with the first event.
-        room.promptRead();
-        relay.part(data, awaited.came(more));
+        // The head may arrive as soon as the endpoint accepts the request; only the first event shows that it has read
+        // the prompt.
+        slot.promptRead();
+        relay.forward(data, stallTimer.onReceived(more));
     }
 
     @Override
     public void onComplete() {
-        if (over) {
+        if (closed) {
             return;
         }
-        parts.crashes().answered(run.digest(), true);
+        context.crashes().onResponse(served.digest(), true);
         release();
         relay.complete(endpoint);
     }
 
     @Override
     public void onFailed(Fault fault, boolean sent) {
-        if (over) {
+        if (closed) {
             return;
         }
-        load.failures().broke(parts.nowMillis());
+        load.failures().broke(context.nowMillis());
         events.dropRemainder();
-        if (sent && fault.reason() == Reason.UNREACHABLE && !parts.saysThatItLeaves(endpoint)) {
-            broke(fault.message());
+        if (sent && fault.reason() == Reason.UNREACHABLE && !context.isDraining(endpoint)) {
+            onConnectionBroken(fault.message());
         } else {
-            failed(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
+            fail(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
         }
     }
 
-    /** Ends the attempt, and has the request go on when it is known whether its endpoint has ended. */
-    private void broke(String why) {
-        boolean begun = room.begun();
-        logFailed(AttemptEnd.UNKNOWN, why);
+    /** Ends the attempt, and continues the request once it is known whether the endpoint has crashed. */
+    private void onConnectionBroken(String reason) {
+        boolean begun = slot.begun();
+        logFailed(AttemptEnd.UNKNOWN, reason);
         stop();
-        run.ended(AttemptEnd.UNKNOWN);
-        parts.crashes().broke(endpoint, run.digest().get(), begun, () -> run.goOn(why));
+        served.recordAttemptEnd(AttemptEnd.UNKNOWN);
+        context.crashes().connectionBroke(endpoint, served.digest().get(), begun, () -> served.retryOrConclude(reason));
     }
 }
--- a/src/main/java/org/micabarrow/serving/ClientConnections.java
+++ b/src/main/java/org/micabarrow/serving/ClientConnections.java
@@ -9,22 +9,23 @@
 import org.xnio.IoUtils;
 
 /**
- * The connections of clients, each with the number of its requests that await an answer. Stopping goes in two steps: first
- * each answer asks its client to leave, then connections without a request are closed and no request is taken any more.
+ * The connections of clients, each with a flag whether it has a request in flight. The entry shuts down in two steps:
+ * first, each response asks its client to close the connection; later, idle connections are closed and new requests are
+ * refused.
  */
 public final class ClientConnections {
 
     private final Map<ServerConnection, Boolean> open = new ConcurrentHashMap<>();
-    private volatile boolean leaving;
+    private volatile boolean draining;
     private volatile boolean closing;
 
-    /** A request has begun; a connection serves one at a time. */
-    void begun(HttpServerExchange exchange) {
+    /** Records that a request has arrived; a connection serves one request at a time. */
+    void requestStarted(HttpServerExchange exchange) {
         ServerConnection connection = exchange.getConnection();
         if (open.put(connection, true) == null) {
             connection.addCloseListener(open::remove);
         }
-        exchange.addResponseCommitListener(this::askToLeave);
+        exchange.addResponseCommitListener(this::closeWhenDraining);
         exchange.addExchangeCompleteListener((same, next) -> {
             open.computeIfPresent(connection, (key, busy) -> false);
             next.proceed();
@@ -32,26 +33,26 @@
     }
 
     /**
-     * Asks a client to leave when its answer begins, unless its next request has been read already: with a connection that
-     * closes after an answer, what was read beyond is dropped.
+     * Adds {@code Connection: close} to a response while draining, unless the client's next request has been read
+     * already: it would be lost when the connection closes.
      */
-    private void askToLeave(HttpServerExchange exchange) {
-        if (leaving && !hasReadOn(exchange.getConnection())) {
+    private void closeWhenDraining(HttpServerExchange exchange) {
+        if (draining && !hasBufferedRequest(exchange.getConnection())) {
             exchange.setPersistent(false);
             exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
         }
     }
 
-    private static boolean hasReadOn(ServerConnection connection) {
-        return connection instanceof HttpServerConnection read && read.getExtraBytes() != null;
+    private static boolean hasBufferedRequest(ServerConnection connection) {
+        return connection instanceof HttpServerConnection http && http.getExtraBytes() != null;
     }
 
-    /** Asks clients to leave from now on: a connection is closed after the answer that is under way on it. */
+    /** Starts draining: each connection is closed after its next response. */
     public void leave() {
-        leaving = true;
+        draining = true;
     }
 
-    /** Closes connections without a request, and takes no request from now on. */
+    /** Closes idle connections and refuses new requests from now on. */
     public void closeIdle() {
         closing = true;
         open.forEach((connection, busy) -> {
@@ -62,13 +63,13 @@
     }
 
     private void closeIfIdle(ServerConnection connection) {
-        if (Boolean.FALSE.equals(open.get(connection)) && !hasReadOn(connection)) {
+        if (Boolean.FALSE.equals(open.get(connection)) && !hasBufferedRequest(connection)) {
             IoUtils.safeClose(connection);
         }
     }
 
     /**
-     * Whether no request is taken any more.
+     * Whether new requests are refused.
      *
      * @return true after {@link #closeIdle}
      */
@@ -77,9 +78,9 @@
     }
 
     /**
-     * The requests that await an answer.
+     * The number of requests in flight.
      *
-     * @return their number
+     * @return the number of connections with a request that awaits a response
      */
     public int busy() {
         return (int) open.values().stream().filter(busy -> busy).count();
--- a/src/main/java/org/micabarrow/serving/ClientWatch.java
+++ b/src/main/java/org/micabarrow/serving/ClientDisconnectDetector.java
@@ -9,60 +9,60 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Notices that a client has closed its connection while its answer is awaited. The server itself does not read a
- * connection whose request is being answered, so a close would show only when the answer is written.
+ * Detects that a client has closed its connection while it waits for a response. The server does not read from a
+ * connection while its request is being served, so it would notice only when it writes the response.
  */
-final class ClientWatch {
+final class ClientDisconnectDetector {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ClientWatch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ClientDisconnectDetector.class);
 
     private final HttpServerConnection connection;
-    private final Runnable gone;
+    private final Runnable onDisconnect;
 
-    private ClientWatch(HttpServerConnection connection, Runnable gone) {
+    private ClientDisconnectDetector(HttpServerConnection connection, Runnable onDisconnect) {
         this.connection = connection;
-        this.gone = gone;
+        this.onDisconnect = onDisconnect;
     }
 
     /**
-     * Watches an exchange whose request has been received whole.
+     * Watches the connection of an exchange whose request has been received completely.
      *
      * @param exchange the exchange
-     * @param gone run once if the client goes
+     * @param onDisconnect run when the client disconnects
      */
-    static void start(HttpServerExchange exchange, Runnable gone) {
-        exchange.getConnection().addCloseListener(closed -> gone.run());
+    static void start(HttpServerExchange exchange, Runnable onDisconnect) {
+        exchange.getConnection().addCloseListener(closed -> onDisconnect.run());
         if (exchange.getConnection() instanceof HttpServerConnection connection && connection.getExtraBytes() == null) {
-            ClientWatch watch = new ClientWatch(connection, gone);
+            ClientDisconnectDetector watch = new ClientDisconnectDetector(connection, onDisconnect);
             ConduitStreamSourceChannel source = connection.getChannel().getSourceChannel();
-            // The request has been read whole, so what is left of its own conduit is an end that always shows.
+            // The request has been read completely, so its own conduit would always report the end of the stream.
             source.setConduit(connection.getOriginalSourceConduit());
-            source.setReadListener(watch::readable);
+            source.setReadListener(watch::onReadable);
             source.resumeReads();
         }
     }
 
-    private void readable(ConduitStreamSourceChannel source) {
+    private void onReadable(ConduitStreamSourceChannel source) {
         PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
-        boolean keep = false;
+        boolean retained = false;
         try {
             int count = source.read(pooled.getBuffer());
             if (count < 0) {
                 source.suspendReads();
-                gone.run();
+                onDisconnect.run();
             } else if (count > 0) {
-                // The client has sent its next request already: it is kept for when this one is answered.
+                // The client has pipelined its next request: keep it until the current one has been answered.
                 source.suspendReads();
                 pooled.getBuffer().flip();
                 connection.ungetRequestBytes(pooled);
-                keep = true;
+                retained = true;
             }
         } catch (IOException e) {
             LOG.debug("event=client_reset why=\"{}\"", e.getMessage());
             source.suspendReads();
-            gone.run();
+            onDisconnect.run();
         } finally {
-            if (!keep) {
+            if (!retained) {
                 pooled.close();
             }
         }
--- a/src/main/java/org/micabarrow/serving/Crashes.java
+++ b/src/main/java/org/micabarrow/serving/Crashes.java
@@ -7,27 +7,27 @@
 import org.micabarrow.crashes.PortProbe;
 
 /**
- * What a handler works with to recognise requests that end endpoints.
+ * What a handler uses to detect requests that crash endpoints.
  *
- * @param book what is known of crashes
- * @param probe finds out whether an endpoint has ended
- * @param sharing takes what other processes are to know
+ * @param book the crashes known so far
+ * @param probe checks whether an endpoint has crashed
+ * @param publisher receives updates for other processes
  */
-public record Crashes(CrashBook book, PortProbe probe, Consumer<CrashNews> sharing) {
+public record Crashes(CrashBook book, PortProbe probe, Consumer<CrashNews> publisher) {
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public Crashes {
         Objects.requireNonNull(book, "book is null");
         Objects.requireNonNull(probe, "probe is null");
-        Objects.requireNonNull(sharing, "sharing is null");
+        Objects.requireNonNull(publisher, "publisher is null");
     }
 
     /**
-     * Parts for a handler that notices no crash.
+     * Creates an instance that detects no crashes.
      *
-     * @return the parts
+     * @return the instance
      */
-    public static Crashes unnoticed() {
-        return new Crashes(new CrashBook(1, 1, () -> 1), (endpoint, then) -> {}, news -> {});
+    public static Crashes disabled() {
+        return new Crashes(new CrashBook(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
     }
 }
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -8,17 +8,17 @@
 import org.micabarrow.routing.EndpointEntry;
 import org.micabarrow.transport.HttpCall;
 
-/** How requests and answers are written on the wire between an entry and an endpoint. */
+/** The wire format of requests and responses between an entry and an endpoint. */
 public interface EndpointProtocol {
 
     /**
-     * What accompanies one sending of a request.
+     * The parameters of one attempt.
      *
-     * @param endpoint where to
+     * @param endpoint the endpoint to send to
      * @param millisLeft how long the client will still wait
-     * @param version the only weight version that may answer, empty for any
-     * @param lastEvent the last event received, if a stream is to go on after it
-     * @param late whether its objective is over, so that all others go before it
+     * @param version the only weight version that may serve the request; empty for any
+     * @param lastEvent the id of the last event received, to resume a stream after it
+     * @param late whether the objective has been missed, so that the request gets the lowest priority
      */
     record Sending(
             EndpointEntry endpoint,
@@ -28,17 +28,17 @@
             boolean late) {}
 
     /**
-     * The beginning of an endpoint's answer.
+     * The head of an endpoint's response.
      *
      * @param status its HTTP status
-     * @param own whether it answers the request that was sent, and not an earlier one
+     * @param own whether it belongs to the request that was sent rather than to an earlier one
      * @param signed whether it carries the endpoint's signature
-     * @param notRun whether it states that the request has not run
-     * @param misdirected whether it states that another endpoint or version was meant
-     * @param weightVersion the weight version that answers
-     * @param leaving whether the endpoint says that it leaves
-     * @param restMillis for how long the endpoint wants nothing more of this process; empty if it does not say
-     * @param limit the requests a second that the endpoint takes from all entries together; empty if it names no limit
+     * @param notRun whether it states that the request was not run
+     * @param misdirected whether it states that the request was meant for another endpoint or version
+     * @param weightVersion the weight version that served the request
+     * @param leaving whether the endpoint states that it is draining
+     * @param restMillis how long the endpoint asks to get no requests from this process; empty if it does not say
+     * @param limit the endpoint's rate limit in requests per second over all entries; empty if it names none
      * @param passedOn the headers for the client
      */
     record AnswerHead(
@@ -53,28 +53,31 @@
             OptionalDouble limit,
             Map<String, String> passedOn) {
 
-        /** Whether the answer is surely of the endpoint that was meant; another one at its address says that it is another. */
+        /**
+         * Whether the response certainly comes from the intended endpoint; another endpoint at its address states that
+         * it is another.
+         */
         boolean ofThisEndpoint() {
             return !misdirected && (own || notRun);
         }
     }
 
     /**
-     * Writes a request.
+     * Encodes a request.
      *
      * @param request the request
-     * @param sending what accompanies it
-     * @return the request as it is to be sent
+     * @param sending the parameters of the attempt
+     * @return the request as sent
      */
     HttpCall call(ClientRequest request, Sending sending);
 
     /**
-     * Reads the beginning of an answer.
+     * Decodes the head of a response.
      *
      * @param request the request
      * @param status the HTTP status
      * @param headers the headers as received
-     * @return what they say
+     * @return the decoded head
      */
     AnswerHead head(ClientRequest request, int status, Map<String, String> headers);
 }
--- /dev/null
+++ b/src/main/java/org/micabarrow/serving/EntryWaitQueue.java
@@ -0,0 +1,81 @@
+package org.micabarrow.serving;
+
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
+import org.micabarrow.admission.RoomWait;
+import org.micabarrow.admission.WaitingLine;
+import org.micabarrow.admission.WaitingLine.Place;
+import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.steps.Steps;
+import org.xnio.XnioIoThread;
+
+/**
+ * The queue of this entry's requests that wait for a free slot. It is polled, and also served whenever a slot may have
+ * become free.
+ */
+final class EntryWaitQueue {
+
+    /**
+     * The poll interval while requests wait, in milliseconds: a tenth of the shortest wait. Besides slots that the
+     * entry's own requests free, which are noticed at once, reports of agents may show free slots, and waiting requests
+     * expire.
+     */
+    private static final long POLL_MILLIS = 10;
+
+    private final WaitingLine queue = new WaitingLine();
+    private final LongSupplier monotonicMillis;
+    private boolean polling;
+
+    EntryWaitQueue(LongSupplier monotonicMillis) {
+        this.monotonicMillis = monotonicMillis;
+    }
+
+    Place join(int rank, long latestStartMillis, Waiter waiter, XnioIoThread thread) {
+        Place place = queue.join(rank, latestStartMillis, waiter);
+        if (!polling) {
+            polling = true;
+            thread.executeAfter(() -> poll(thread), POLL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+        return place;
+    }
+
+    /** The queue as seen by the requests of one thread. */
+    RoomWait.Line forThread(XnioIoThread thread) {
+        return new RoomWait.Line() {
+            @Override
+            public Place join(int rank, long latestStartMillis, Waiter waiter) {
+                return EntryWaitQueue.this.join(rank, latestStartMillis, waiter, thread);
+            }
+
+            @Override
+            public void leave(Place place) {
+                EntryWaitQueue.this.leave(place);
+            }
+        };
+    }
+
+    void leave(Place place) {
+        queue.leave(place);
+    }
+
+    int size() {
+        return queue.size();
+    }
+
+    /**
+     * Serves the queue after a response has begun or a request has left its endpoint. Exceptions of waiting requests
+     * are not propagated to that request.
+     */
+    void onSlotFreed() {
+        Steps.guarded("room", queue::serve);
+    }
+
+    private void poll(XnioIoThread thread) {
+        Steps.guarded("expire", () -> queue.expire(monotonicMillis.getAsLong()));
+        onSlotFreed();
+        polling = queue.size() > 0;
+        if (polling) {
+            thread.executeAfter(() -> poll(thread), POLL_MILLIS, TimeUnit.MILLISECONDS);
+        }
+    }
+}
--- a/src/main/java/org/micabarrow/serving/EventTimes.java
+++ b/src/main/java/org/micabarrow/serving/EventTimes.java
@@ -1,35 +1,38 @@
 package org.micabarrow.serving;
 
-/** When the events of one answer went to the client, for the log and for what may follow when the answer breaks off. */
+/**
+ * Records when the events of one response were forwarded to the client, for the log and to decide whether a stream can
+ * be resumed.
+ */
 final class EventTimes {
 
-    private boolean any;
+    private boolean hasEvents;
     private long firstMillis = -1;
     private long lastMillis;
     private long longestPauseMillis;
 
-    /** Events went to the client, so many milliseconds after the request came. */
-    void passed(long sinceRequestMillis) {
-        if (any) {
+    /** Records that events were forwarded, the given time after the request arrived. */
+    void recordForwarded(long sinceRequestMillis) {
+        if (hasEvents) {
             longestPauseMillis = Math.max(longestPauseMillis, sinceRequestMillis - lastMillis);
         } else {
-            any = true;
+            hasEvents = true;
             firstMillis = sinceRequestMillis;
         }
         lastMillis = sinceRequestMillis;
     }
 
-    /** Whether the client has got events, so that another endpoint must go on after the last of them. */
-    boolean any() {
-        return any;
+    /** Whether any event has been forwarded, so that another endpoint would have to resume after the last one. */
+    boolean hasEvents() {
+        return hasEvents;
     }
 
-    /** When the first went to the client, in milliseconds after the request came; -1 if none has. */
+    /** When the first event was forwarded, in milliseconds after the request arrived; -1 if none was. */
     long firstMillis() {
         return firstMillis;
     }
 
-    /** The longest time between two events that followed one another, in milliseconds. */
+    /** The longest time between two consecutive events, in milliseconds. */
     long longestPauseMillis() {
         return longestPauseMillis;
     }
--- a/src/main/java/org/micabarrow/serving/ManifestAge.java
+++ b/src/main/java/org/micabarrow/serving/ManifestAge.java
@@ -5,40 +5,42 @@
 import java.util.function.Supplier;
 
 /**
- * How long ago all that operators wrote was known, by which an entry may call a request wrong or not.
+ * How up to date this entry's knowledge of operator changes is, which decides whether it may reject a request as
+ * invalid.
  *
- * <p>A key or a path that the manifest in force does not have may be in a newer one, which this entry has not heard of, or that
- * may allow larger bodies. So it says 401, 404 and 413 only while it can prove that it knows every manifest that must be in force
- * by now, and else that the request was not run and may come again: a store that is silent or far away for a while must not turn
- * proper clients away for good. What the manifest allows is served whatever its age, since the store may be away for long.
+ * <p>A key or path that the active manifest lacks may be in a newer one that this entry has not received yet, and a
+ * newer one may allow larger bodies. The entry therefore responds with 401, 404 or 413 only while it can prove that it
+ * knows every manifest that must be active by now. Otherwise it responds that the request was not run and may be
+ * retried, so that an unresponsive store does not turn valid clients away for good. Requests that the manifest allows
+ * are served whatever its age, since the store may be unreachable for long.
  *
- * <p>Callers that are really wrong pay for it: they, too, are told to come again, for as long as neither the store nor a peer
- * that knows of it answers this entry, or a manifest is lacking that nobody has any more, until operators write the next. That is
- * no endless loop: the entry answers at once, holds and repeats nothing, and passes nothing on; the caller is told when to come
- * again, may meet an entry that knows, and ends at its own deadline. To say wrong wrongly is worse, as a client that believes it
- * does not come back.
+ * <p>Invalid clients, too, are then told to retry, until the store or a peer that has reached it replies, or, if a
+ * manifest is missing that no process has any more, until operators write the next one. This is no endless loop: the
+ * entry responds immediately and holds, repeats and forwards nothing; the client is told when to retry, may reach an
+ * entry that is up to date, and stops at its own deadline. A wrong rejection would be worse, because a client that
+ * believes it does not retry.
  *
- * @param asOfMillis the moment on the steady clock up to which it is known; empty if there is none
- * @param mostMillis how long after a manifest was set it must be in force
+ * @param asOfMillis the time on the monotonic clock up to which all operator changes are known; empty if there is none
+ * @param maxAgeMillis how long after a manifest was set it must be active
  */
-public record ManifestAge(Supplier<OptionalLong> asOfMillis, long mostMillis) {
+public record ManifestAge(Supplier<OptionalLong> asOfMillis, long maxAgeMillis) {
 
-    /** The age in lines of the log where no moment is known. */
-    private static final long NEVER = -1;
+    /** The age that is logged if no time is known. */
+    private static final long UNKNOWN_AGE = -1;
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public ManifestAge {
         Objects.requireNonNull(asOfMillis, "asOfMillis is null");
     }
 
-    /** Whether a moment up to which all is known proves that every manifest is known that must be in force. */
-    boolean provesAllInForce(OptionalLong asOf, long nowMillis) {
-        return asOf.isPresent() && nowMillis - asOf.getAsLong() <= mostMillis;
+    /** Whether knowing all changes up to the given time proves that every manifest that must be active is known. */
+    boolean provesCurrent(OptionalLong asOf, long nowMillis) {
+        return asOf.isPresent() && nowMillis - asOf.getAsLong() <= maxAgeMillis;
     }
 
-    /** The age for the log, in milliseconds; -1 if no moment is known. */
-    long shownMillis(long nowMillis) {
+    /** The age for the log, in milliseconds; -1 if no time is known. */
+    long loggedMillis(long nowMillis) {
         OptionalLong asOf = asOfMillis.get();
-        return asOf.isPresent() ? nowMillis - asOf.getAsLong() : NEVER;
+        return asOf.isPresent() ? nowMillis - asOf.getAsLong() : UNKNOWN_AGE;
     }
 }
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -10,44 +10,44 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes a line for each decision on one request, with what decided it and how old that was. */
+/** Logs each decision on one request, with the information it was based on and the age of that information. */
 final class RequestLog {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
-    private final ServingParts parts;
+    private final ServingContext context;
     private final ClientRequest request;
-    private final long sinceFirstTryMillis;
+    private final long sinceFirstAttemptMillis;
     private final EventTimes eventTimes;
     private final LazyDigest digest;
 
     RequestLog(
-            ServingParts parts,
+            ServingContext context,
             ClientRequest request,
-            long sinceFirstTryMillis,
+            long sinceFirstAttemptMillis,
             EventTimes eventTimes,
             LazyDigest digest) {
         this.digest = digest;
-        this.parts = parts;
+        this.context = context;
         this.request = request;
-        this.sinceFirstTryMillis = sinceFirstTryMillis;
+        this.sinceFirstAttemptMillis = sinceFirstAttemptMillis;
         this.eventTimes = eventTimes;
     }
 
-    void waits(Decision.Wait wait, long millisToObjective) {
+    void waitsForSlot(Decision.Wait wait, long millisUntilObjective) {
         LOG.info(
                 "event=waits request={} endpoints={} toObjectiveMs={} spareMs={} ahead={} {}",
                 request.id(),
                 wait.endpoints(),
-                millisToObjective,
+                millisUntilObjective,
                 wait.millis(),
-                parts.line().size(),
-                parts.viewAge());
+                context.waitQueue().size(),
+                context.viewAge());
     }
 
-    void sent(Choice.Send chosen, String why, int attempt, long millisToObjective, long millisLeft) {
-        EndpointLoad load = parts.load(chosen.endpoint());
-        long now = parts.nowMillis();
+    void sent(Choice.Send chosen, String reason, int attempt, long millisUntilObjective, long remainingMillis) {
+        EndpointLoad load = context.load(chosen.endpoint());
+        long now = context.nowMillis();
         LOG.info(
                 "event=sent request={} endpoint={} hall={} attempt={} why=\"{}\" predictedMs={} requestsThere={}"
                         + " toldMsAgo={} toObjectiveMs={} leftMs={} {}",
@@ -55,36 +55,36 @@
                 chosen.endpoint().id(),
                 chosen.endpoint().dataHall(),
                 attempt,
-                why,
+                reason,
                 Math.round(chosen.predictedMillis()),
                 load.requests(now),
                 load.hasAgent() ? load.millisSinceTold(now) : "-",
-                millisToObjective,
-                millisLeft,
-                parts.viewAge());
+                millisUntilObjective,
+                remainingMillis,
+                context.viewAge());
     }
 
-    void rests(EndpointEntry endpoint, long millis) {
+    void backoffRequested(EndpointEntry endpoint, long millis) {
         LOG.info("event=endpoint_rests request={} endpoint={} forMs={}", request.id(), endpoint.id(), millis);
     }
 
     void notSent(EndpointEntry endpoint) {
         LOG.info(
-                "event=not_sent request={} endpoint={} why=\"its agent did not answer in time, or it closes\"",
+                "event=not_sent request={} endpoint={} why=\"its agent did not reply in time, or it may not get the request\"",
                 request.id(),
                 endpoint.id());
     }
 
-    /** A sending is given up because nobody wants its answer any more. */
-    void takenBack(EndpointEntry endpoint, String progress, String why) {
-        LOG.info("event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, why);
+    /** Logs that an attempt is cancelled because its response is no longer needed. */
+    void cancelled(EndpointEntry endpoint, String progress, String reason) {
+        LOG.info("event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, reason);
     }
 
     /**
-     * A sending ended without an answer that may be passed on. Where the request may have run, its digest tells whether it is one
-     * that came before, under another id or at another entry.
+     * Logs that an attempt ended without a response that may be forwarded. If the request may have run, its digest
+     * shows whether the same request came before, under another id or at another entry.
      */
-    void failed(EndpointEntry endpoint, AttemptEnd end, String progress, String why) {
+    void attemptFailed(EndpointEntry endpoint, AttemptEnd end, String progress, String reason) {
         LOG.info(
                 "event=attempt_failed request={} digest={} endpoint={} end={} {} why=\"{}\"",
                 request.id(),
@@ -92,10 +92,10 @@
                 endpoint.id(),
                 end,
                 progress,
-                why);
+                reason);
     }
 
-    void finished(String outcome, String why, int attempts, long millis) {
+    void finished(String outcome, String reason, int attempts, long millis) {
         LOG.info(
                 "event=finished request={} route={} organisation={} outcome={} attempts={} sinceFirstTryMs={} firstMs={}"
                         + " pauseMs={} ms={} why=\"{}\"",
@@ -104,10 +104,10 @@
                 request.organisation().orElse("-"),
                 outcome,
                 attempts,
-                sinceFirstTryMillis,
+                sinceFirstAttemptMillis,
                 eventTimes.firstMillis(),
                 eventTimes.longestPauseMillis(),
                 millis,
-                why);
+                reason);
     }
 }
--- a/src/main/java/org/micabarrow/serving/RequestReader.java
+++ b/src/main/java/org/micabarrow/serving/RequestReader.java
@@ -4,10 +4,10 @@
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.routing.RouteManifest;
 
-/** Reads clients' requests from the wire. */
+/** Reads client requests from the wire. */
 public interface RequestReader {
 
-    /** What a request is. */
+    /** The result of reading a request. */
     sealed interface Reading {
 
         /**
@@ -20,7 +20,7 @@
         /**
          * A request that is refused.
          *
-         * @param status the HTTP status to answer with
+         * @param status the HTTP status of the response
          * @param why the reason, for the client and the log
          */
         record Refused(int status, String why) implements Reading {}
@@ -29,11 +29,11 @@
     /**
      * Reads a request.
      *
-     * @param exchange the exchange, its body received
+     * @param exchange the exchange, whose body has been received
      * @param body the body
-     * @param manifest the manifest in force
-     * @param nowMillis the time on the steady clock
-     * @return the request, or why it is refused
+     * @param manifest the active manifest
+     * @param nowMillis the time on the monotonic clock
+     * @return the request, or the reason for refusing it
      */
     Reading read(HttpServerExchange exchange, byte[] body, RouteManifest manifest, long nowMillis);
 
--- /dev/null
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -0,0 +1,102 @@
+package org.micabarrow.serving;
+
+import java.io.ByteArrayOutputStream;
+import java.util.Optional;
+import org.micabarrow.attempts.EventSplitter;
+import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.serving.EndpointProtocol.AnswerHead;
+
+/**
+ * Forwards an endpoint's response to the client. A stream is forwarded event by event; any other response is buffered
+ * until it is complete or exceeds the buffer limit.
+ */
+final class ResponseRelay {
+
+    /**
+     * Responses up to this size are buffered until complete, so that the request can be retried if the response breaks
+     * off.
+     */
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
+
+    private final ServedRequest served;
+    private final ClientResponse response;
+    private final EventSplitter events;
+    private final boolean stream;
+    private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
+    private Optional<AnswerHead> head = Optional.empty();
+    private boolean forwarding;
+
+    ResponseRelay(ServedRequest served) {
+        this.served = served;
+        this.response = served.response();
+        this.events = served.events();
+        this.stream = served.request().route().kind().stream();
+    }
+
+    /** Whether a response head that may be forwarded has arrived. */
+    boolean hasHead() {
+        return head.isPresent();
+    }
+
+    /**
+     * Accepts the response head. The head of a stream is forwarded at once, unless the client already has one or the
+     * endpoint reported an error.
+     */
+    void start(AnswerHead read, boolean error) {
+        head = Optional.of(read);
+        forwarding = stream && !error;
+        if (forwarding && !response.started()) {
+            response.start(read);
+        }
+    }
+
+    /** Forwards or buffers a chunk of the body; {@code more} runs when the next chunk may be read. */
+    void forward(byte[] data, Runnable more) {
+        if (!forwarding) {
+            buffer(data, more);
+            return;
+        }
+        byte[] wholeEvents = stream ? events.whole(data) : data;
+        if (wholeEvents.length == 0) {
+            more.run();
+        } else {
+            served.onEventsForwarded();
+            response.write(wholeEvents, more, served::onClientDisconnected);
+        }
+    }
+
+    private void buffer(byte[] data, Runnable more) {
+        buffered.writeBytes(data);
+        if (buffered.size() <= MAX_BUFFERED_BYTES) {
+            more.run();
+            return;
+        }
+        forwarding = true;
+        response.start(head.orElseThrow());
+        byte[] bufferedSoFar = buffered.toByteArray();
+        buffered.reset();
+        response.write(bufferedSoFar, more, served::onClientDisconnected);
+    }
+
+    /** Finishes the response after its last byte has arrived. */
+    void complete(EndpointEntry endpoint) {
+        if (!forwarding) {
+            finish(endpoint);
+            response.sendWhole(head.orElseThrow(), buffered.toByteArray());
+            return;
+        }
+        byte[] rest = events.remainder();
+        finish(endpoint);
+        if (rest.length == 0) {
+            response.end();
+        } else {
+            response.write(rest, response::end, response::onDisconnect);
+        }
+    }
+
+    private void finish(EndpointEntry endpoint) {
+        served.onResponseComplete("endpoint=" + endpoint.id() + " hall=" + endpoint.dataHall() + " status="
+                + head.map(AnswerHead::status).orElse(0) + " weights="
+                + head.flatMap(AnswerHead::weightVersion).map(String::valueOf).orElse("-"));
+    }
+}
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -20,56 +20,56 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** One request from its arrival to its answer. All of it runs on the one thread for traffic. */
-final class ServedRequest implements OpenRequests.Open, RoomWait.Request {
+/** A client request from its arrival to the end of its response. All methods run on the traffic thread. */
+final class ServedRequest implements InFlightRequests.InFlightRequest, RoomWait.Request {
 
-    private final ServingParts parts;
+    private final ServingContext context;
     private final ClientRequest request;
-    private final ClientAnswer answer;
+    private final ClientResponse response;
     private final XnioIoThread thread;
     private final RequestTimes times;
-    private final Sendings sendings = new Sendings();
-    private final RoomWait room;
+    private final Sendings attempts = new Sendings();
+    private final RoomWait slotWait;
     private final EventSplitter events = new EventSplitter();
     private final EventTimes eventTimes = new EventTimes();
     private final RequestLog log;
     private final LazyDigest digest;
     private boolean finished;
-    private Optional<Attempt> current = Optional.empty();
-    private Optional<XnioExecutor.Key> deadline = Optional.empty();
+    private Optional<Attempt> currentAttempt = Optional.empty();
+    private Optional<XnioExecutor.Key> deadlineTimer = Optional.empty();
 
-    ServedRequest(ServingParts parts, ClientRequest request, ClientAnswer answer, XnioIoThread thread) {
-        this.parts = parts;
+    ServedRequest(ServingContext context, ClientRequest request, ClientResponse response, XnioIoThread thread) {
+        this.context = context;
         this.request = request;
-        this.answer = answer;
+        this.response = response;
         this.thread = thread;
         this.digest = LazyDigest.of(request);
-        long now = parts.nowMillis();
-        long sinceFirstTry =
-                parts.firstTries().millisSince(request.route().name(), request.deadlineMillis() - now, now);
-        this.times = RequestTimes.of(request, now, sinceFirstTry);
-        this.room = new RoomWait(parts.line().on(thread), this);
-        this.log = new RequestLog(parts, request, sinceFirstTry, eventTimes, digest);
+        long now = context.nowMillis();
+        long sinceFirstAttemptMillis =
+                context.firstAttempts().millisSince(request.route().name(), request.deadlineMillis() - now, now);
+        this.times = RequestTimes.of(request, now, sinceFirstAttemptMillis);
+        this.slotWait = new RoomWait(context.waitQueue().forThread(thread), this);
+        this.log = new RequestLog(context, request, sinceFirstAttemptMillis, eventTimes, digest);
     }
 
     void begin() {
-        deadline = Optional.of(thread.executeAfter(() -> end("time is up"), times.heldMillis(), TimeUnit.MILLISECONDS));
-        parts.open().add(this);
-        next("first");
+        deadlineTimer = Optional.of(thread.executeAfter(() -> end("the deadline has passed"), times.heldMillis(), TimeUnit.MILLISECONDS));
+        context.inFlight().add(this);
+        decideNext("first");
     }
 
-    // -- for attempts
+    // -- used by attempts
 
-    ServingParts parts() {
-        return parts;
+    ServingContext context() {
+        return context;
     }
 
     ClientRequest request() {
         return request;
     }
 
-    ClientAnswer answer() {
-        return answer;
+    ClientResponse response() {
+        return response;
     }
 
     EventSplitter events() {
@@ -84,279 +84,291 @@
         return thread;
     }
 
-    /** What is alike in the request whenever it comes; worked out only if somebody asks. */
+    /** The digest that identifies repetitions of the same request; computed on first use. */
     LazyDigest digest() {
         return digest;
     }
 
-    long millisTaken() {
-        return times.takenMillis(parts.nowMillis());
+    long elapsedMillis() {
+        return times.takenMillis(context.nowMillis());
     }
 
-    long millisLeft() {
-        return times.leftMillis(parts.nowMillis());
+    long remainingMillis() {
+        return times.leftMillis(context.nowMillis());
     }
 
-    private long millisToObjective() {
-        return times.toObjectiveMillis(parts.nowMillis(), answer.begun());
+    private long millisUntilObjective() {
+        return times.toObjectiveMillis(context.nowMillis(), response.started());
     }
 
-    /** Whether an answer can no longer be in time. */
-    boolean late() {
-        return millisToObjective() <= 0;
+    /** Whether the response can no longer meet the objective. */
+    boolean objectiveMissed() {
+        return millisUntilObjective() <= 0;
     }
 
-    // -- deciding
+    // -- routing
 
     @Override
     public Decision decide() {
-        return parts.decide(request, digest, millisToObjective(), sendings.tried());
+        return context.decide(request, digest, millisUntilObjective(), attempts.tried());
     }
 
-    private void next(String why) {
-        decided(decide(), why);
+    private void decideNext(String reason) {
+        decided(decide(), reason);
     }
 
     @Override
-    public void decided(Decision decision, String why) {
+    public void decided(Decision decision, String reason) {
         switch (decision) {
-            case Decision.Send(Choice.Send chosen) -> sendOrAsk(chosen, why);
-            case Decision.Wait wait when !answer.begun() -> waitForRoom(wait, why);
-            case Decision.Wait(long ignored, int endpoints) -> noRoom(endpoints);
-            case Decision.Full(int endpoints) -> noRoom(endpoints);
-            case Decision.Unable ignored -> cannotSend("no endpoint can serve");
+            case Decision.Send(Choice.Send chosen) -> sendOrQueryAgent(chosen, reason);
+            case Decision.Wait wait when !response.started() -> waitForSlot(wait, reason);
+            case Decision.Wait(long ignored, int endpoints) -> refuseWithoutSlot(endpoints);
+            case Decision.Full(int endpoints) -> refuseWithoutSlot(endpoints);
+            case Decision.Unable ignored -> concludeWithoutResponse("no endpoint can serve");
             case Decision.Resting(int endpoints, long ignored) ->
-                cannotSend("all " + endpoints + " endpoints have asked for rest");
-            case Decision.Limited(int endpoints, OptionalLong millis) -> overLimit(endpoints, millis);
-            case Decision.Culprit(int crashes, long forMillis) -> refuse(crashes, forMillis);
+                concludeWithoutResponse("all " + endpoints + " endpoints asked for a backoff");
+            case Decision.Limited(int endpoints, OptionalLong millis) -> refuseOverRateLimit(endpoints, millis);
+            case Decision.Culprit(int crashes, long forMillis) -> refusePoisonRequest(crashes, forMillis);
         }
     }
 
     /**
-     * Answers a request that ends the endpoints that run it. If no endpoint had it this time it has truly not run, and the client is
-     * told for how long that stays so; a status that says that something is wrong with the request would be a guess.
+     * Refuses a poison request. If no endpoint received it this time, it has certainly not run, and the client is told
+     * how long it will be refused; a 4xx status would claim a fault of the request that is not proven.
      */
-    private void refuse(int crashes, long forMillis) {
-        parts.metrics().culprits.inc();
-        String why = "it has ended " + crashes + " endpoints, digest " + digest.get();
-        conclude(withoutAnswer(), why, () -> forMillis);
+    private void refusePoisonRequest(int crashes, long forMillis) {
+        context.metrics().poisonRequests.inc();
+        String reason = "it has ended " + crashes + " endpoints, digest " + digest.get();
+        conclude(outcomeWithoutResponse(), reason, () -> forMillis);
     }
 
-    private void noRoom(int endpoints) {
-        parts.turnedAway(request);
-        String room = late() ? "room to spare for a request whose objective is over" : "room within its objective";
-        cannotSend("none of " + endpoints + " endpoints has " + room);
+    private void refuseWithoutSlot(int endpoints) {
+        context.countRefusedForCapacity(request);
+        String capacity = objectiveMissed() ? "headroom for a request whose objective has passed" : "a free slot within the objective of the request";
+        concludeWithoutResponse("none of " + endpoints + " endpoints has " + capacity);
     }
 
-    /** Another entry may have its turn sooner, so that the client is never told to come back later than others are. */
-    private void overLimit(int endpoints, OptionalLong millis) {
-        parts.metrics().overLimit.inc();
-        String why = "all " + endpoints + " endpoints have been sent what they take a second";
-        long usual = parts.comeBackMillis(request);
-        conclude(withoutAnswer(), why, () -> Math.clamp(millis.orElse(usual), 1, Math.max(1, usual)));
+    /**
+     * Limits the delay to the usual one: another entry may have capacity sooner, and no client should be told to wait
+     * longer than others.
+     */
+    private void refuseOverRateLimit(int endpoints, OptionalLong millis) {
+        context.metrics().rateLimited.inc();
+        String reason = "all " + endpoints + " endpoints have reached their rate limit";
+        long usual = context.retryAfterMillis(request);
+        conclude(outcomeWithoutResponse(), reason, () -> Math.clamp(millis.orElse(usual), 1, Math.max(1, usual)));
     }
 
-    private void waitForRoom(Decision.Wait wait, String why) {
-        log.waits(wait, millisToObjective());
-        room.begin(request.priority(), parts.nowMillis() + wait.millis(), why);
+    private void waitForSlot(Decision.Wait wait, String reason) {
+        log.waitsForSlot(wait, millisUntilObjective());
+        slotWait.begin(request.priority(), context.nowMillis() + wait.millis(), reason);
     }
 
     @Override
     public void outOfTime() {
-        next("no endpoint had room in time");
+        decideNext("no endpoint had a free slot in time");
     }
 
     // -- sending
 
-    /** Sends at once, or once the endpoint's agent has answered. */
-    private void sendOrAsk(Choice.Send chosen, String why) {
-        if (!parts.mustAsk(request, chosen.endpoint())) {
-            send(chosen, why);
-        } else if (sendings.ask()) {
-            parts.ask(request, chosen.endpoint(), maySend -> agentAnswered(chosen, why, maySend));
+    /** Sends the request, after querying the endpoint's agent if that is required. */
+    private void sendOrQueryAgent(Choice.Send chosen, String reason) {
+        if (!context.mustQueryAgent(request, chosen.endpoint())) {
+            send(chosen, reason);
+        } else if (attempts.ask()) {
+            context.queryAgent(request, chosen.endpoint(), maySend -> onAgentReply(chosen, reason, maySend));
         } else {
-            cannotSend("no agent answers beside an endpoint that could serve");
+            concludeWithoutResponse("no agent of an endpoint that could serve replies");
         }
     }
 
-    private void agentAnswered(Choice.Send chosen, String why, boolean maySend) {
+    private void onAgentReply(Choice.Send chosen, String reason, boolean maySend) {
         if (finished) {
             return;
         }
-        if (maySend && parts.withinLimit(chosen.endpoint())) {
-            send(chosen, why);
+        if (maySend && context.withinRateLimit(chosen.endpoint())) {
+            send(chosen, reason);
         } else {
             log.notSent(chosen.endpoint());
-            next(why);
+            decideNext(reason);
         }
     }
 
-    private void cannotSend(String why) {
-        conclude(withoutAnswer(), why);
+    private void concludeWithoutResponse(String reason) {
+        conclude(outcomeWithoutResponse(), reason);
     }
 
-    private Ending withoutAnswer() {
-        return Ending.withoutAnswer(answer.begun(), sendings.mayHaveRun());
+    private RequestOutcome outcomeWithoutResponse() {
+        return RequestOutcome.withoutResponse(response.started(), attempts.mayHaveRun());
     }
 
-    private void send(Choice.Send chosen, String why) {
+    private void send(Choice.Send chosen, String reason) {
         EndpointEntry endpoint = chosen.endpoint();
-        sendings.sent(endpoint.id());
-        log.sent(chosen, why, sendings.count(), millisToObjective(), millisLeft());
+        attempts.sent(endpoint.id());
+        log.sent(chosen, reason, attempts.count(), millisUntilObjective(), remainingMillis());
         Attempt attempt = new Attempt(this, chosen);
-        current = Optional.of(attempt);
+        currentAttempt = Optional.of(attempt);
         attempt.begin();
     }
 
     /**
-     * Decides anew after a decision was outdated before any byte of the request left. What has not left is no repeat, so it
-     * takes nothing of the budget for repeats, and what may run only once goes on too.
+     * Decides again after the check before the first byte has failed. Since nothing was sent, this does not count as a
+     * retry: it takes nothing from the retry budget, and also applies to requests that may run only once.
      */
-    void withheld(EndpointEntry endpoint, LastLook.Verdict.Outdated outdated) {
-        sendings.withheld();
-        if (millisLeft() < AttemptPolicy.LEAST_MILLIS_LEFT) {
-            cannotSend(outdated.why());
-        } else if (outdated.able()) {
-            sendings.cameLateAt(endpoint.id());
-            // Nothing was asked during a standstill, so that every agent seems silent until one has answered again.
-            parts.hear(request, endpoint, () -> decideAgain(outdated.why()));
+    void onPreSendCheckFailed(EndpointEntry endpoint, PreSendCheck.Result.Outdated outdated) {
+        attempts.withheld();
+        if (remainingMillis() < AttemptPolicy.LEAST_MILLIS_LEFT) {
+            concludeWithoutResponse(outdated.reason());
+        } else if (outdated.mayReuseEndpoint()) {
+            attempts.cameLateAt(endpoint.id());
+            // No agent was queried during a pause, so every agent seems unresponsive until one has replied again.
+            context.awaitAgentReply(request, endpoint, () -> decideAgain(outdated.reason()));
         } else {
-            next(outdated.why());
+            decideNext(outdated.reason());
         }
     }
 
-    /** Whether a connection came too late once already. */
-    boolean cameLate() {
-        return sendings.cameLate();
+    /** Whether a connection of this request has come too late before. */
+    boolean hadLateConnection() {
+        return attempts.cameLate();
     }
 
-    private void decideAgain(String why) {
+    private void decideAgain(String reason) {
         if (!finished) {
-            next(why);
+            decideNext(reason);
         }
     }
 
-    /** Counts a repeat, once its first byte is about to leave. */
-    void leaves() {
-        if (sendings.count() > 1) {
-            parts.metrics().repeats.inc();
+    /** Counts a retry once its first byte is about to be sent. */
+    void countIfRetry() {
+        if (attempts.count() > 1) {
+            context.metrics().retries.inc();
         }
     }
 
-    /** Decides what follows when an attempt has ended without an answer: another one, or the end of the request. */
-    void again(AttemptEnd end, String why) {
-        ended(end);
-        goOn(why);
+    /** Retries or concludes the request after an attempt has ended without a response. */
+    void onAttemptFailed(AttemptEnd end, String reason) {
+        recordAttemptEnd(end);
+        retryOrConclude(reason);
     }
 
-    /** An attempt has ended without an answer; what follows is decided by {@link #goOn}. */
-    void ended(AttemptEnd end) {
-        sendings.ended(end);
+    /** Records that an attempt has ended without a response; {@link #retryOrConclude} decides what follows. */
+    void recordAttemptEnd(AttemptEnd end) {
+        attempts.ended(end);
     }
 
-    /** Sends the request again or ends it, unless it has ended meanwhile. */
-    void goOn(String why) {
+    /** Retries the request or concludes it, unless it has finished meanwhile. */
+    void retryOrConclude(String reason) {
         if (finished) {
             return;
         }
-        boolean cut = answer.begun() && !mayGoOn();
-        if (!cut && AttemptPolicy.again(request.route(), sendings.progress(millisLeft()), parts.budget()::tryRetry)) {
-            next(why);
+        boolean truncated = response.started() && !canResume();
+        if (!truncated && AttemptPolicy.again(request.route(), attempts.progress(remainingMillis()), context.budget()::tryRetry)) {
+            decideNext(reason);
         } else {
-            cannotSend(why);
+            concludeWithoutResponse(reason);
         }
     }
 
-    /** Sends to another endpoint after {@link #mayTakeAnother} has allowed it; the one before may have run the request. */
-    void moveOn(AttemptEnd end, String why) {
-        sendings.ended(end);
-        next(why);
+    /**
+     * Sends the request to another endpoint after {@link #reserveRetry} has allowed it; the previous endpoint may have
+     * run it.
+     */
+    void switchEndpoint(AttemptEnd end, String reason) {
+        attempts.ended(end);
+        decideNext(reason);
     }
 
-    /** Whether another endpoint may run the request although the present one has, and is there; takes one repeat if so. */
-    boolean mayTakeAnother() {
-        AttemptPolicy.Progress progress = sendings.progressIfRun(millisLeft());
+    /**
+     * Whether the request may run again at another endpoint that is available now; takes one retry from the budget if
+     * so.
+     */
+    boolean reserveRetry() {
+        AttemptPolicy.Progress progress = attempts.progressIfRun(remainingMillis());
         return request.route().kind().repeatable()
                 && decide() instanceof Decision.Send
-                && AttemptPolicy.again(request.route(), progress, parts.budget()::tryRetry);
+                && AttemptPolicy.again(request.route(), progress, context.budget()::tryRetry);
     }
 
-    /** Whether an answer that has begun can go on at another endpoint. */
-    boolean mayGoOn() {
+    /** Whether a response that has started can be resumed at another endpoint. */
+    boolean canResume() {
         return request.route().kind() == RequestKind.RESUMABLE_STREAM
-                && (!eventTimes.any() || events.lastId().isPresent());
+                && (!eventTimes.hasEvents() || events.lastId().isPresent());
     }
 
-    /** Remembers that the client has got events. */
-    void eventsPassed() {
-        eventTimes.passed(millisTaken());
+    /** Records that events have been forwarded to the client. */
+    void onEventsForwarded() {
+        eventTimes.recordForwarded(elapsedMillis());
     }
 
-    /** Looks after the request by the clock: its timers do not count the time for which the instance was suspended. */
+    /**
+     * Checks the request by the monotonic clock, since its timers do not count the time for which the instance was
+     * suspended.
+     */
     @Override
-    public void lookAfter() {
-        if (millisLeft() <= 0) {
-            end("time is up");
-        } else if (!answer.begun() && standing() instanceof Standing.Refused(int crashes, long forMillis)) {
-            current.ifPresent(this::takeBack);
-            refuse(crashes, forMillis);
+    public void check() {
+        if (remainingMillis() <= 0) {
+            end("the deadline has passed");
+        } else if (!response.started() && suspicion() instanceof Standing.Refused(int crashes, long forMillis)) {
+            currentAttempt.ifPresent(this::cancelAttempt);
+            refusePoisonRequest(crashes, forMillis);
         } else {
-            current.ifPresent(Attempt::lookAfter);
+            currentAttempt.ifPresent(Attempt::check);
         }
     }
 
-    private Standing standing() {
-        return parts.suspects().standing(digest, parts.nowMillis());
+    private Standing suspicion() {
+        return context.suspects().suspicion(digest, context.nowMillis());
     }
 
-    /** Takes the request back from where it may be about to end another endpoint. */
-    private void takeBack(Attempt attempt) {
-        sendings.ended(attempt.mayRun() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN);
-        attempt.abandon("it ends endpoints");
+    /** Cancels an attempt at an endpoint that the request may be about to crash. */
+    private void cancelAttempt(Attempt attempt) {
+        attempts.ended(attempt.mayRun() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN);
+        attempt.abandon("the request crashes endpoints");
     }
 
-    // -- endings
+    // -- outcomes
 
     @Override
-    public void end(String why) {
+    public void end(String reason) {
         if (finished) {
             return;
         }
         boolean mayRun =
-                sendings.mayHaveRun() || current.filter(Attempt::mayRun).isPresent();
-        current.ifPresent(attempt -> attempt.abandon(why));
-        conclude(Ending.outOfTime(answer.begun(), mayRun), why);
+                attempts.mayHaveRun() || currentAttempt.filter(Attempt::mayRun).isPresent();
+        currentAttempt.ifPresent(attempt -> attempt.abandon(reason));
+        conclude(RequestOutcome.timedOut(response.started(), mayRun), reason);
     }
 
-    void clientGone() {
+    void onClientDisconnected() {
         if (finished) {
             return;
         }
-        current.ifPresent(attempt -> attempt.abandon("the client left"));
-        conclude(Ending.CLIENT_GONE, "the client closed its connection");
+        currentAttempt.ifPresent(attempt -> attempt.abandon("the client disconnected"));
+        conclude(RequestOutcome.CLIENT_GONE, "the client closed its connection");
     }
 
-    void answered(String what) {
-        conclude(Ending.ANSWERED, what);
+    void onResponseComplete(String what) {
+        conclude(RequestOutcome.ANSWERED, what);
     }
 
-    private void conclude(Ending ending, String why) {
-        conclude(ending, why, () -> parts.comeBackMillis(request));
+    private void conclude(RequestOutcome outcome, String reason) {
+        conclude(outcome, reason, () -> context.retryAfterMillis(request));
     }
 
-    private void conclude(Ending ending, String why, LongSupplier comeBackMillis) {
+    private void conclude(RequestOutcome outcome, String reason, LongSupplier retryAfterMillis) {
         finished = true;
-        parts.open().remove(this);
-        current = Optional.empty();
-        room.end();
-        deadline.ifPresent(XnioExecutor.Key::remove);
-        parts.metrics().ended(ending);
-        log.finished(ending.outcome(), why, sendings.count(), millisTaken());
-        switch (ending) {
-            case NOT_RUN -> answer.own(ending.status(), why, parts.refused(request, comeBackMillis.getAsLong()));
-            case UNKNOWN, TIMED_OUT -> answer.own(ending.status(), why, 0);
-            case BROKEN -> answer.breakOff();
-            case CLIENT_GONE -> answer.gone();
+        context.inFlight().remove(this);
+        currentAttempt = Optional.empty();
+        slotWait.end();
+        deadlineTimer.ifPresent(XnioExecutor.Key::remove);
+        context.metrics().countOutcome(outcome);
+        log.finished(outcome.logName(), reason, attempts.count(), elapsedMillis());
+        switch (outcome) {
+            case NOT_RUN -> response.sendOwn(outcome.status(), reason, context.recordRefusal(request, retryAfterMillis.getAsLong()));
+            case UNKNOWN, TIMED_OUT -> response.sendOwn(outcome.status(), reason, 0);
+            case BROKEN -> response.abort();
+            case CLIENT_GONE -> response.onDisconnect();
             case ANSWERED -> {}
         }
     }
--- /dev/null
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -0,0 +1,235 @@
+package org.micabarrow.serving;
+
+import java.util.List;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.micabarrow.admission.Admission;
+import org.micabarrow.admission.Admission.Decision;
+import org.micabarrow.admission.FirstTries;
+import org.micabarrow.attempts.ClientRequest;
+import org.micabarrow.coordination.admission.RetryBudget;
+import org.micabarrow.crashes.LazyDigest;
+import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.RouteManifest;
+import org.micabarrow.routing.Wanted;
+import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.views.View;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * State and services shared by all requests of an entry. Used by the traffic thread, except for the view and the
+ * metrics.
+ */
+final class ServingContext {
+
+    private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
+
+    private final ServingHandler.Parts dependencies;
+    private final WeightVersions versions;
+    private final ServingMetrics metrics;
+    private final InFlightRequests inFlight = new InFlightRequests();
+    private final FirstTries firstAttempts = new FirstTries();
+    private final Admission admission;
+    private final EntryWaitQueue waitQueue;
+    private final SuspectAdmission suspects;
+    private final CrashDetector crashes;
+
+    /**
+     * Creates the shared state.
+     *
+     * @param dependencies the handler's dependencies
+     */
+    ServingContext(ServingHandler.Parts dependencies) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+        this.versions = new WeightVersions(dependencies);
+        this.metrics = new ServingMetrics(dependencies.registry());
+        this.admission = new Admission(dependencies.choice());
+        this.waitQueue = new EntryWaitQueue(dependencies.monotonicMillis());
+        this.suspects = new SuspectAdmission(dependencies.crashes().book(), dependencies.choice(), admission);
+        this.crashes = new CrashDetector(dependencies.crashes(), dependencies.monotonicMillis());
+    }
+
+    // -- components
+
+    View view() {
+        return dependencies.view().get();
+    }
+
+    RequestReader reader() {
+        return dependencies.reader();
+    }
+
+    HttpCaller caller() {
+        return dependencies.caller();
+    }
+
+    EndpointProtocol protocol() {
+        return dependencies.protocol();
+    }
+
+    RetryBudget budget() {
+        return dependencies.budget();
+    }
+
+    WeightVersions versions() {
+        return versions;
+    }
+
+    ServingMetrics metrics() {
+        return metrics;
+    }
+
+    InFlightRequests inFlight() {
+        return inFlight;
+    }
+
+    FirstTries firstAttempts() {
+        return firstAttempts;
+    }
+
+    EntryWaitQueue waitQueue() {
+        return waitQueue;
+    }
+
+    SuspectAdmission suspects() {
+        return suspects;
+    }
+
+    CrashDetector crashes() {
+        return crashes;
+    }
+
+    ManifestAge manifestAge() {
+        return dependencies.manifestAge();
+    }
+
+    long nowMillis() {
+        return dependencies.monotonicMillis().getAsLong();
+    }
+
+    // -- routing
+
+    EndpointLoad load(EndpointEntry endpoint) {
+        return dependencies.choice().load(endpoint.start());
+    }
+
+    boolean isUnresponsive(EndpointEntry endpoint) {
+        return dependencies.choice().silent(endpoint, nowMillis());
+    }
+
+    boolean isBackingOff(EndpointEntry endpoint) {
+        return dependencies.choice().rests(endpoint, nowMillis());
+    }
+
+    /** Whether an endpoint has stated that it is draining, so that its end is no crash. */
+    boolean isDraining(EndpointEntry endpoint) {
+        EndpointEntry now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
+        return now.start().equals(endpoint.start()) && dependencies.choice().leaves(now);
+    }
+
+    /** Whether an endpoint is draining, is no longer listed, or has restarted without the requests sent to it. */
+    boolean isGoneOrDraining(EndpointEntry endpoint) {
+        EndpointEntry now = view().endpoints().get(endpoint.id());
+        return now == null
+                || !now.start().equals(endpoint.start())
+                || dependencies.choice().leaves(now);
+    }
+
+    /**
+     * Records that a response stated that its endpoint is draining. It gets no new requests from now on, even if other
+     * sources still report it as ready.
+     */
+    void markDraining(EndpointEntry endpoint) {
+        if (dependencies.choice().saidThatItLeaves(endpoint.start())) {
+            LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
+        }
+    }
+
+    /** Whether an endpoint's rate limit allows this entry a request now. */
+    boolean withinRateLimit(EndpointEntry endpoint) {
+        return dependencies.choice().withinLimit(endpoint, nowMillis());
+    }
+
+    /** Counts a request that is refused for lack of a free slot; agents allot their endpoints' slots by this count. */
+    void countRefusedForCapacity(ClientRequest request) {
+        if (versions.model(request).isPresent()) {
+            dependencies.choice().unmet().turnedAway(nowMillis());
+        }
+    }
+
+    /** Decides how to handle a request, given the time that is left until its objective. */
+    Decision decide(ClientRequest request, LazyDigest digest, long millisUntilObjective, Set<String> tried) {
+        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        return suspects.decide(endpoints, wanted(request, millisUntilObjective, tried), digest, nowMillis());
+    }
+
+    private Wanted wanted(ClientRequest request, long millisUntilObjective, Set<String> tried) {
+        return new Wanted(
+                request.promptTokens(),
+                request.route().objectiveMillis(),
+                millisUntilObjective,
+                request.deadlineMillis() - nowMillis(),
+                versions.model(request),
+                versions.minVersion(request),
+                versions.newestNamed(request),
+                tried);
+    }
+
+    /** Whether an endpoint's agent must be queried before the request is sent there. */
+    boolean mustQueryAgent(ClientRequest request, EndpointEntry endpoint) {
+        return versions.agentQueryDue(request, endpoint) && dependencies.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
+    }
+
+    /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
+    void queryAgent(ClientRequest request, EndpointEntry endpoint, Consumer<Boolean> callback) {
+        dependencies.agentQueries().ask(endpoint, inTime -> {
+            if (!inTime) {
+                load(endpoint).notAnswered();
+            }
+            callback.accept(inTime && canReceive(request, endpoint));
+        });
+    }
+
+    /** Runs an action once an endpoint's agent has replied or timed out; at once if there is no agent. */
+    void awaitAgentReply(ClientRequest request, EndpointEntry endpoint, Runnable callback) {
+        if (load(endpoint).hasAgent()) {
+            queryAgent(request, endpoint, ignored -> callback.run());
+        } else {
+            callback.run();
+        }
+    }
+
+    /** Whether an endpoint may get the request at all, given current information. */
+    boolean canReceive(ClientRequest request, EndpointEntry endpoint) {
+        return dependencies.choice().able(endpoint, wanted(request, 0, Set.of()), nowMillis());
+    }
+
+    // -- for the client and the log
+
+    /**
+     * The retry delay for a refused client in milliseconds: if all endpoints asked for a backoff, until the first
+     * backoff ends.
+     */
+    long retryAfterMillis(ClientRequest request) {
+        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        return dependencies.choice()
+                .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
+                .orElseGet(() -> Admission.comeBackMillis(request.deadlineMillis() - nowMillis()));
+    }
+
+    /** Records that a client is refused and when it is told to retry; returns the retry delay. */
+    long recordRefusal(ClientRequest request, long retryAfterMillis) {
+        firstAttempts.refused(request.route(), retryAfterMillis, nowMillis());
+        return retryAfterMillis;
+    }
+
+    /** The version and age of the view that decisions are based on, for the log. */
+    String viewAge() {
+        View now = view();
+        return "manifest=" + now.manifest().map(RouteManifest::version).orElse(-1L) + " offset=" + now.manifestOffset()
+                + " knownMsAgo=" + dependencies.manifestAge().loggedMillis(nowMillis());
+    }
+}
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -23,7 +23,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes clients' requests and passes each straight to an endpoint. */
+/** Receives client requests and forwards each to an endpoint. */
 public final class ServingHandler implements HttpHandler {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
@@ -34,40 +34,45 @@
     private static final int TOO_LARGE = 413;
     private static final int UNAVAILABLE = 503;
 
-    /** When to come back to a process that has no manifest yet, in milliseconds: it reads one as its first act. */
-    private static final long STARTING_MILLIS = 500;
+    /**
+     * The retry delay while this process has no manifest yet, in milliseconds; reading one is the first thing it does.
+     */
+    private static final long STARTING_RETRY_MILLIS = 500;
 
-    /** When to come back if this process stops, in milliseconds: at once, since the client then meets another entry. */
-    private static final long STOPPING_MILLIS = 1;
+    /**
+     * The retry delay while this process is stopping, in milliseconds: minimal, since the client then reaches another
+     * entry.
+     */
+    private static final long STOPPING_RETRY_MILLIS = 1;
 
     /**
-     * When to come back to a process that may not know the newest manifest, in milliseconds: while it does not hear from the store
-     * it asks a peer every 0.3 s.
+     * The retry delay while this process may not know the newest manifest, in milliseconds: without contact to the
+     * store, it queries a peer every 0.3 s.
      */
-    private static final long MAY_NOT_KNOW_MILLIS = 300;
+    private static final long STALE_MANIFEST_RETRY_MILLIS = 300;
 
-    private final ServingParts parts;
+    private final ServingContext context;
     private final ClientConnections connections = new ClientConnections();
 
-    private ServingHandler(ServingParts parts) {
-        this.parts = parts;
+    private ServingHandler(ServingContext context) {
+        this.context = context;
     }
 
     /**
-     * What a handler works with.
+     * The dependencies of a handler.
      *
-     * @param view the view in force
+     * @param view supplies the current view
      * @param choice chooses endpoints
-     * @param caller sends requests, on the thread for traffic
-     * @param protocol writes requests to endpoints and reads their answers
-     * @param reader reads clients' requests
-     * @param budget bounds repeats
-     * @param registry where it counts
-     * @param steadyMillis a clock that never steps, in milliseconds
-     * @param questions asks endpoints' agents
-     * @param versionTimes when older weight versions may answer no more
-     * @param manifestAge how long ago all that operators wrote was known
-     * @param crashes what is known of endpoints that crashed
+     * @param caller sends requests on the traffic thread
+     * @param protocol encodes requests to endpoints and decodes their responses
+     * @param reader reads client requests
+     * @param budget limits retries
+     * @param registry the registry for metrics
+     * @param monotonicMillis a monotonic clock in milliseconds
+     * @param agentQueries queries the agents of endpoints
+     * @param versionTimes when older weight versions may no longer serve requests
+     * @param manifestAge how up to date the knowledge of operator changes is
+     * @param crashes detects endpoint crashes
      */
     public record Parts(
             Supplier<View> view,
@@ -77,13 +82,13 @@
             RequestReader reader,
             RetryBudget budget,
             MetricRegistry registry,
-            LongSupplier steadyMillis,
-            AgentQuestions questions,
+            LongSupplier monotonicMillis,
+            AgentQuestions agentQueries,
             VersionTimes versionTimes,
             ManifestAge manifestAge,
             Crashes crashes) {
 
-        /** Checks that nothing is missing. */
+        /** Checks that no component is null. */
         public Parts {
             Objects.requireNonNull(view, "view is null");
             Objects.requireNonNull(choice, "choice is null");
@@ -92,44 +97,45 @@
             Objects.requireNonNull(reader, "reader is null");
             Objects.requireNonNull(budget, "budget is null");
             Objects.requireNonNull(registry, "registry is null");
-            Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-            Objects.requireNonNull(questions, "questions is null");
+            Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+            Objects.requireNonNull(agentQueries, "agentQueries is null");
             Objects.requireNonNull(versionTimes, "versionTimes is null");
             Objects.requireNonNull(manifestAge, "manifestAge is null");
             Objects.requireNonNull(crashes, "crashes is null");
         }
     }
 
-    /** Asks the agent beside an endpoint whether it is there. */
+    /** Queries the agent of an endpoint to learn whether it responds. */
     @FunctionalInterface
     public interface AgentQuestions {
 
         /**
-         * Asks now; on the thread for traffic.
+         * Sends a query, on the traffic thread.
          *
          * @param endpoint the endpoint
-         * @param then learns on the same thread, once, whether the agent answered in time
+         * @param then receives once, on the same thread, whether the agent replied in time
          */
         void ask(EndpointEntry endpoint, Consumer<Boolean> then);
     }
 
     /**
-     * When a weight version that is older than the one named may answer no more.
+     * When weight versions that are older than the one named may no longer serve requests.
      *
-     * @param askMillis how long after the naming agents are asked before a request is sent to an older version
-     * @param demandMillis how long after the naming nothing is sent to older versions any more
-     * @param cancelMillis how long after the naming requests that an older version has not begun are cancelled there
+     * @param queryAfterMillis how long after the naming agents are queried before a request is sent to an older version
+     * @param requireAfterMillis how long after the naming nothing is sent to older versions any more
+     * @param cancelAfterMillis how long after the naming requests that an older version has not begun are cancelled
+     *     there
      */
-    public record VersionTimes(long askMillis, long demandMillis, long cancelMillis) {}
+    public record VersionTimes(long queryAfterMillis, long requireAfterMillis, long cancelAfterMillis) {}
 
     /**
-     * Makes a handler.
+     * Creates a handler.
      *
-     * @param parts what it works with
+     * @param dependencies its dependencies
      * @return the handler
      */
-    public static ServingHandler of(Parts parts) {
-        return new ServingHandler(new ServingParts(parts));
+    public static ServingHandler of(Parts dependencies) {
+        return new ServingHandler(new ServingContext(dependencies));
     }
 
     /**
@@ -141,101 +147,101 @@
         return connections;
     }
 
-    /** Takes back or moves what waits at endpoints of which nothing is heard; on the thread for traffic. */
+    /** Checks all requests in flight, and cancels or moves those at unresponsive endpoints; on the traffic thread. */
     public void lookAfterRequests() {
-        parts.open().lookAfterAll();
+        context.inFlight().checkAll();
     }
 
-    /** Answers all open requests by what is known of them, because the process ends; on the thread for traffic. */
+    /** Ends all requests in flight with the outcome known so far, because the process stops; on the traffic thread. */
     public void endRequests() {
-        parts.open().endAll("this entry stops");
+        context.inFlight().endAll("this entry is stopping");
     }
 
     // -- requests
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        parts.metrics().received.inc();
-        connections.begun(exchange);
+        context.metrics().received.inc();
+        connections.requestStarted(exchange);
         OptionalLong knownAsOf = knownAsOf();
-        parts.view().manifest().ifPresent(manifest -> exchange.setMaxEntitySize(manifest.maxBodyBytes()));
+        context.view().manifest().ifPresent(manifest -> exchange.setMaxEntitySize(manifest.maxBodyBytes()));
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (same, body) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> begin(exchange, body)),
+                        (same, body) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> handleBody(exchange, body)),
                         (same, error) ->
-                                same.dispatch(SameThreadExecutor.INSTANCE, () -> notRead(exchange, error, knownAsOf)));
+                                same.dispatch(SameThreadExecutor.INSTANCE, () -> onBodyError(exchange, error, knownAsOf)));
     }
 
-    /** To be taken before the view, which then holds all that was known at this moment, and perhaps more. */
+    /** Must be read before the view, so that the view contains at least all that was known at this time. */
     private OptionalLong knownAsOf() {
-        return parts.manifestAge().asOfMillis().get();
+        return context.manifestAge().asOfMillis().get();
     }
 
-    private void notRead(HttpServerExchange exchange, IOException error, OptionalLong knownAsOf) {
-        String why = "the body cannot be read: " + error.getMessage();
+    private void onBodyError(HttpServerExchange exchange, IOException error, OptionalLong knownAsOf) {
+        String reason = "the body cannot be read: " + error.getMessage();
         if (error instanceof RequestTooBigException) {
-            refuseByManifest(exchange, TOO_LARGE, why, knownAsOf);
+            refuseByManifest(exchange, TOO_LARGE, reason, knownAsOf);
         } else {
-            refuse(exchange, BAD_REQUEST, why, 0);
+            refuse(exchange, BAD_REQUEST, reason, 0);
         }
     }
 
-    private void begin(HttpServerExchange exchange, byte[] body) {
+    private void handleBody(HttpServerExchange exchange, byte[] body) {
         OptionalLong knownAsOf = knownAsOf();
-        Optional<RouteManifest> manifest = parts.view().manifest();
+        Optional<RouteManifest> manifest = context.view().manifest();
         if (connections.closing()) {
-            refuse(exchange, UNAVAILABLE, "this entry is stopping", STOPPING_MILLIS);
+            refuse(exchange, UNAVAILABLE, "this entry is stopping", STOPPING_RETRY_MILLIS);
             return;
         }
         if (manifest.isEmpty()) {
-            refuse(exchange, UNAVAILABLE, "this entry has not read the manifest yet", STARTING_MILLIS);
+            refuse(exchange, UNAVAILABLE, "this entry has not read the manifest yet", STARTING_RETRY_MILLIS);
             return;
         }
         if (body.length > manifest.get().maxBodyBytes()) {
             refuseByManifest(exchange, TOO_LARGE, "the body is larger than the manifest allows", knownAsOf);
             return;
         }
-        switch (parts.reader().read(exchange, body, manifest.get(), parts.nowMillis())) {
-            case RequestReader.Reading.Refused(int status, String why)
-            when ofManifest(status) -> refuseByManifest(exchange, status, why, knownAsOf);
-            case RequestReader.Reading.Refused(int status, String why) -> refuse(exchange, status, why, 0);
-            case RequestReader.Reading.Understood(ClientRequest request) -> run(exchange, request);
+        switch (context.reader().read(exchange, body, manifest.get(), context.nowMillis())) {
+            case RequestReader.Reading.Refused(int status, String reason)
+            when dependsOnManifest(status) -> refuseByManifest(exchange, status, reason, knownAsOf);
+            case RequestReader.Reading.Refused(int status, String reason) -> refuse(exchange, status, reason, 0);
+            case RequestReader.Reading.Understood(ClientRequest request) -> serve(exchange, request);
         }
     }
 
-    /** Whether a newer manifest may take that request: one that cannot be read is wrong by each. */
-    private static boolean ofManifest(int status) {
+    /** Whether a newer manifest might allow the request; a malformed request is invalid under any manifest. */
+    private static boolean dependsOnManifest(int status) {
         return status == UNAUTHORIZED || status == NOT_FOUND;
     }
 
-    /** Refuses what the manifest does not allow, if it is known to be one that must be in force. */
-    private void refuseByManifest(HttpServerExchange exchange, int status, String why, OptionalLong knownAsOf) {
-        if (parts.manifestAge().provesAllInForce(knownAsOf, parts.nowMillis())) {
-            refuse(exchange, status, why, 0);
+    /** Refuses a request that the manifest does not allow, if the manifest is known to be current. */
+    private void refuseByManifest(HttpServerExchange exchange, int status, String reason, OptionalLong knownAsOf) {
+        if (context.manifestAge().provesCurrent(knownAsOf, context.nowMillis())) {
+            refuse(exchange, status, reason, 0);
         } else {
             refuse(
                     exchange,
                     UNAVAILABLE,
-                    "this entry may not know the newest manifest; by its own, " + why,
-                    MAY_NOT_KNOW_MILLIS);
+                    "this entry may not know the newest manifest; according to its current one, " + reason,
+                    STALE_MANIFEST_RETRY_MILLIS);
         }
     }
 
-    private void run(HttpServerExchange exchange, ClientRequest request) {
-        ServedRequest run = new ServedRequest(parts, request, new ClientAnswer(exchange), exchange.getIoThread());
-        ClientWatch.start(exchange, run::clientGone);
-        run.begin();
+    private void serve(HttpServerExchange exchange, ClientRequest request) {
+        ServedRequest served = new ServedRequest(context, request, new ClientResponse(exchange), exchange.getIoThread());
+        ClientDisconnectDetector.start(exchange, served::onClientDisconnected);
+        served.begin();
     }
 
-    private void refuse(HttpServerExchange exchange, int status, String why, long retryAfterMillis) {
+    private void refuse(HttpServerExchange exchange, int status, String reason, long retryAfterMillis) {
         LOG.info(
                 "event=refused request={} host={} path={} status={} {} why=\"{}\"",
-                parts.reader().id(exchange),
+                context.reader().id(exchange),
                 exchange.getRequestHeaders().getFirst(Headers.HOST),
                 exchange.getRequestPath(),
                 status,
-                parts.viewAge(),
-                why);
-        new ClientAnswer(exchange).own(status, why, retryAfterMillis);
+                context.viewAge(),
+                reason);
+        new ClientResponse(exchange).sendOwn(status, reason, retryAfterMillis);
     }
 }
--- a/src/main/java/org/micabarrow/serving/ServingMetrics.java
+++ b/src/main/java/org/micabarrow/serving/ServingMetrics.java
@@ -4,7 +4,7 @@
 import com.codahale.metrics.MetricRegistry;
 import com.codahale.metrics.Timer;
 
-/** Counters and latencies of requests at an entry. */
+/** Counters and latencies of an entry's requests. */
 final class ServingMetrics {
 
     final Counter received;
@@ -13,9 +13,9 @@
     private final Counter unknown;
     private final Counter broken;
     private final Counter clientGone;
-    final Counter repeats;
-    final Counter culprits;
-    final Counter overLimit;
+    final Counter retries;
+    final Counter poisonRequests;
+    final Counter rateLimited;
     final Timer firstByte;
 
     ServingMetrics(MetricRegistry registry) {
@@ -25,15 +25,15 @@
         unknown = registry.counter("requests.unknown");
         broken = registry.counter("requests.broken");
         clientGone = registry.counter("requests.clientGone");
-        repeats = registry.counter("requests.repeats");
-        culprits = registry.counter("requests.refusedForCrashes");
-        overLimit = registry.counter("requests.overLimit");
+        retries = registry.counter("requests.repeats");
+        poisonRequests = registry.counter("requests.refusedForCrashes");
+        rateLimited = registry.counter("requests.overLimit");
         firstByte = registry.timer("requests.firstByte");
     }
 
-    /** Counts a request by its end. */
-    void ended(Ending ending) {
-        switch (ending) {
+    /** Counts a request by its outcome. */
+    void countOutcome(RequestOutcome outcome) {
+        switch (outcome) {
             case ANSWERED -> answered.inc();
             case NOT_RUN -> notRun.inc();
             case UNKNOWN, TIMED_OUT -> unknown.inc();
--- a/src/main/java/org/micabarrow/serving/SuspectCare.java
+++ b/src/main/java/org/micabarrow/serving/SuspectAdmission.java
@@ -12,10 +12,10 @@
 import org.micabarrow.routing.Wanted;
 
 /**
- * Decides what happens to a request with regard to the crashes at which it was: a culprit is refused, suspects are kept apart. While
- * no crash is known, no request is looked at. Used by the one thread for traffic.
+ * Decides how to handle a request with regard to the endpoint crashes it was involved in: poison requests are refused,
+ * and suspects are kept apart. While no crash is known, digests are not computed. Used by the traffic thread.
  */
-final class SuspectCare {
+final class SuspectAdmission {
 
     private static final Standing UNSUSPECTED = new Standing.Unsuspected();
 
@@ -24,53 +24,56 @@
     private final Admission admission;
     private final SuspectPlacement placement = new SuspectPlacement();
 
-    SuspectCare(CrashBook book, EndpointChoice choice, Admission admission) {
+    SuspectAdmission(CrashBook book, EndpointChoice choice, Admission admission) {
         this.book = book;
         this.choice = choice;
         this.admission = admission;
     }
 
-    /** What is held of a request. */
-    Standing standing(LazyDigest digest, long nowMillis) {
+    /** What is known about a request's involvement in crashes. */
+    Standing suspicion(LazyDigest digest, long nowMillis) {
         return book.mayKnow(digest) ? book.standing(digest.get(), nowMillis) : UNSUSPECTED;
     }
 
-    /** A request is sent; what is returned is to be run once it is at its endpoint no more. */
-    Runnable sent(EndpointEntry endpoint, LazyDigest digest, long nowMillis) {
-        if (!(standing(digest, nowMillis) instanceof Standing.Suspected)) {
+    /** Records that a request is sent; the returned action must run once the request has left its endpoint. */
+    Runnable onSent(EndpointEntry endpoint, LazyDigest digest, long nowMillis) {
+        if (!(suspicion(digest, nowMillis) instanceof Standing.Suspected)) {
             return () -> {};
         }
         placement.began(endpoint.start(), digest.get());
         return () -> placement.ended(endpoint.start(), digest.get());
     }
 
-    // -- deciding
+    // -- routing
 
-    /** Decides for a request. */
+    /** Decides how to handle a request. */
     Decision decide(List<EndpointEntry> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
-        return switch (standing(digest, nowMillis)) {
+        return switch (suspicion(digest, nowMillis)) {
             case Standing.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
             case Standing.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
             case Standing.Suspected suspected -> {
-                List<EndpointEntry> free = placement.free(endpoints, digest.get(), suspected);
+                List<EndpointEntry> available = placement.free(endpoints, digest.get(), suspected);
                 yield SuspectPlacement.apart(suspected)
-                        ? first(free, endpoints, wanted, nowMillis)
-                        : preferring(free, endpoints, wanted, nowMillis);
+                        ? decideFirst(available, endpoints, wanted, nowMillis)
+                        : decidePreferring(available, endpoints, wanted, nowMillis);
             }
         };
     }
 
-    private Decision preferring(
-            List<EndpointEntry> free, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
-        Decision decision = admission.decide(free, wanted, nowMillis);
+    private Decision decidePreferring(
+            List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+        Decision decision = admission.decide(available, wanted, nowMillis);
         return decision instanceof Decision.Send ? decision : admission.decide(endpoints, wanted, nowMillis);
     }
 
-    /** The first endpoint of some that has room; where none has, the request waits, even if others have. */
-    private Decision first(List<EndpointEntry> free, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
-        for (EndpointEntry one : free) {
-            boolean well = !choice.failing(one, nowMillis);
-            if (well && admission.decide(List.of(one), wanted, nowMillis) instanceof Decision.Send send) {
+    /**
+     * Chooses the first of the given endpoints that has a free slot. If none has, the request waits, even if other
+     * endpoints have free slots.
+     */
+    private Decision decideFirst(List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+        for (EndpointEntry endpoint : available) {
+            boolean healthy = !choice.failing(endpoint, nowMillis);
+            if (healthy && admission.decide(List.of(endpoint), wanted, nowMillis) instanceof Decision.Send send) {
                 return send;
             }
         }
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -12,26 +12,26 @@
 import org.micabarrow.views.View;
 
 /**
- * Which weight versions may answer a request, and until when an older one than was named may. Used by the one thread for
- * traffic.
+ * Decides which weight versions may serve a request, and how long a version that is older than the named one may. Used
+ * by the traffic thread.
  */
 final class WeightVersions {
 
     private final Supplier<View> view;
     private final EndpointChoice choice;
     private final VersionTimes times;
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
 
     /**
-     * Takes what a handler works with.
+     * Creates the policy.
      *
-     * @param given the handler's parts
+     * @param dependencies the handler's dependencies
      */
-    WeightVersions(ServingHandler.Parts given) {
-        this.view = given.view();
-        this.choice = given.choice();
-        this.times = given.versionTimes();
-        this.steadyMillis = given.steadyMillis();
+    WeightVersions(ServingHandler.Parts dependencies) {
+        this.view = dependencies.view();
+        this.choice = dependencies.choice();
+        this.times = dependencies.versionTimes();
+        this.monotonicMillis = dependencies.monotonicMillis();
     }
 
     /** The model of a request's service; empty for plain services. */
@@ -42,10 +42,10 @@
                 .flatMap(RouteManifest.Service::model);
     }
 
-    // -- of a request
+    // -- by request
 
-    /** The newest version that was named; 0 if none was. */
-    long newest(ClientRequest request) {
+    /** The newest named version; 0 if none was named. */
+    long newestNamed(ClientRequest request) {
         return model(request)
                 .flatMap(model -> view.get().newestTarget(model.model()))
                 .map(View.Target::version)
@@ -53,16 +53,17 @@
     }
 
     /**
-     * The least version that may still answer; 0 for any. A process that found a version named at its start does not know
-     * for how long, nor which came before: it demands the newest that any endpoint of the service holds.
+     * The minimum version that may still serve the request; 0 for any. A process that found a version already named at
+     * its start knows neither since when nor which version came before, so it requires the newest version that any
+     * endpoint of the service holds.
      */
-    long least(ClientRequest request) {
-        return model(request).map(model -> least(request, model.model())).orElse(0L);
+    long minVersion(ClientRequest request) {
+        return model(request).map(model -> minVersion(request, model.model())).orElse(0L);
     }
 
-    private long least(ClientRequest request, String model) {
+    private long minVersion(ClientRequest request, String model) {
         View now = view.get();
-        long due = now.leastVersion(model, times.demandMillis(), steadyMillis.getAsLong());
+        long due = now.leastVersion(model, times.requireAfterMillis(), monotonicMillis.getAsLong());
         boolean foundAtStart =
                 now.newestTarget(model).filter(target -> !target.seenNamed()).isPresent();
         return foundAtStart ? Math.max(due, newestHeld(now, request, model)) : due;
@@ -75,57 +76,65 @@
                 .orElse(0);
     }
 
-    // -- of a request at an endpoint
+    // -- by request and endpoint
 
-    /** The only version that may answer at an endpoint, once the time for older ones is over. */
-    Optional<Long> expected(ClientRequest request, EndpointEntry endpoint) {
-        long least = least(request);
-        if (least == 0) {
+    /** The only version that may serve the request at an endpoint; empty while older versions are still allowed. */
+    Optional<Long> requiredVersion(ClientRequest request, EndpointEntry endpoint) {
+        long minVersion = minVersion(request);
+        if (minVersion == 0) {
             return Optional.empty();
         }
         long held = model(request).map(model -> held(endpoint, model)).orElse(0L);
-        return Optional.of(Math.max(least, held));
+        return Optional.of(Math.max(minVersion, held));
     }
 
-    /** Whether an endpoint holds an older version than was named, for so long that its agent is to be asked first. */
-    boolean askDue(ClientRequest request, EndpointEntry endpoint) {
+    /**
+     * Whether a version newer than the endpoint's was named so long ago that the endpoint's agent must be queried
+     * first.
+     */
+    boolean agentQueryDue(ClientRequest request, EndpointEntry endpoint) {
         return newerNamed(request, endpoint)
-                .filter(newer -> steadyMillis.getAsLong() - newer.learnedMillis() >= times.askMillis())
+                .filter(newer -> monotonicMillis.getAsLong() - newer.learnedMillis() >= times.queryAfterMillis())
                 .isPresent();
     }
 
-    /** Whether an endpoint holds an older version than was named. */
-    boolean older(ClientRequest request, EndpointEntry endpoint) {
+    /** Whether an endpoint holds an older version than the one named. */
+    boolean holdsOutdated(ClientRequest request, EndpointEntry endpoint) {
         return newerNamed(request, endpoint).isPresent();
     }
 
-    /** The oldest version that is newer than an endpoint's; empty if it holds the newest. */
+    /** The oldest named version that is newer than an endpoint's; empty if the endpoint holds the newest. */
     Optional<View.Target> newerNamed(ClientRequest request, EndpointEntry endpoint) {
         return model(request).flatMap(model -> view.get().newerNamed(model.model(), held(endpoint, model)));
     }
 
-    /** Whether an endpoint holds an older version than one. */
-    boolean holdsOlder(ClientRequest request, EndpointEntry endpoint, View.Target than) {
+    /** Whether an endpoint holds an older version than the given one. */
+    boolean holdsOlderThan(ClientRequest request, EndpointEntry endpoint, View.Target target) {
         return model(request)
-                .filter(model -> held(endpoint, model) < than.version())
+                .filter(model -> held(endpoint, model) < target.version())
                 .isPresent();
     }
 
-    /** Whether an endpoint may still begin a request now, by the version that it holds. */
-    boolean mayBegin(ClientRequest request, EndpointEntry endpoint) {
+    /** Whether an endpoint may still begin a request, given the version that it holds. */
+    boolean mayStart(ClientRequest request, EndpointEntry endpoint) {
         return newerNamed(request, endpoint)
-                .filter(newer -> millisToBegin(newer) <= 0)
+                .filter(newer -> millisUntilStartDeadline(newer) <= 0)
                 .isEmpty();
     }
 
-    /** How long a request may still wait at an endpoint that holds an older version, in milliseconds; not above 0 if no more. */
-    long millisToBegin(View.Target newer) {
-        return newer.learnedMillis() + times.cancelMillis() - steadyMillis.getAsLong();
+    /**
+     * How long a request may still wait at an endpoint that holds an older version, in milliseconds; not positive if no
+     * longer.
+     */
+    long millisUntilStartDeadline(View.Target newer) {
+        return newer.learnedMillis() + times.cancelAfterMillis() - monotonicMillis.getAsLong();
     }
 
-    /** The version that an endpoint's entry names, or a newer one by which it has answered or of which its agent told. */
+    /**
+     * The version in an endpoint's record, or a newer one with which it has responded or that its agent has reported.
+     */
     private long held(EndpointEntry endpoint, ModelService model) {
-        long entered = endpoint.models().getOrDefault(model.model(), 0L);
-        return Math.max(entered, choice.load(endpoint.start()).version());
+        long listed = endpoint.models().getOrDefault(model.model(), 0L);
+        return Math.max(listed, choice.load(endpoint.start()).version());
     }
 }
--- a/src/main/java/org/micabarrow/serving/package-info.java
+++ b/src/main/java/org/micabarrow/serving/package-info.java
@@ -1,2 +1,2 @@
-/** Takes clients' requests and passes them straight to endpoints. */
+/** Receives client requests and forwards them to endpoints. */
 package org.micabarrow.serving;
--- a/src/test/java/org/micabarrow/serving/CrowdOfClientsTest.java
+++ b/src/test/java/org/micabarrow/serving/ConcurrentClientsTest.java
@@ -20,15 +20,15 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 
-/** An entry that says that it is ready accepts whoever connects, and answers each, however many come at once. */
-class CrowdOfClientsTest extends ServingFixture {
+/** Guards against a ready entry that does not accept or answer all clients when many connect at once. */
+class ConcurrentClientsTest extends ServingFixture {
 
     private static final int CLIENTS = 64;
 
-    /** Within which a client must be answered: the users' bound for connections to a ready entry. */
-    private static final int ANSWERED_MILLIS = 4_000;
+    /** How soon a client must get a response: the users' limit for connections to a ready entry. */
+    private static final int RESPONSE_TIMEOUT_MILLIS = 4_000;
 
-    /** As many as a large manifest of the users has. */
+    /** The number of routes in a large manifest of the users. */
     private static final int LARGE_ROUTES = 1_640;
 
     private static final int LARGE_MANIFESTS = 12;
@@ -39,54 +39,54 @@
 
     // -- clients
 
-    private static List<Socket> crowd(String entry) throws IOException {
+    private static List<Socket> connectClients(String entry) throws IOException {
         InetSocketAddress address = Addresses.parse(entry);
-        List<Socket> crowd = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
             Socket client = new Socket();
-            client.setSoTimeout(ANSWERED_MILLIS);
-            client.connect(address, ANSWERED_MILLIS);
+            client.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
+            client.connect(address, RESPONSE_TIMEOUT_MILLIS);
             client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
-            crowd.add(client);
+            sockets.add(client);
         }
-        return crowd;
+        return sockets;
     }
 
     private static String statusLine(Socket client) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int one = client.getInputStream().read();
-                one >= 0 && one != '\r';
-                one = client.getInputStream().read()) {
-            line.append((char) one);
+        for (int character = client.getInputStream().read();
+                character >= 0 && character != '\r';
+                character = client.getInputStream().read()) {
+            line.append((char) character);
         }
         return line.toString();
     }
 
-    /** Reads what each client is answered, and closes its connection. */
-    private static List<String> answers(List<Socket> crowd) throws IOException {
-        List<String> answers = new ArrayList<>();
-        for (Socket client : crowd) {
+    /** Reads the status line that each client receives, and closes the connections. */
+    private static List<String> statusLines(List<Socket> sockets) throws IOException {
+        List<String> statusLines = new ArrayList<>();
+        for (Socket client : sockets) {
             try (client) {
-                answers.add(statusLine(client));
+                statusLines.add(statusLine(client));
             }
         }
-        return answers;
+        return statusLines;
     }
 
-    private static void assertAnswered(List<Socket> crowd) throws IOException {
-        // Sixty-four at once are more than a plain endpoint takes, so that some are refused; none is left without an
-        // answer.
-        List<String> answers = answers(crowd);
-        long answered = answers.stream()
+    private static void assertAnswered(List<Socket> sockets) throws IOException {
+        // Sixty-four at once are more than a plain endpoint takes, so some requests are refused, but each must get a
+        // response.
+        List<String> statusLines = statusLines(sockets);
+        long completed = statusLines.stream()
                 .filter(line -> line.startsWith("HTTP/1.1 200") || line.startsWith("HTTP/1.1 503"))
                 .count();
-        assertEquals(CLIENTS, answered, answers::toString);
+        assertEquals(CLIENTS, completed, statusLines::toString);
     }
 
-    // -- an entry
+    // -- entry
 
     @Test
-    void shouldAcceptAndAnswerCrowdThatCameWhileItsTrafficStoodStill() throws Exception {
+    void shouldAnswerClientsThatConnectedWhileTrafficThreadWasPaused() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT_MILLIS);
         platform.add("plain-1", "plain", 0);
         serve(
@@ -94,52 +94,52 @@
                 new RetryBudget(0.2, 10),
                 (endpoint, then) -> then.accept(true),
                 new VersionTimes(NEVER_MILLIS, NEVER_MILLIS, NEVER_MILLIS));
-        CountDownLatch standsStill = new CountDownLatch(1);
-        CountDownLatch goesOn = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
+        CountDownLatch resumed = new CountDownLatch(1);
         worker.getIoThread().execute(() -> {
-            standsStill.countDown();
-            awaitUnchecked(goesOn);
+            paused.countDown();
+            awaitUnchecked(resumed);
         });
-        awaitUnchecked(standsStill);
-        List<Socket> crowd = crowd(clients());
-        goesOn.countDown();
-        assertAnswered(crowd);
+        awaitUnchecked(paused);
+        List<Socket> sockets = connectClients(clientAddress());
+        resumed.countDown();
+        assertAnswered(sockets);
     }
 
     @Test
-    void shouldAcceptCrowdFromTheMomentItIsReady() throws Exception {
+    void shouldAcceptManyClientsAsSoonAsReady() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT_MILLIS, LARGE_ROUTES);
         platform.add("plain-1", "plain", 0);
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         try {
-            Await.until("the entry is ready", () -> saysReady(settings));
-            assertAnswered(crowd(clients()));
+            Await.until("the entry is ready", () -> isReady(settings));
+            assertAnswered(connectClients(clientAddress()));
         } finally {
             entry.close();
         }
     }
 
     @Test
-    void shouldAcceptCrowdWhileLargeManifestsFollowEachOther() throws Exception {
+    void shouldAcceptManyClientsWhileLargeManifestsAreRead() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT_MILLIS);
         platform.add("plain-1", "plain", 0);
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         try {
-            Await.until("the entry is ready", () -> saysReady(settings));
+            Await.until("the entry is ready", () -> isReady(settings));
             for (int i = 0; i < LARGE_MANIFESTS; i++) {
                 platform.manifest(3 + i, "key-a", TIMEOUT_MILLIS, LARGE_ROUTES);
-                assertAnswered(crowd(clients()));
+                assertAnswered(connectClients(clientAddress()));
             }
         } finally {
             entry.close();
         }
     }
 
-    private static boolean saysReady(HostedSettings settings) {
+    private static boolean isReady(HostedSettings settings) {
         Optional<String> ready = settings.listen().ready();
         InetSocketAddress address = Addresses.parse(ready.orElseThrow());
         try (Socket platform = new Socket(address.getAddress(), address.getPort())) {
-            platform.setSoTimeout(ANSWERED_MILLIS);
+            platform.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
             platform.getOutputStream()
                     .write("GET / HTTP/1.1\r\nHost: h.example\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             return statusLine(platform).startsWith("HTTP/1.1 200");
@@ -151,8 +151,8 @@
 
     private static void awaitUnchecked(CountDownLatch latch) {
         try {
-            if (!latch.await(ANSWERED_MILLIS, TimeUnit.MILLISECONDS)) {
-                throw new AssertionError("nothing happened for " + ANSWERED_MILLIS + " ms");
+            if (!latch.await(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                throw new AssertionError("no event within " + RESPONSE_TIMEOUT_MILLIS + " ms");
             }
         } catch (InterruptedException e) {
             throw new AssertionError("interrupted", e);
--- /dev/null
+++ b/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
@@ -0,0 +1,107 @@
+package org.micabarrow.serving;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.micabarrow.crashes.CrashBook;
+import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.EndpointCrash;
+import org.micabarrow.crashes.LazyDigest;
+import org.micabarrow.crashes.RequestDigest;
+import org.micabarrow.routing.EndpointEntry;
+
+/** Checks how crashes of endpoints are detected, published and cleared. */
+class CrashDetectorTest {
+
+    private static final RequestDigest ONE = new RequestDigest("1".repeat(32));
+    private static final RequestDigest OTHER = new RequestDigest("2".repeat(32));
+    private static final EndpointEntry ENDPOINT =
+            EndpointEntry.of("e", "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1);
+
+    private final List<Consumer<Boolean>> probes = new ArrayList<>();
+    private final List<CrashNews> published = new ArrayList<>();
+    private final CrashBook book = new CrashBook(600_000, 100, () -> 8);
+    private long clockMillis = 1_000;
+    private int continued;
+    private final CrashDetector detector =
+            new CrashDetector(new Crashes(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
+
+    private static CrashNews crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
+        return new CrashNews.Crashed(new EndpointCrash("e", notBegun, begun));
+    }
+
+    @Test
+    void shouldPublishCrashWhenPortIsClosedAfterConnectionsBroke() {
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        detector.connectionBroke(ENDPOINT, OTHER, true, () -> continued++);
+        assertEquals(1, probes.size(), "one probe for all broken connections");
+        assertEquals(0, continued, "nothing continues before the probe completes");
+        probes.getFirst().accept(true);
+        assertEquals(2, continued);
+        assertEquals(List.of(crash(Set.of(ONE), Set.of(OTHER))), published);
+        assertEquals(1, book.known());
+    }
+
+    @Test
+    void shouldPublishNothingWhenEndpointListensOrInstanceIsUnresponsive() {
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        probes.getFirst().accept(false);
+        assertEquals(1, continued);
+        assertEquals(List.of(), published);
+        assertEquals(0, book.known());
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        assertEquals(2, probes.size(), "the next broken connection is probed again");
+    }
+
+    @Test
+    void shouldAddLaterRequestsWhenEndpointHasCrashed() {
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        probes.getFirst().accept(true);
+        detector.connectionBroke(ENDPOINT, OTHER, false, () -> continued++);
+        assertEquals(crash(Set.of(ONE, OTHER), Set.of()), published.getLast());
+        assertEquals(1, probes.size());
+    }
+
+    @Test
+    void shouldIncludeRequestsCancelledJustBeforeCrash() {
+        detector.recordCancelled(ENDPOINT, LazyDigest.of(OTHER), 100, false);
+        clockMillis += 300;
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        probes.getFirst().accept(true);
+        assertEquals(List.of(crash(Set.of(ONE, OTHER), Set.of())), published);
+    }
+
+    @Test
+    void shouldNotIncludeRequestsCancelledLongBeforeCrash() {
+        detector.recordCancelled(ENDPOINT, LazyDigest.of(OTHER), 100, false);
+        clockMillis += 1_001;
+        detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
+        probes.getFirst().accept(true);
+        assertEquals(List.of(crash(Set.of(ONE), Set.of())), published);
+    }
+
+    @Test
+    void shouldLimitRememberedBytesWhenManyRequestsAreCancelled() {
+        detector.recordCancelled(ENDPOINT, LazyDigest.of(OTHER), (1 << 20) - (1 << 10), false);
+        detector.recordCancelled(ENDPOINT, LazyDigest.of(OTHER), 1 << 20, false);
+        detector.recordCancelled(ENDPOINT, LazyDigest.of(ONE), 1, false);
+        RequestDigest third = new RequestDigest("3".repeat(32));
+        detector.connectionBroke(ENDPOINT, third, false, () -> continued++);
+        probes.getFirst().accept(true);
+        assertEquals(List.of(crash(Set.of(ONE, third), Set.of())), published);
+    }
+
+    @Test
+    void shouldPublishResponseOnlyWhenRequestWasSuspected() {
+        book.crashed(new EndpointCrash("a", Set.of(ONE), Set.of()), 0);
+        detector.onResponse(LazyDigest.of(OTHER), true);
+        assertEquals(List.of(), published);
+        detector.onResponse(LazyDigest.of(ONE), true);
+        assertEquals(List.of(new CrashNews.Cleared(ONE, true)), published);
+    }
+}
--- a/src/test/java/org/micabarrow/serving/LeavingAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/DrainingEndpointTest.java
@@ -21,17 +21,18 @@
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
 /**
- * An endpoint that says in its answers that it leaves.
+ * Guards against requests to an endpoint that states in its responses that it is draining.
  *
- * <p>Users saw requests reach an endpoint 2.1 and 3.3 s after it had told so. The store had gone away half a second before the endpoint
- * said in its entry that it leaves, and took that entry twelve seconds later. In between the endpoint said so in each of its answers,
- * which the entry passed on to clients while it went on sending to the endpoint. Cause: who leaves was learned from the store alone; of
- * the head of an answer only what decides about that one request was read. Evidence: the entry's lines of that day, in which the endpoint
- * has {@code leaving=false} until the store is back, and gets requests all the while.
+ * <p>Users saw requests reach an endpoint 2.1 and 3.3 s after it had begun to drain. The store had become unreachable
+ * half a second before the endpoint wrote its draining state, and accepted the record only twelve seconds later.
+ * Meanwhile the endpoint stated in each response that it was draining; the entry forwarded these responses but kept
+ * sending requests. Cause: the draining state was read from the store only; of a response head, the entry read only
+ * what concerned that one request. In the entry's log of that day, the endpoint has {@code leaving=false} and gets
+ * requests until the store is back.
  */
-class LeavingAnswerTest {
+class DrainingEndpointTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
     private static final long FIRST_START = 1_764_718_000_000L;
 
     private HostedSystem platform;
@@ -49,15 +50,15 @@
         platform.close();
     }
 
-    private HostedEntryProcess begin(HostedSettings settings, int endpoints) throws IOException {
+    private HostedEntryProcess startEntry(HostedSettings settings, int endpoints) throws IOException {
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("the endpoints", () -> entry.takesRequests() && entry.endpoints() == endpoints);
         return entry;
     }
 
-    private int ask(HostedSettings entry, String path) {
+    private int sendRequest(HostedSettings entry, String path) {
         String clients = entry.listen().clients().orElseThrow();
-        return client.call(HostedSystem.request(clients, path, "attempt-1"), WITHIN)
+        return client.call(HostedSystem.request(clients, path, "attempt-1"), TIMEOUT)
                 .toOptional()
                 .orElse(new HttpAnswer(0, Map.of(), new byte[0]))
                 .status();
@@ -67,19 +68,19 @@
         return platform.endpoint(endpoint).received().size();
     }
 
-    /** The endpoint to which an entry at rest sends: always the same of some that are alike. */
+    /** Returns the endpoint that an idle entry chooses, which is always the same among equal ones. */
     private String chosen(HostedSettings entry, String path, String... endpoints) {
         Map<String, Integer> before = new HashMap<>();
         Stream.of(endpoints).forEach(endpoint -> before.put(endpoint, received(endpoint)));
-        Await.until("an answer", () -> ask(entry, path) == 200);
+        Await.until("a response", () -> sendRequest(entry, path) == 200);
         return Stream.of(endpoints)
                 .filter(endpoint -> received(endpoint) > before.get(endpoint))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Has an endpoint say that it leaves, and answer once more. */
-    private void leave(HostedSettings entry, String path, String endpoint) {
+    /** Makes an endpoint drain, and lets it send one more response. */
+    private void drain(HostedSettings entry, String path, String endpoint) {
         platform.endpoint(endpoint).leave();
         assertEquals(endpoint, chosen(entry, path, endpoint));
     }
@@ -87,94 +88,97 @@
     private void assertServedWithout(HostedSettings entry, String path, String endpoint) {
         int before = received(endpoint);
         for (int request = 0; request < 20; request++) {
-            assertEquals(200, ask(entry, path));
+            assertEquals(200, sendRequest(entry, path));
         }
-        assertEquals(before, received(endpoint), "requests that reached the endpoint that leaves");
+        assertEquals(before, received(endpoint), "requests that reached the draining endpoint");
     }
 
     @Test
-    void shouldSendNothingMoreWhenAnswerSaysThatEndpointLeaves() throws Exception {
+    void shouldSendNothingMoreWhenResponseStatesDraining() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
         HostedSettings entry = platform.entry();
-        begin(entry, 2);
-        String leaver = chosen(entry, "/again/x", "plain-1", "plain-2");
+        startEntry(entry, 2);
+        String drainingEndpoint = chosen(entry, "/again/x", "plain-1", "plain-2");
         platform.store().silent(true);
-        leave(entry, "/again/x", leaver);
-        assertServedWithout(entry, "/again/x", leaver);
+        drain(entry, "/again/x", drainingEndpoint);
+        assertServedWithout(entry, "/again/x", drainingEndpoint);
     }
 
     @Test
-    void shouldSendNothingMoreWhenRefusalSaysThatEndpointLeaves() throws Exception {
+    void shouldSendNothingMoreWhenRefusalStatesDraining() throws Exception {
         platform.add("plain-1", "plain", 0);
         HostedSettings entry = platform.entry();
-        begin(entry, 1);
+        startEntry(entry, 1);
         platform.endpoint("plain-1").leave();
         platform.next(Behaviour.REFUSE);
-        assertEquals(503, ask(entry, "/once/x"));
+        assertEquals(503, sendRequest(entry, "/once/x"));
         int before = received("plain-1");
-        assertEquals(503, ask(entry, "/once/x"));
+        assertEquals(503, sendRequest(entry, "/once/x"));
         assertEquals(before, received("plain-1"));
     }
 
     @Test
-    void shouldNotComeBackWhenEarlierEntryIsReadAfterAnswer() throws Exception {
+    void shouldStayDrainingWhenOlderRecordIsReadAfterResponse() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
         HostedSettings settings = platform.entry();
-        HostedEntryProcess entry = begin(settings, 2);
-        String leaver = chosen(settings, "/again/x", "plain-1", "plain-2");
-        leave(settings, "/again/x", leaver);
-        platform.store().append("keyed.servers", leaver, "");
-        Await.until("the drop", () -> entry.endpoints() == 1);
-        platform.enter(leaver, "plain", 0, "ready");
-        Await.until("the late entry", () -> entry.endpoints() == 2);
-        assertServedWithout(settings, "/again/x", leaver);
+        HostedEntryProcess entry = startEntry(settings, 2);
+        String drainingEndpoint = chosen(settings, "/again/x", "plain-1", "plain-2");
+        drain(settings, "/again/x", drainingEndpoint);
+        platform.store().append("keyed.servers", drainingEndpoint, "");
+        Await.until("the removal", () -> entry.endpoints() == 1);
+        platform.enter(drainingEndpoint, "plain", 0, "ready");
+        Await.until("the late record", () -> entry.endpoints() == 2);
+        assertServedWithout(settings, "/again/x", drainingEndpoint);
     }
 
     @Test
-    void shouldSendAgainWhenEndpointIsBornAnew() throws Exception {
+    void shouldSendAgainWhenEndpointRestarts() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.startedAt("plain-1", FIRST_START);
         platform.enter("plain-1", "plain", 0, "ready");
         HostedSettings settings = platform.entry();
-        begin(settings, 1);
-        leave(settings, "/again/x", "plain-1");
-        assertEquals(503, ask(settings, "/again/x"));
+        startEntry(settings, 1);
+        drain(settings, "/again/x", "plain-1");
+        assertEquals(503, sendRequest(settings, "/again/x"));
         platform.startAgain("plain-1", FIRST_START + 5_000, Ending.CRASH);
         platform.enter("plain-1", "plain", 0, "ready");
-        Await.until("an answer by the new start", () -> ask(settings, "/again/x") == 200);
+        Await.until("a response of the new process", () -> sendRequest(settings, "/again/x") == 200);
     }
 
-    /** An entry that has no answer of the endpoint itself, be it that others have sent there. */
+    /**
+     * An entry must also learn the state from the agent, if it has no response of the endpoint itself because only
+     * other entries sent requests there.
+     */
     @Test
-    void shouldSendNothingMoreWhenAgentHearsThatEndpointLeaves() throws Exception {
+    void shouldSendNothingMoreWhenAgentReportsDraining() throws Exception {
         platform.add("model-1", "models", 1);
         platform.add("model-2", "models", 1);
-        HostedSettings beside = platform.agent("model-1");
-        HostedAgentProcess.start(beside);
-        HostedSettings settings = platform.entryAsking(beside);
-        begin(settings, 2);
+        HostedSettings agent = platform.agent("model-1");
+        HostedAgentProcess.start(agent);
+        HostedSettings settings = platform.entryAsking(agent);
+        startEntry(settings, 2);
         platform.store().silent(true);
         platform.endpoint("model-1").leaveByReportsOnly();
-        Await.until("the agent's news", () -> {
+        Await.until("the agent's report", () -> {
             int before = received("model-1");
             for (int request = 0; request < 10; request++) {
-                ask(settings, "/stream/x");
+                sendRequest(settings, "/stream/x");
             }
             return received("model-1") == before;
         });
     }
 
     @Test
-    void shouldSendToEndpointWithAgentWhenItStays() throws Exception {
+    void shouldSendToEndpointWithAgentUntilItDrains() throws Exception {
         platform.add("model-1", "models", 1);
-        HostedSettings beside = platform.agent("model-1");
-        HostedAgentProcess.start(beside);
-        HostedSettings settings = platform.entryAsking(beside);
-        begin(settings, 1);
-        Await.until("an answer", () -> ask(settings, "/stream/x") == 200);
+        HostedSettings agent = platform.agent("model-1");
+        HostedAgentProcess.start(agent);
+        HostedSettings settings = platform.entryAsking(agent);
+        startEntry(settings, 1);
+        Await.until("a response", () -> sendRequest(settings, "/stream/x") == 200);
         platform.endpoint("model-1").leaveByReportsOnly();
-        Await.until("a refusal", () -> ask(settings, "/stream/x") == 503);
+        Await.until("a refusal", () -> sendRequest(settings, "/stream/x") == 503);
     }
 }
--- a/src/test/java/org/micabarrow/serving/LimitTest.java
+++ b/src/test/java/org/micabarrow/serving/EndpointRateLimitTest.java
@@ -11,28 +11,28 @@
 import org.micabarrow.Await;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** Guards against sending an endpoint more requests a second than it says that it takes. */
-class LimitTest extends ServingFixture {
+/** Guards against sending an endpoint more requests per second than its rate limit allows. */
+class EndpointRateLimitTest extends ServingFixture {
 
     private static final long WINDOW_MILLIS = 4_000;
-    private static final long HEEDED_AFTER_MILLIS = 3_000;
+    private static final long APPLIED_AFTER_MILLIS = 3_000;
     private static final long STEP_MILLIS = 100;
 
-    /** When the endpoint with a limit got its requests, on the clock that the test moves. */
+    /** When the rate-limited endpoint received its requests, by the test clock. */
     private final List<Long> arrivals = new ArrayList<>();
 
     @BeforeEach
     void start() {
-        onePlainEndpoint();
+        addPlainEndpoint();
     }
 
-    /** Ten requests a second; returns their statuses. */
-    private List<Integer> askFor(long millis) {
+    /** Sends ten requests per second, and returns their statuses. */
+    private List<Integer> sendRequestsFor(long millis) {
         List<Integer> statuses = new ArrayList<>();
         for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
             clockMillis.addAndGet(STEP_MILLIS);
             int before = received("plain-1");
-            statuses.add(ask("/once/x").status());
+            statuses.add(sendRequest("/once/x").status());
             if (received("plain-1") > before) {
                 arrivals.add(clockMillis.get());
             }
@@ -40,7 +40,7 @@
         return statuses;
     }
 
-    private long mostInWindow(long fromMillis) {
+    private long maxInWindow(long fromMillis) {
         return arrivals.stream()
                 .filter(start -> start >= fromMillis)
                 .mapToLong(start -> arrivals.stream()
@@ -51,14 +51,14 @@
     }
 
     @Test
-    void shouldSendNoMoreThanEndpointTakesWhenItNamesLimit() throws IOException {
+    void shouldStayWithinRateLimitWhenEndpointNamesOne() throws IOException {
         serveWithoutVersions();
-        askFor(2_000);
+        sendRequestsFor(2_000);
         platform.endpoint("plain-1").limit(1);
-        long namedAt = clockMillis.get();
-        List<Integer> statuses = askFor(30_000);
-        long most = mostInWindow(namedAt + HEEDED_AFTER_MILLIS);
-        assertTrue(most <= 1.5 * WINDOW_MILLIS / 1_000 + 5, most + " requests in four seconds");
+        long limitedAt = clockMillis.get();
+        List<Integer> statuses = sendRequestsFor(30_000);
+        long max = maxInWindow(limitedAt + APPLIED_AFTER_MILLIS);
+        assertTrue(max <= 1.5 * WINDOW_MILLIS / 1_000 + 5, max + " requests in four seconds");
         long served = statuses.stream().filter(status -> status == 200).count();
         assertEquals(
                 statuses.size() - served,
@@ -67,40 +67,40 @@
     }
 
     @Test
-    void shouldServeElsewhereWhatIsOverLimit() throws IOException {
+    void shouldServeElsewhereWhenOverRateLimit() throws IOException {
         platform.add("plain-2", "plain", 0);
         serveWithoutVersions();
         Await.until("the endpoints", () -> views.view().endpoints().size() == 2);
         platform.endpoint("plain-1").limit(0.5);
-        long namedAt = clockMillis.get();
-        List<Integer> statuses = askFor(20_000);
+        long limitedAt = clockMillis.get();
+        List<Integer> statuses = sendRequestsFor(20_000);
         assertEquals(
                 statuses.size(),
                 statuses.stream().filter(status -> status == 200).count());
-        long most = mostInWindow(namedAt + HEEDED_AFTER_MILLIS);
-        assertTrue(most <= 0.5 * 1.5 * WINDOW_MILLIS / 1_000 + 5, most + " requests in four seconds");
+        long max = maxInWindow(limitedAt + APPLIED_AFTER_MILLIS);
+        assertTrue(max <= 0.5 * 1.5 * WINDOW_MILLIS / 1_000 + 5, max + " requests in four seconds");
     }
 
     @Test
-    void shouldTellClientWhenToComeBackWhenOverLimit() throws IOException {
+    void shouldSendRetryDelayWhenOverRateLimit() throws IOException {
         serveWithoutVersions();
         platform.endpoint("plain-1").limit(0.1);
-        assertEquals(200, ask("/once/x").status());
-        HttpAnswer refused = ask("/once/x");
+        assertEquals(200, sendRequest("/once/x").status());
+        HttpAnswer refused = sendRequest("/once/x");
         assertEquals(503, refused.status());
         assertTrue(Double.parseDouble(refused.headers().get("Retry-After")) > 0);
         assertEquals(1, received("plain-1"));
     }
 
     @Test
-    void shouldSendAsBeforeWhenEndpointNamesNoLimitAnyMore() throws IOException {
+    void shouldSendAsBeforeWhenRateLimitIsRemoved() throws IOException {
         serveWithoutVersions();
         platform.endpoint("plain-1").limit(50);
-        askFor(5_000);
+        sendRequestsFor(5_000);
         platform.endpoint("plain-1").endLimit();
-        askFor(60_000);
+        sendRequestsFor(60_000);
         int before = arrivals.size();
-        assertEquals(List.of(200), askFor(1_000).stream().distinct().toList());
+        assertEquals(List.of(200), sendRequestsFor(1_000).stream().distinct().toList());
         assertEquals(before + 10, arrivals.size());
     }
 }
--- a/src/test/java/org/micabarrow/serving/RoomLineTest.java
+++ b/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
@@ -8,38 +8,38 @@
 import org.micabarrow.transport.HttpCaller;
 import org.xnio.XnioWorker;
 
-/** When the line of requests that wait for room is looked through. */
-class RoomLineTest {
+/** Checks that the wait queue keeps being polled. */
+class EntryWaitQueueTest {
 
-    /** Decides nothing but a hang. */
-    private static final long LONGEST_SECONDS = 10;
+    /** Limits only tests that hang. */
+    private static final long TIMEOUT_SECONDS = 10;
 
-    /** Fails each time that room is looked for, and tells when its time is over. */
-    private record Failing(CompletableFuture<Void> tried, CompletableFuture<Void> over) implements Waiter {
+    /** Throws on each attempt to start, and records when its wait has expired. */
+    private record Failing(CompletableFuture<Void> tried, CompletableFuture<Void> expired) implements Waiter {
 
         @Override
         public boolean tryStart() {
             tried.complete(null);
-            throw new IllegalStateException("a fault of the program");
+            throw new IllegalStateException("test failure");
         }
 
         @Override
         public void tooLate() {
-            over.complete(null);
+            expired.complete(null);
         }
     }
 
     @Test
-    void shouldLookOnWhenOneLookFails() throws Exception {
-        XnioWorker worker = HttpCaller.worker("room-line", 1);
+    void shouldKeepPollingWhenOnePollFails() throws Exception {
+        XnioWorker worker = HttpCaller.worker("wait-queue", 1);
         try {
             AtomicLong clockMillis = new AtomicLong();
-            RoomLine line = new RoomLine(clockMillis::get);
+            EntryWaitQueue queue = new EntryWaitQueue(clockMillis::get);
             Failing failing = new Failing(new CompletableFuture<>(), new CompletableFuture<>());
-            worker.getIoThread().execute(() -> line.join(0, 0, failing, worker.getIoThread()));
-            failing.tried().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+            worker.getIoThread().execute(() -> queue.join(0, 0, failing, worker.getIoThread()));
+            failing.tried().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             clockMillis.incrementAndGet();
-            failing.over().get(LONGEST_SECONDS, TimeUnit.SECONDS);
+            failing.expired().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
             worker.shutdownNow();
         }
--- a/src/test/java/org/micabarrow/serving/HeadVerdictTest.java
+++ b/src/test/java/org/micabarrow/serving/HeadClassificationTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.micabarrow.serving.EndpointProtocol.AnswerHead;
 
-/** What heads of answers mean. */
-class HeadVerdictTest {
+/** Checks the classification of response heads. */
+class HeadClassificationTest {
 
     @ParameterizedTest
     @CsvSource({
-        // what the head states, status, repeatable, answer begun, verdict
+        // what the head states, status, repeatable, response started, classification
         "own signed,             200, false, false, ANSWER",
         "own signed,             404, false, false, ANSWER",
         "own signed,             500, false, false, ERROR",
@@ -36,8 +36,8 @@
         "own signed misdirected, 421, true,  false, MISDIRECTED",
         "notRun misdirected,     421, true,  false, NOT_RUN"
     })
-    void shouldJudgeByWhatHeadStates(
-            String states, int status, boolean repeatable, boolean begun, HeadVerdict expected) {
+    void shouldClassifyByWhatHeadStates(
+            String states, int status, boolean repeatable, boolean responseStarted, HeadClassification expected) {
         AnswerHead head = new AnswerHead(
                 status,
                 states.contains("own"),
@@ -49,6 +49,6 @@
                 OptionalLong.empty(),
                 OptionalDouble.empty(),
                 Map.of());
-        assertEquals(expected, HeadVerdict.of(head, repeatable, begun));
+        assertEquals(expected, HeadClassification.classify(head, repeatable, responseStarted));
     }
 }
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -41,16 +41,19 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** The whole path of an entry on the users' platform, against stand-ins over real sockets. */
+/** Tests an entry end to end on the users' platform, against stand-ins over real sockets. */
 class HostedEntryTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-    /** The key of the manifest with patient routes, so that an answer to it shows that this manifest is in force. */
-    private static final String PATIENT_KEY = "key-b";
+    /**
+     * The key of the manifest with the long timeouts, so that a successful request with it shows that this manifest is
+     * active.
+     */
+    private static final String LONG_TIMEOUT_KEY = "key-b";
 
-    /** Six times as long as a test waits: no time-out ends a request in its place. */
-    private static final String PATIENT_MILLIS = "60000";
+    /** Six times as long as a test waits, so that no timeout ends a request before the test does. */
+    private static final String LONG_TIMEOUT_MILLIS = "60000";
 
     private HostedSystem platform;
     private HttpCaller caller;
@@ -69,7 +72,7 @@
         platform.close();
     }
 
-    // -- what endpoints do
+    // -- endpoints
 
     @ParameterizedTest
     @CsvSource({
@@ -88,57 +91,57 @@
         "OTHER_ANSWER,  /again/x, 200, 2",
         "UNSIGNED,      /again/x, 200, 2"
     })
-    void shouldSendAgainOnlyWhatMayRunAgain(Behaviour first, String path, int status, int sendings) throws Exception {
+    void shouldRetryOnlyRequestsThatMayRunAgain(Behaviour first, String path, int status, int attempts) throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
-        begin(2);
+        startEntry(2);
         platform.next(first);
-        HttpAnswer answer = ask(path, Map.of());
-        assertEquals(status, answer.status(), () -> "received: " + received());
-        assertEquals(sendings, received().size());
+        HttpAnswer response = sendRequest(path, Map.of());
+        assertEquals(status, response.status(), () -> "received: " + received());
+        assertEquals(attempts, received().size());
     }
 
     @Test
-    void shouldAskEndpointNoMoreWhenAnotherIsAtItsAddress() throws Exception {
+    void shouldAvoidEndpointWhenAnotherIsAtItsAddress() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
-        begin(2);
+        startEntry(2);
         platform.next(Behaviour.MISDIRECT);
-        HttpAnswer first = ask("/once/x", Map.of());
-        HttpAnswer second = ask("/once/x", Map.of());
+        HttpAnswer first = sendRequest("/once/x", Map.of());
+        HttpAnswer second = sendRequest("/once/x", Map.of());
         assertEquals(200, first.status());
         assertEquals(
                 first.headers().get("Instance-Id"),
                 second.headers().get("Instance-Id"),
-                "the one that was not there is left out for the second request");
+                "the misdirected endpoint is not used for the second request");
         assertEquals(3, received().size());
     }
 
     @Test
-    void shouldNotSendUnrepeatableRequestTwiceWhenItsConnectionBreaks() throws Exception {
+    void shouldNotRetryNonIdempotentRequestWhenItsConnectionBreaks() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
-        begin(2);
+        startEntry(2);
         platform.next(Behaviour.RESET);
-        assertEquals(502, ask("/once/x", Map.of()).status());
+        assertEquals(502, sendRequest("/once/x", Map.of()).status());
         assertEquals(1, received().size());
     }
 
     @Test
-    void shouldNotSayNotRunWhenRequestRanAndFailed() throws Exception {
+    void shouldNotReportNotRunWhenRequestRanAndFailed() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
+        startEntry(1);
         platform.next(Behaviour.FAIL);
-        assertEquals(500, ask("/again/x", Map.of()).status(), "no other endpoint: the answer is passed on");
+        assertEquals(500, sendRequest("/again/x", Map.of()).status(), "no other endpoint: the response is forwarded");
         platform.next(Behaviour.RESET);
-        assertEquals(502, ask("/again/x", Map.of()).status(), "no other endpoint, and it may have run");
+        assertEquals(502, sendRequest("/again/x", Map.of()).status(), "no other endpoint, and it may have run");
     }
 
     @Test
-    void shouldPassRequestOnUnchangedWhenAnswering() throws Exception {
+    void shouldForwardRequestUnchanged() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
-        ask("/once/a%20b//c?q=%2F&q=2", Map.of("X-Other", "kept", "Tenant", "forged", "Expect-Instance", "forged"));
+        startEntry(1);
+        sendRequest("/once/a%20b//c?q=%2F&q=2", Map.of("X-Other", "kept", "Tenant", "forged", "Expect-Instance", "forged"));
         Received received = received().getFirst();
         assertEquals("/once/a%20b//c?q=%2F&q=2", received.target());
         assertEquals("a body", received.body());
@@ -149,62 +152,62 @@
     }
 
     @Test
-    void shouldGoOnAfterLastWholeEventWhenStreamBreaks() throws Exception {
+    void shouldResumeAfterLastCompleteEventWhenStreamBreaks() throws Exception {
         platform.add("model-1", "models", 1);
         platform.add("model-2", "models", 1);
-        begin(2);
+        startEntry(2);
         platform.next(Behaviour.CUT);
-        HttpAnswer answer = ask("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
-        String body = new String(answer.body(), StandardCharsets.UTF_8);
+        HttpAnswer response = sendRequest("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
+        String body = new String(response.body(), StandardCharsets.UTF_8);
         assertEquals(
                 List.of("id: 1", "id: 2", "id: 3"),
                 body.lines().filter(line -> line.startsWith("id:")).toList());
     }
 
     @Test
-    void shouldLookBrokenWhenStreamBreaksTooOften() throws Exception {
+    void shouldBreakResponseOffWhenStreamBreaksTooOften() throws Exception {
         platform.add("model-1", "models", 1);
         platform.add("model-2", "models", 1);
-        begin(2);
+        startEntry(2);
         platform.next(Behaviour.CUT);
         platform.next(Behaviour.CUT);
         assertEquals(
                 0,
-                ask("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"))
+                sendRequest("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"))
                         .status());
     }
 
     @Test
-    void shouldGoOnAtAnotherEndpointWhenInstanceFallsSilent() throws Exception {
-        platform.manifest(2, "key-a", WITHIN.toMillis());
+    void shouldSwitchEndpointWhenInstanceBecomesUnresponsive() throws Exception {
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
         platform.add("model-1", "models", 1);
         platform.next(Behaviour.HANG);
         InetAddress instance = Addresses.parse(platform.address("model-1")).getAddress();
         try (DatagramSocket agent = new DatagramSocket(settings.peerPort(), instance)) {
-            begin(1);
-            tellLoad(agent);
+            startEntry(1);
+            replyWithLoad(agent);
             Map<String, String> headers = Map.of("Model", "model-a", "Token-Count", "100,20", "Deadline-Ms", "9000");
-            CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> ask("/stream/x", headers));
+            CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> sendRequest("/stream/x", headers));
             waitUntil(() -> platform.endpoint("model-1").hanging() == 1);
             platform.add("model-2", "models", 1);
-            // The agent answers no more questions, and the endpoint sends nothing.
+            // The agent replies to no further queries, and the endpoint sends nothing.
             assertEquals(
-                    200, answer.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS).status());
+                    200, response.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).status());
             waitUntil(() -> platform.endpoint("model-1").hanging() == 0);
         }
     }
 
-    /** Answers one question as an agent would whose endpoint rests. */
-    private static void tellLoad(DatagramSocket agent) throws IOException {
-        DatagramPacket question = new DatagramPacket(new byte[512], 512);
-        agent.receive(question);
-        int number = ByteBuffer.wrap(question.getData()).getInt();
-        ByteBuffer told = ByteBuffer.allocate(4 * Integer.BYTES + 2 * Long.BYTES + 3);
-        told.putInt(number).putInt(0).putInt(0).putInt(Integer.MAX_VALUE).putLong(1);
-        agent.send(new DatagramPacket(told.array(), told.capacity(), question.getSocketAddress()));
+    /** Replies to one query as the agent of an idle endpoint would. */
+    private static void replyWithLoad(DatagramSocket agent) throws IOException {
+        DatagramPacket query = new DatagramPacket(new byte[512], 512);
+        agent.receive(query);
+        int number = ByteBuffer.wrap(query.getData()).getInt();
+        ByteBuffer reply = ByteBuffer.allocate(4 * Integer.BYTES + 2 * Long.BYTES + 3);
+        reply.putInt(number).putInt(0).putInt(0).putInt(Integer.MAX_VALUE).putLong(1);
+        agent.send(new DatagramPacket(reply.array(), reply.capacity(), query.getSocketAddress()));
     }
 
-    // -- what clients do
+    // -- clients
 
     @ParameterizedTest
     @CsvSource({
@@ -213,36 +216,36 @@
         "h.example, /once/x, key-b, 401",
         "h.example, /once/x, '', 401"
     })
-    void shouldRefuseWhatNoManifestAllows(String host, String path, String key, int status) throws Exception {
+    void shouldRefuseRequestsThatManifestDoesNotAllow(String host, String path, String key, int status) throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
+        startEntry(1);
         Map<String, String> headers = new HashMap<>(Map.of("Host", host, "Key", key));
-        assertEquals(status, ask(path, headers).status());
+        assertEquals(status, sendRequest(path, headers).status());
         assertEquals(0, received().size());
     }
 
     @Test
-    void shouldRefuseBodyAboveManifestsLimitWhenReading() throws Exception {
+    void shouldRefuseBodyAboveManifestLimit() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
-        assertEquals(413, ask("/once/x", Map.of(), "x".repeat(1_001)).status());
+        startEntry(1);
+        assertEquals(413, sendRequest("/once/x", Map.of(), "x".repeat(1_001)).status());
         assertEquals(0, received().size());
     }
 
     @Test
-    void shouldCancelAtEndpointWhenClientLeaves() throws Exception {
+    void shouldCancelAtEndpointWhenClientDisconnects() throws Exception {
         platform.add("plain-1", "plain", 0);
-        HostedEntryProcess entry = beginPatient();
+        HostedEntryProcess entry = startWithLongTimeouts();
         platform.next(Behaviour.HANG);
-        HttpCaller leaving = HttpCaller.start("leaving", 1);
-        HttpCall call = call("/again/x", Map.of("Key", PATIENT_KEY, "Deadline-Ms", PATIENT_MILLIS), "a body");
-        assertTrue(leaving.call(call, Duration.ofMillis(300)).cause().isPresent());
-        leaving.close();
+        HttpCaller disconnectingClient = HttpCaller.start("disconnecting", 1);
+        HttpCall call = call("/again/x", Map.of("Key", LONG_TIMEOUT_KEY, "Deadline-Ms", LONG_TIMEOUT_MILLIS), "a body");
+        assertTrue(disconnectingClient.call(call, Duration.ofMillis(300)).cause().isPresent());
+        disconnectingClient.close();
         waitUntil(() -> entry.open() == 0);
         waitUntil(() -> platform.endpoint("plain-1").hanging() == 0);
     }
 
-    /** How a client sends its request, and how it leaves. */
+    /** Combines each way to send a body with each way to disconnect. */
     @ParameterizedTest
     @CsvSource({
         "NONE,    CLOSE",
@@ -258,25 +261,27 @@
         "CHUNKED, HALF_CLOSE",
         "CHUNKED, RESET"
     })
-    void shouldCancelAtEndpointWhenClientLeavesWhateverItsBody(Body body, Leaving leaving) throws Exception {
+    void shouldCancelAtEndpointWhenClientDisconnectsAfterAnyBody(Body body, Disconnect disconnect) throws Exception {
         platform.add("plain-1", "plain", 0);
-        HostedEntryProcess entry = beginPatient();
+        HostedEntryProcess entry = startWithLongTimeouts();
         platform.next(Behaviour.HANG);
         InetSocketAddress clients = Addresses.parse(settings.listen().clients().orElseThrow());
         try (Socket client = new Socket(clients.getAddress(), clients.getPort())) {
-            String head = "POST /again/x HTTP/1.1\r\nHost: h.example\r\nKey: " + PATIENT_KEY
-                    + "\r\nAttempt-Id: a\r\nDeadline-Ms: " + PATIENT_MILLIS + "\r\n";
+            String head = "POST /again/x HTTP/1.1\r\nHost: h.example\r\nKey: " + LONG_TIMEOUT_KEY
+                    + "\r\nAttempt-Id: a\r\nDeadline-Ms: " + LONG_TIMEOUT_MILLIS + "\r\n";
             client.getOutputStream().write((head + body.first).getBytes(StandardCharsets.US_ASCII));
             waitUntil(() -> entry.open() == 1);
             client.getOutputStream().write(body.rest.getBytes(StandardCharsets.US_ASCII));
             waitUntil(() -> platform.endpoint("plain-1").hanging() == 1);
-            leaving.leave(client);
+            disconnect.apply(client);
             waitUntil(() -> entry.open() == 0);
             waitUntil(() -> platform.endpoint("plain-1").hanging() == 0);
         }
     }
 
-    /** The end of a request's head and its body, and what of it is sent only when the entry has seen the first part. */
+    /**
+     * The end of a request's head and its body: what is sent first, and what is sent once the entry has received that.
+     */
     private enum Body {
         NONE("\r\n", ""),
         AT_ONCE("Content-Length: 6\r\n\r\na body", ""),
@@ -292,18 +297,18 @@
         }
     }
 
-    /** How a client leaves. */
-    private enum Leaving {
+    /** How a client disconnects. */
+    private enum Disconnect {
         CLOSE,
         HALF_CLOSE,
         RESET;
 
-        private void leave(Socket client) throws IOException {
+        private void apply(Socket client) throws IOException {
             switch (this) {
                 case CLOSE -> client.close();
                 case HALF_CLOSE -> client.shutdownOutput();
                 case RESET -> {
-                    // Without lingering a close resets the connection.
+                    // With a linger time of 0, close() resets the connection.
                     client.setSoLinger(true, 0);
                     client.close();
                 }
@@ -311,17 +316,17 @@
         }
     }
 
-    // -- stopping
+    // -- shutdown
 
     @Test
-    void shouldCloseRestingConnectionsWhenStopping() throws Exception {
+    void shouldCloseIdleConnectionsWhenStopping() throws Exception {
         platform.add("plain-1", "plain", 0);
-        HostedEntryProcess entry = begin(1);
+        HostedEntryProcess entry = startEntry(1);
         InetSocketAddress clients = Addresses.parse(settings.listen().clients().orElseThrow());
-        try (Socket resting = new Socket(clients.getAddress(), clients.getPort())) {
-            resting.setSoTimeout((int) WITHIN.toMillis());
-            resting.getOutputStream().write("GET /none HTTP/1.1\r\nHost: h.example\r\n\r\n".getBytes());
-            assertTrue(resting.getInputStream().read() >= 0, "an answer, after which the connection rests");
+        try (Socket idle = new Socket(clients.getAddress(), clients.getPort())) {
+            idle.setSoTimeout((int) TIMEOUT.toMillis());
+            idle.getOutputStream().write("GET /none HTTP/1.1\r\nHost: h.example\r\n\r\n".getBytes());
+            assertTrue(idle.getInputStream().read() >= 0, "a response, after which the connection is idle");
             Thread stopping = new Thread(() -> {
                 try {
                     entry.close();
@@ -331,51 +336,51 @@
             });
             stopping.start();
             waitUntil(() -> !entry.takesRequests());
-            assertEquals(200, ask("/once/x", Map.of()).status(), "requests are still served at first");
-            resting.getInputStream().readAllBytes();
+            assertEquals(200, sendRequest("/once/x", Map.of()).status(), "requests are still served at first");
+            idle.getInputStream().readAllBytes();
             stopping.join();
         }
-        assertEquals(0, ask("/once/x", Map.of()).status(), "then nothing takes them");
+        assertEquals(0, sendRequest("/once/x", Map.of()).status(), "then none is accepted");
     }
 
-    // -- what operators do
+    // -- operators
 
     @Test
-    void shouldRefuseKeyWhenManifestTakesItAway() throws Exception {
+    void shouldRefuseKeyWhenManifestRemovesIt() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
-        assertEquals(200, ask("/once/x", Map.of()).status());
+        startEntry(1);
+        assertEquals(200, sendRequest("/once/x", Map.of()).status());
         platform.manifest(2, "key-b", 2_000);
-        waitUntil(() -> ask("/once/x", Map.of()).status() == 401);
+        waitUntil(() -> sendRequest("/once/x", Map.of()).status() == 401);
     }
 
     @Test
     void shouldKeepLastManifestWhenNewOneCannotBeRead() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
+        startEntry(1);
         platform.store().append("keyed.op", "config", "{\"version\":3}");
         platform.add("plain-2", "plain", 0);
-        assertEquals(200, ask("/once/x", Map.of()).status());
+        assertEquals(200, sendRequest("/once/x", Map.of()).status());
     }
 
     @Test
-    void shouldSendNothingToEndpointThatLeaves() throws Exception {
+    void shouldSendNothingToDrainingEndpoint() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
+        startEntry(1);
         platform.enter("plain-1", "plain", 0, "draining");
-        waitUntil(() -> ask("/once/x", Map.of()).status() == 503);
+        waitUntil(() -> sendRequest("/once/x", Map.of()).status() == 503);
         int before = received().size();
-        HttpAnswer refused = ask("/once/x", Map.of());
+        HttpAnswer refused = sendRequest("/once/x", Map.of());
         assertEquals(503, refused.status());
         assertTrue(Optional.ofNullable(refused.headers().get("Retry-After")).isPresent());
         assertEquals(before, received().size());
     }
 
     @Test
-    void shouldServeWithTheOthersWhenAnotherWriterSpoilsEntries() throws Exception {
+    void shouldServeFromOtherEndpointsWhenAnotherWriterCorruptsRecords() throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
-        HostedEntryProcess entry = begin(2);
+        HostedEntryProcess entry = startEntry(2);
         HostedStoreStandin store = platform.store();
         store.appendRaw("keyed.servers", new byte[0]);
         store.appendRaw("keyed.servers", new byte[] {9, 'a'});
@@ -383,7 +388,7 @@
         store.append("keyed.servers", "other-1", "{\"service\":\"plain\",\"address\":\"nowhere\",\"state\":\"ready\"}");
         waitUntil(() -> entry.endpoints() == 1);
         for (int request = 0; request < 4; request++) {
-            assertEquals(200, ask("/once/x", Map.of()).status());
+            assertEquals(200, sendRequest("/once/x", Map.of()).status());
         }
         assertEquals(List.of(), platform.endpoint("plain-1").received());
         platform.enter("plain-1", "plain", 0, "ready");
@@ -391,26 +396,26 @@
     }
 
     @Test
-    void shouldGoOnServingWhenStoreRefuses() throws Exception {
+    void shouldKeepServingWhenStoreRefuses() throws Exception {
         platform.add("plain-1", "plain", 0);
-        begin(1);
+        startEntry(1);
         platform.store().refuse(Optional.of(503));
-        assertEquals(200, ask("/once/x", Map.of()).status());
+        assertEquals(200, sendRequest("/once/x", Map.of()).status());
     }
 
-    // -- parts
+    // -- helpers
 
-    private HostedEntryProcess begin(int endpoints) throws Exception {
+    private HostedEntryProcess startEntry(int endpoints) throws Exception {
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         waitUntil(() -> entry.takesRequests() && entry.endpoints() == endpoints);
         return entry;
     }
 
-    /** Begins with one endpoint and routes whose time-out is far longer than any wait of a test. */
-    private HostedEntryProcess beginPatient() throws Exception {
-        platform.manifest(2, PATIENT_KEY, Long.parseLong(PATIENT_MILLIS));
-        HostedEntryProcess entry = begin(1);
-        waitUntil(() -> ask("/again/x", Map.of("Key", PATIENT_KEY)).status() == 200);
+    /** Starts an entry with one endpoint and with routes whose timeout is far longer than any wait of a test. */
+    private HostedEntryProcess startWithLongTimeouts() throws Exception {
+        platform.manifest(2, LONG_TIMEOUT_KEY, Long.parseLong(LONG_TIMEOUT_MILLIS));
+        HostedEntryProcess entry = startEntry(1);
+        waitUntil(() -> sendRequest("/again/x", Map.of("Key", LONG_TIMEOUT_KEY)).status() == 200);
         waitUntil(() -> entry.open() == 0);
         return entry;
     }
@@ -431,20 +436,20 @@
         return new HttpCall(Step.READ, "POST", uri, Optional.of(path), headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer ask(String path, Map<String, String> more) {
-        return ask(path, more, "a body");
+    private HttpAnswer sendRequest(String path, Map<String, String> more) {
+        return sendRequest(path, more, "a body");
     }
 
-    private HttpAnswer ask(String path, Map<String, String> more, String body) {
-        return caller.call(call(path, more, body), WITHIN)
+    private HttpAnswer sendRequest(String path, Map<String, String> more, String body) {
+        return caller.call(call(path, more, body), TIMEOUT)
                 .toOptional()
                 .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
     }
 
     private static void waitUntil(BooleanSupplier condition) {
-        long until = System.nanoTime() + WITHIN.toNanos();
+        long until = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "the condition did not come true");
+            assertTrue(System.nanoTime() < until, "timed out waiting for the condition");
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
         }
     }
--- a/src/test/java/org/micabarrow/serving/AbsurdNumbersTest.java
+++ b/src/test/java/org/micabarrow/serving/InvalidHeaderValuesTest.java
@@ -18,10 +18,13 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** Clients that claim what cannot be: they are answered, and harm nobody. */
-class AbsurdNumbersTest {
+/**
+ * Guards against clients that send impossible numbers in headers: they get a response, and other clients are served as
+ * usual.
+ */
+class InvalidHeaderValuesTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private HostedSystem platform;
     private HttpCaller caller;
@@ -43,12 +46,12 @@
         platform.close();
     }
 
-    private int status(String id, Map<String, String> claims) {
+    private int status(String id, Map<String, String> headers) {
         HttpCall call = HostedSystem.request(settings.listen().clients().orElseThrow(), "/stream/x", id);
-        for (Map.Entry<String, String> claim : claims.entrySet()) {
-            call = call.withHeader(claim.getKey(), claim.getValue());
+        for (Map.Entry<String, String> header : headers.entrySet()) {
+            call = call.withHeader(header.getKey(), header.getValue());
         }
-        return caller.call(call, WITHIN).toOptional().map(HttpAnswer::status).orElse(0);
+        return caller.call(call, TIMEOUT).toOptional().map(HttpAnswer::status).orElse(0);
     }
 
     @ParameterizedTest
@@ -63,16 +66,16 @@
         "Deadline-Ms, '-1',                         200",
         "Deadline-Ms, 'soon',                       200"
     })
-    void shouldAnswerAndServeTheNextWhenClientClaimsWhatCannotBe(String header, String value, int status) {
+    void shouldRespondAndServeNextRequestWhenHeaderValueIsInvalid(String header, String value, int status) {
         assertEquals(status, status("attempt-1", Map.of(header, value)));
         assertEquals(200, status("attempt-2", Map.of()));
     }
 
     @Test
-    void shouldServeOthersWhenManyClaimEndlessPrompts() {
+    void shouldServeOthersWhenManyRequestsClaimHugePrompts() {
         for (int i = 0; i < 50; i++) {
-            assertEquals(503, status("absurd-" + i, Map.of("Token-Count", "2147483647,10")));
+            assertEquals(503, status("huge-" + i, Map.of("Token-Count", "2147483647,10")));
         }
-        assertEquals(200, status("honest", Map.of()));
+        assertEquals(200, status("valid", Map.of()));
     }
 }
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -36,19 +36,21 @@
 import org.micabarrow.views.ViewKeeper;
 import org.xnio.XnioWorker;
 
-/** What an entry calls wrong by a manifest of which it knows how old it is, or does not. */
-class UnknownManifestTest {
+/**
+ * Checks which requests an entry rejects as invalid, depending on whether it can prove that its manifest is current.
+ */
+class ManifestAgeTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
-    private static final long MOST_MILLIS = 2_000;
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
+    private static final long MAX_AGE_MILLIS = 2_000;
     private static final int BAD_REQUEST = 400;
     private static final int UNAUTHORIZED = 401;
     private static final int NOT_FOUND = 404;
     private static final int TOO_LARGE = 413;
     private static final int UNAVAILABLE = 503;
 
-    /** Where the older manifest stands, which was written late. */
-    private static final long LATE = 6;
+    /** The offset of the older manifest, which was written late. */
+    private static final long LATE_OFFSET = 6;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
     private final ViewKeeper views = new ViewKeeper(new StoreRecords(), clock::get);
@@ -75,10 +77,10 @@
                         new MetricRegistry(),
                         clock::get,
                         (endpoint, then) -> then.accept(true),
-                        new ServingHandler.VersionTimes(WITHIN.toMillis(), WITHIN.toMillis(), WITHIN.toMillis()),
-                        new ManifestAge(views::operatorAsOfMillis, MOST_MILLIS),
-                        Crashes.unnoticed())));
-        views.apply(Topic.OPERATOR, List.of(manifest(1, LATE)), LATE + 1);
+                        new ServingHandler.VersionTimes(TIMEOUT.toMillis(), TIMEOUT.toMillis(), TIMEOUT.toMillis()),
+                        new ManifestAge(views::operatorAsOfMillis, MAX_AGE_MILLIS),
+                        Crashes.disabled())));
+        views.apply(Topic.OPERATOR, List.of(manifest(1, LATE_OFFSET)), LATE_OFFSET + 1);
     }
 
     @AfterEach
@@ -97,7 +99,7 @@
         return new StoredRecord("config", offset, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer ask(String path, String key, Optional<String> id, String body) {
+    private HttpAnswer sendRequest(String path, String key, Optional<String> id, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Host", "h.example", "Key", key, "Deadline-Ms", "3000"));
         id.ifPresent(one -> headers.put("Attempt-Id", one));
         HttpCall call = new HttpCall(
@@ -107,30 +109,30 @@
                 Optional.of(path),
                 headers,
                 body.getBytes(StandardCharsets.UTF_8));
-        return caller.call(call, WITHIN).toOptional().orElseThrow();
+        return caller.call(call, TIMEOUT).toOptional().orElseThrow();
     }
 
-    private HttpAnswer ask(String path, String key) {
-        return ask(path, key, Optional.of("id-1"), "a body");
+    private HttpAnswer sendRequest(String path, String key) {
+        return sendRequest(path, key, Optional.of("id-1"), "a body");
     }
 
-    private HttpAnswer askWithLargeBody() {
-        return ask("/once/x", "key-a", Optional.of("id-1"), "a body of 20 bytes..");
+    private HttpAnswer sendLargeBody() {
+        return sendRequest("/once/x", "key-a", Optional.of("id-1"), "a body of 20 bytes..");
     }
 
-    /** Asks with an unknown key, for an unknown path, and with a body beyond the manifest's limit. */
-    private void assertCalledWrong() {
-        assertEquals(UNAUTHORIZED, ask("/once/x", "key-b").status());
-        assertEquals(NOT_FOUND, ask("/new/x", "key-a").status());
-        assertEquals(TOO_LARGE, askWithLargeBody().status());
+    /** Sends requests with an unknown key, an unknown path, and a body over the manifest's limit. */
+    private void assertRejected() {
+        assertEquals(UNAUTHORIZED, sendRequest("/once/x", "key-b").status());
+        assertEquals(NOT_FOUND, sendRequest("/new/x", "key-a").status());
+        assertEquals(TOO_LARGE, sendLargeBody().status());
     }
 
-    private void assertNotKnown() {
-        for (HttpAnswer answer : List.of(ask("/once/x", "key-b"), ask("/new/x", "key-a"), askWithLargeBody())) {
-            assertEquals(UNAVAILABLE, answer.status());
-            assertEquals("0.300", answer.headers().get("Retry-After"));
-            String why = new String(answer.body(), StandardCharsets.UTF_8);
-            assertEquals("this entry may not know the newest manifest", why.substring(0, why.indexOf(';')));
+    private void assertToldToRetry() {
+        for (HttpAnswer response : List.of(sendRequest("/once/x", "key-b"), sendRequest("/new/x", "key-a"), sendLargeBody())) {
+            assertEquals(UNAVAILABLE, response.status());
+            assertEquals("0.300", response.headers().get("Retry-After"));
+            String reason = new String(response.body(), StandardCharsets.UTF_8);
+            assertEquals("this entry may not know the newest manifest", reason.substring(0, reason.indexOf(';')));
         }
     }
 
@@ -142,79 +144,81 @@
 
     @ParameterizedTest
     @CsvSource({"0", "1", "1999", "2000"})
-    void shouldCallWrongWhenAllWasKnownWithinTheBound(long millis) {
+    void shouldRejectWhenAllChangesAreKnownWithinLimit(long millis) {
         views.confirmOperator(ago(millis));
-        assertCalledWrong();
+        assertRejected();
     }
 
     @ParameterizedTest
     @CsvSource({"2001", "60000"})
-    void shouldSayThatItMayNotKnowWhenStoreIsSilentForLonger(long millis) {
+    void shouldTellClientToRetryWhenStoreIsUnresponsiveForLonger(long millis) {
         views.confirmOperator(ago(0));
         clock.addAndGet(millis);
-        assertNotKnown();
+        assertToldToRetry();
     }
 
     @Test
-    void shouldCallWrongAgainWhenStoreIsBack() {
+    void shouldRejectAgainWhenStoreIsBack() {
         views.confirmOperator(ago(60_000));
-        assertNotKnown();
+        assertToldToRetry();
         views.confirmOperator(ago(10));
-        assertCalledWrong();
+        assertRejected();
     }
 
     // -- peers
 
     @Test
-    void shouldNotCallWrongWhenPeersWordIsOld() {
+    void shouldNotRejectWhenPeerReportIsOld() {
         views.confirmOperator(ago(2_500));
         clock.addAndGet(100);
         views.confirmOperator(ago(2_200));
-        assertNotKnown();
+        assertToldToRetry();
     }
 
     @Test
-    void shouldCallWrongWhenPeersWordIsYoungAndNotWhenOlderOneComesAfterIt() {
+    void shouldRejectWhenRecentPeerReportIsFollowedByOlderOne() {
         views.confirmOperator(ago(1_200));
         views.confirmOperator(ago(9_000));
-        assertCalledWrong();
+        assertRejected();
     }
 
-    /** An entry that has just started from a peer has a manifest before it knows its age, if the peer does not say. */
+    /**
+     * An entry that has just started from a peer has a manifest before it knows its age, if the peer does not state it.
+     */
     @Test
-    void shouldSayThatItMayNotKnowWhenNoMomentWasEverKnown() {
-        assertNotKnown();
+    void shouldTellClientToRetryWhenAgeWasNeverKnown() {
+        assertToldToRetry();
         assertEquals(OptionalLong.empty(), views.operatorAsOfMillis());
     }
 
-    // -- a manifest that is lacking
+    // -- a missing manifest
 
     @Test
-    void shouldSayThatItMayNotKnowWhileManifestIsKnownToBeLacking() {
+    void shouldTellClientToRetryWhileManifestIsMissing() {
         views.confirmOperator(ago(0));
         views.apply(
                 Topic.NAMED,
                 List.of(new StoredRecord(
                         VersionKeys.ofManifest(2), 0, "{\"version\":2,\"offset\":5}".getBytes(StandardCharsets.UTF_8))),
                 1);
-        assertNotKnown();
+        assertToldToRetry();
         views.apply(Topic.OPERATOR, List.of(manifest(2, 5)), 0);
-        assertCalledWrong();
+        assertRejected();
     }
 
-    // -- what does not hang on the age
+    // -- requests that do not depend on the age
 
     @Test
-    void shouldCallMalformedWrongWhateverTheAge() {
+    void shouldRejectMalformedRequestAtAnyAge() {
         assertEquals(
-                BAD_REQUEST, ask("/once/x", "key-a", Optional.empty(), "a body").status());
+                BAD_REQUEST, sendRequest("/once/x", "key-a", Optional.empty(), "a body").status());
     }
 
-    /** Nothing serves here: the request was understood, and its answer names that. */
+    /** There is no endpoint here; the response shows that the request was accepted. */
     @Test
-    void shouldTakeWhatManifestAllowsWhateverItsAge() {
-        HttpAnswer answer = ask("/once/x", "key-a");
-        assertEquals(UNAVAILABLE, answer.status());
-        assertEquals("no endpoint can serve\n", new String(answer.body(), StandardCharsets.UTF_8));
+    void shouldAcceptAllowedRequestAtAnyAge() {
+        HttpAnswer response = sendRequest("/once/x", "key-a");
+        assertEquals(UNAVAILABLE, response.status());
+        assertEquals("no endpoint can serve\n", new String(response.body(), StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -17,109 +17,111 @@
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** What is sent to an endpoint that still holds an older weight version than was named. */
+/** Checks which requests are sent to an endpoint that still holds an older weight version than the named one. */
 class OlderVersionTest extends ServingFixture {
 
-    /** The route's time-out of a test that waits for it. */
+    /** The route's timeout in a test that waits for it. */
     private static final long TIMEOUT_MILLIS = 500;
 
-    /** So few that an endpoint has room for more, and so many that another is chosen first. */
+    /** Few enough that the endpoint has free slots, and enough that another endpoint is chosen first. */
     private static final int FEW_REQUESTS = 2;
 
-    private final AtomicBoolean agentAnswers = new AtomicBoolean(true);
-    private final AtomicBoolean agentTells = new AtomicBoolean(true);
-    private final AtomicInteger questions = new AtomicInteger();
+    private final AtomicBoolean agentRepliesInTime = new AtomicBoolean(true);
+    private final AtomicBoolean queryCompletes = new AtomicBoolean(true);
+    private final AtomicInteger queries = new AtomicInteger();
 
     @BeforeEach
     void start() {
         platform.add("model-1", "models", 1);
-        idleWith("model-1", 1);
+        reportIdle("model-1", 1);
     }
 
-    /** Starts to serve; agents are asked, and requests that are not begun cancelled, some time after the naming. */
-    private void serve(long askMillis, long cancelMillis) throws IOException {
-        AgentQuestions asked = (endpoint, then) -> {
-            questions.incrementAndGet();
-            if (agentTells.get()) {
-                then.accept(agentAnswers.get());
+    /**
+     * Starts the handler; agents are queried after the first time, and requests that have not begun are cancelled after
+     * the second.
+     */
+    private void serve(long queryAfterMillis, long cancelAfterMillis) throws IOException {
+        AgentQuestions agentQueries = (endpoint, then) -> {
+            queries.incrementAndGet();
+            if (queryCompletes.get()) {
+                then.accept(agentRepliesInTime.get());
             }
         };
         serve(
                 new EndpointHeaders(),
                 new RetryBudget(0.2, 10),
-                asked,
-                new VersionTimes(askMillis, NEVER_MILLIS, cancelMillis));
+                agentQueries,
+                new VersionTimes(queryAfterMillis, NEVER_MILLIS, cancelAfterMillis));
     }
 
-    private HttpAnswer ask() {
-        return ask("/stream/x");
+    private HttpAnswer sendRequest() {
+        return sendRequest("/stream/x");
     }
 
     @Test
-    void shouldAskNobodyWhenNoNewerVersionIsNamed() throws IOException {
+    void shouldQueryNoAgentWhenNoNewerVersionIsNamed() throws IOException {
         serve(0, NEVER_MILLIS);
-        assertEquals(200, ask().status());
-        assertEquals(0, questions.get());
+        assertEquals(200, sendRequest().status());
+        assertEquals(0, queries.get());
     }
 
     @Test
-    void shouldAskNobodyWhenNamingIsTooFreshToMatter() throws IOException {
+    void shouldQueryNoAgentWhenNamingIsTooRecent() throws IOException {
         serve(1, NEVER_MILLIS);
         views.want(MODEL, 2);
-        agentAnswers.set(false);
-        assertEquals(200, ask().status());
-        assertEquals(0, questions.get());
+        agentRepliesInTime.set(false);
+        assertEquals(200, sendRequest().status());
+        assertEquals(0, queries.get());
     }
 
     @Test
-    void shouldSendWhenAgentAnswers() throws IOException {
+    void shouldSendWhenAgentReplies() throws IOException {
         serve(0, NEVER_MILLIS);
         views.want(MODEL, 2);
-        assertEquals(200, ask().status());
-        assertEquals(1, questions.get());
+        assertEquals(200, sendRequest().status());
+        assertEquals(1, queries.get());
     }
 
     @Test
-    void shouldSendNothingWhenAgentDoesNotAnswer() throws IOException {
+    void shouldSendNothingWhenAgentDoesNotReply() throws IOException {
         serve(0, NEVER_MILLIS);
         views.want(MODEL, 2);
-        agentAnswers.set(false);
-        HttpAnswer refused = ask();
+        agentRepliesInTime.set(false);
+        HttpAnswer refused = sendRequest();
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, platform.endpoint("model-1").received().size());
     }
 
     @Test
-    void shouldCancelWhatIsNotBegunWhenTimeIsUpAndGoOnElsewhere() throws Exception {
-        platform.manifest(2, "key-a", WITHIN.toMillis());
+    void shouldSwitchEndpointWhenRequestHasNotBegunInTime() throws Exception {
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
         serve(0, 400);
         views.want(MODEL, 2);
         platform.next(Behaviour.HANG);
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(this::ask);
-        Await.until("the sending", () -> platform.endpoint("model-1").hanging() == 1);
+        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(this::sendRequest);
+        Await.until("the request", () -> platform.endpoint("model-1").hanging() == 1);
         platform.add("model-2", "models", 2);
-        assertEquals(200, answer.join().status());
-        Await.until("the end of the first", () -> platform.endpoint("model-1").hanging() == 0);
+        assertEquals(200, response.join().status());
+        Await.until("the cancellation of the first attempt", () -> platform.endpoint("model-1").hanging() == 0);
     }
 
     @Test
-    void shouldSayNotRunWhenTimeIsUpAndEverySendingWasRefused() throws Exception {
+    void shouldReportNotRunWhenDeadlinePassesAndEveryAttemptWasRefused() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT_MILLIS);
         platform.add("model-2", "models", 2);
         serve(0, NEVER_MILLIS);
         Await.until("both", () -> views.view().endpoints().size() == 2);
-        idleWith("model-2", 2);
+        reportIdle("model-2", 2);
         views.want(MODEL, 2);
-        // The endpoint with the newest version refuses, and the question that the other is asked about is never
-        // settled.
-        agentTells.set(false);
+        // The endpoint with the newest version refuses, and the query about the other endpoint gets no reply.
+        queryCompletes.set(false);
         for (int i = 0; i < FEW_REQUESTS; i++) {
             choice.load("model-1").began(0);
         }
         platform.next(Behaviour.REFUSE);
-        assertEquals(503, ask().status());
+        assertEquals(503, sendRequest().status());
         assertEquals(1, platform.endpoint("model-2").received().size());
-        assertEquals(1, questions.get());
+        assertEquals(1, queries.get());
     }
 }
