--- a/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueResponseTest.java
@@ -22,31 +22,34 @@
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** An endpoint that takes a request and never answers it, while its agent tells that all is well. */
-class OverdueAnswerTest extends ServingFixture {
+/** Checks when a request is retried elsewhere if its endpoint never responds although its agent reports no problem. */
+class OverdueResponseTest extends ServingFixture {
 
-    /** Longer than an answer may take to begin before another endpoint is asked, and shorter than the client waits. */
+    /**
+     * Longer than a response may take to start before another endpoint is tried, and shorter than the client's
+     * deadline.
+     */
     private static final long OVERDUE_MILLIS = 1_100;
 
-    /** Longer than the objective only. */
+    /** Longer than the objective, but not yet overdue. */
     private static final long LATE_MILLIS = 900;
 
     private static final int OK = 200;
 
-    /** The head of a streamed answer and its first event, as the stand-ins send them. */
+    /** The head of a streamed response and its first event, as sent by the stand-ins. */
     private static final String FIRST_EVENT = "HTTP/1.1 200 OK\r\nAttempt-Id: attempt-1\r\nServer-Seal: model-1\r\n"
             + "Content-Type: text/event-stream\r\nWeight-Versions: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
             + "f\r\nid: 1\ndata: x\n\n\r\n";
 
-    private StandingEndpoint mute;
+    private PausedEndpoint unresponsive;
 
     @BeforeEach
     void start() throws IOException {
-        platform.manifest(2, "key-a", WITHIN.toMillis());
-        mute = StandingEndpoint.start();
-        platform.place("model-1", mute.address());
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
+        unresponsive = PausedEndpoint.start();
+        platform.place("model-1", unresponsive.address());
         platform.enter("model-1", "models", 1, "ready");
-        idleWith("model-1", 1);
+        reportIdle("model-1", 1);
         serve(
                 new EndpointHeaders(),
                 new RetryBudget(0.2, 10),
@@ -56,73 +59,73 @@
 
     @AfterEach
     void stop() throws Exception {
-        mute.close();
+        unresponsive.close();
     }
 
-    /** Sends a request, waits until it lies at the endpoint that will not answer, and lists another one then. */
-    private CompletableFuture<HttpAnswer> sent(String path) {
-        CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(() -> ask(path));
-        Await.until("the request", () -> mute.waiting() == 1);
+    /** Sends a request, waits until the unresponsive endpoint has received it, and then lists another endpoint. */
+    private CompletableFuture<HttpAnswer> sendToUnresponsive(String path) {
+        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> sendRequest(path));
+        Await.until("the request", () -> unresponsive.pendingRequests() == 1);
         platform.add("model-2", "models", 1);
         Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
-        return answer;
+        return response;
     }
 
-    /** Lets time pass in which both agents go on telling, and has the entry look after its requests. */
-    private void pass(long millis, int requestsAtOther) throws Exception {
+    /** Advances the clock while both agents keep reporting, and lets the entry check its requests. */
+    private void advance(long millis, int requestsAtOther) throws Exception {
         clockMillis.addAndGet(millis);
-        lookAfterRequests(() -> {
-            idleWith("model-1", 1);
+        checkRequests(() -> {
+            reportIdle("model-1", 1);
             choice.load("model-2").told(new LoadReport(requestsAtOther, 0, false, 1), 0, clockMillis.get());
         });
     }
 
     @Test
-    void shouldAskAnotherEndpointWhenFirstPartIsOverdue() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
-        pass(OVERDUE_MILLIS, 0);
-        assertEquals(OK, answer.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS).status());
+    void shouldSwitchEndpointWhenFirstPartIsOverdue() throws Exception {
+        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        advance(OVERDUE_MILLIS, 0);
+        assertEquals(OK, response.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).status());
     }
 
     @Test
-    void shouldWaitWhenAnswerIsOnlyLate() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
-        pass(LATE_MILLIS, 0);
-        assertFalse(answer.isDone());
+    void shouldWaitWhenResponseIsOnlyLate() throws Exception {
+        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        advance(LATE_MILLIS, 0);
+        assertFalse(response.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
     }
 
     @Test
-    void shouldWaitWhenOthersHaveNoRoomToSpare() throws Exception {
-        CompletableFuture<HttpAnswer> answer = sent("/stream/x");
-        pass(OVERDUE_MILLIS, 14);
-        assertFalse(answer.isDone());
+    void shouldWaitWhenOtherEndpointsHaveNoFreeSlot() throws Exception {
+        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        advance(OVERDUE_MILLIS, 14);
+        assertFalse(response.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
     }
 
     @Test
-    void shouldGoOnElsewhereWhenStreamSaysNothingMore() throws Exception {
+    void shouldResumeElsewhereWhenStreamStalls() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             platform.place("model-1", "127.0.0.1:" + server.getLocalPort());
             platform.enter("model-1", "models", 1, "ready");
             Await.until(
                     "its new address",
                     () -> views.view().endpoints().get("model-1").address().endsWith(":" + server.getLocalPort()));
-            HttpCall call = HostedSystem.request(clients(), "/stream/x", "attempt-1")
+            HttpCall call = HostedSystem.request(clientAddress(), "/stream/x", "attempt-1")
                     .withHeader("Model", MODEL)
                     .withHeader("Token-Count", "100,20");
-            CompletableFuture<HttpAnswer> answer = CompletableFuture.supplyAsync(
-                    () -> client.call(call, WITHIN).toOptional().orElseThrow());
+            CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(
+                    () -> client.call(call, TIMEOUT).toOptional().orElseThrow());
             try (Socket stalled = server.accept()) {
                 stalled.getOutputStream().write(FIRST_EVENT.getBytes(StandardCharsets.US_ASCII));
                 Await.until("the first event", () -> choice.load("model-1").ownPromptTokens() == 0);
                 platform.add("model-2", "models", 1);
                 Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
-                pass(LATE_MILLIS, 0);
-                assertFalse(answer.isDone());
-                pass(OVERDUE_MILLIS, 0);
+                advance(LATE_MILLIS, 0);
+                assertFalse(response.isDone());
+                advance(OVERDUE_MILLIS, 0);
                 String body = new String(
-                        answer.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS).body(), StandardCharsets.UTF_8);
+                        response.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).body(), StandardCharsets.UTF_8);
                 assertEquals(
                         List.of("id: 1", "id: 2", "id: 3"),
                         body.lines().filter(line -> line.startsWith("id:")).toList());
--- a/src/test/java/org/micabarrow/serving/StandingEndpoint.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpoint.java
@@ -15,26 +15,26 @@
 import org.micabarrow.transport.Addresses;
 
 /**
- * An endpoint on an instance that stands still: its operating system takes connections and what is sent on them, and it
- * reads nothing until it wakes.
+ * An endpoint on a paused instance: the operating system accepts connections and data, but nothing is read until the
+ * instance resumes.
  */
-final class StandingEndpoint implements AutoCloseable {
+final class PausedEndpoint implements AutoCloseable {
 
-    /** How long a read waits for a reset that may be on its way, in milliseconds: long for a busy machine. */
-    private static final int LOOK_MILLIS = 1_000;
+    /** How long a read waits for a reset that may be in transit, in milliseconds; long enough for a busy machine. */
+    private static final int RESET_TIMEOUT_MILLIS = 1_000;
 
     private final ServerSocket server;
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    private StandingEndpoint(ServerSocket server) {
+    private PausedEndpoint(ServerSocket server) {
         this.server = server;
     }
 
-    static StandingEndpoint start() throws IOException {
+    static PausedEndpoint start() throws IOException {
         ServerSocket server = new ServerSocket();
         server.bind(Addresses.parse(Ports.freeAddress()));
-        StandingEndpoint endpoint = new StandingEndpoint(server);
-        Thread.ofPlatform().daemon().name("standing-endpoint").start(endpoint::accept);
+        PausedEndpoint endpoint = new PausedEndpoint(server);
+        Thread.ofPlatform().daemon().name("paused-endpoint").start(endpoint::accept);
         return endpoint;
     }
 
@@ -44,7 +44,7 @@
                 connections.add(server.accept());
             }
         } catch (IOException e) {
-            // The test is over.
+            // The test has closed the server.
             return;
         }
     }
@@ -54,9 +54,12 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** How many requests wait in front of the instance, taken back or not. */
-    int waiting() {
-        return (int) connections.stream().filter(StandingEndpoint::hasRequest).count();
+    /**
+     * The number of requests that the operating system has received and the endpoint has not read, including cancelled
+     * ones.
+     */
+    int pendingRequests() {
+        return (int) connections.stream().filter(PausedEndpoint::hasRequest).count();
     }
 
     private static boolean hasRequest(Socket connection) {
@@ -68,32 +71,32 @@
     }
 
     /**
-     * Wakes, reads what waits, and begins every request whose connection was not reset: that the other end was closed in
-     * good order shows only when something is written.
+     * Resumes, reads the waiting requests, and begins each whose connection was not reset. An orderly close by the
+     * other side would show only on a write.
      *
-     * @return the requests that are begun
+     * @return the requests that were begun
      */
-    List<String> wake() {
+    List<String> resume() {
         return connections.stream()
-                .map(StandingEndpoint::begun)
+                .map(PausedEndpoint::readRequest)
                 .filter(request -> !request.isEmpty())
                 .toList();
     }
 
-    /** What was read of a connection; nothing if it was reset. */
-    private static String begun(Socket connection) {
+    /** Returns what was read from a connection; empty if it was reset. */
+    private static String readRequest(Socket connection) {
         ByteArrayOutputStream read = new ByteArrayOutputStream();
         try {
-            connection.setSoTimeout(LOOK_MILLIS);
+            connection.setSoTimeout(RESET_TIMEOUT_MILLIS);
             InputStream input = connection.getInputStream();
-            for (int one = input.read(); one >= 0; one = input.read()) {
-                read.write(one);
+            for (int next = input.read(); next >= 0; next = input.read()) {
+                read.write(next);
             }
         } catch (SocketTimeoutException e) {
-            // Nothing more has come, and the connection is open.
+            // No more data has arrived, and the connection is still open.
             return read.toString(StandardCharsets.UTF_8);
         } catch (IOException e) {
-            // It was reset.
+            // The connection was reset.
             return "";
         }
         return read.toString(StandardCharsets.UTF_8);
--- a/src/test/java/org/micabarrow/serving/CrashingRequestTest.java
+++ b/src/test/java/org/micabarrow/serving/PoisonRequestTest.java
@@ -26,26 +26,28 @@
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
 /**
- * A request that ends every endpoint that begins to run it.
+ * Guards against a poison request that crashes every endpoint that begins to run it.
  *
- * <p>Users saw their endpoints end one after the other, nineteen by one request, with all that ran there; hardly anybody was
- * served meanwhile. A client's request reached an endpoint, which ended and was back some seconds later; the client sent the same
- * again, under a new id, to whichever entry it met, and that sent it to the next endpoint. Cause: an entry forgot a request with its
- * answer, and what it knew of it while it ran was its id, which is another one at each try. Nothing told that the connection that
- * broke was that of an endpoint that had ended, and nobody else learned of it. Evidence: in the entries' lines of that day each of
- * these sendings is the first of its request, the requests' digests are the same, and agents beside the endpoints could not connect
- * to them within 10 ms of the break.
+ * <p>In production, one request crashed nineteen endpoints in turn, with everything that ran there, and hardly any
+ * client was served meanwhile. After each crash the client sent the same request again under a new id, to any entry,
+ * which sent it to the next endpoint. An entry forgot a request once it had responded, and knew it only by its id,
+ * which differs for each retry. Nothing showed that the broken connection was that of a crashed endpoint, and no other
+ * process learned of it. In the logs of the entries, each of these attempts was the first of its request, the digests
+ * of the requests were equal, and agents could not connect to the endpoints within 10 ms of the break.
  */
-class CrashingRequestTest {
+class PoisonRequestTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
     private static final int ENDPOINTS = 8;
 
-    /** How many endpoints the request may end in all: three tell what it is, three more may have been on their way to it. */
-    private static final int MOST_CRASHES = 6;
+    /**
+     * How many endpoints the request may crash in all: three crashes identify it, and three more attempts may be in
+     * flight then.
+     */
+    private static final int MAX_CRASHES = 6;
 
-    private static final String CRASHING = "ends whoever runs it";
-    private static final String HARMLESS = "harms nobody";
+    private static final String CRASHING = "crashes any endpoint";
+    private static final String HARMLESS = "harmless";
 
     private HostedSystem platform;
     private HttpCaller client;
@@ -73,69 +75,69 @@
         return settings;
     }
 
-    /** Sends a request as a client does that tries anew: the same, under an id of its own. */
-    private HttpAnswer ask(HostedSettings entry, String path, String body) {
+    /** Sends a request as a retrying client does: the same request under a new id. */
+    private HttpAnswer sendRequest(HostedSettings entry, String path, String body) {
         attempts++;
         String clients = entry.listen().clients().orElseThrow();
         HttpCall call = HostedSystem.request(clients, path, "try-" + attempts, body);
-        return client.call(call, WITHIN).toOptional().orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+        return client.call(call, TIMEOUT).toOptional().orElse(new HttpAnswer(0, Map.of(), new byte[0]));
     }
 
     private void sendInTurn(List<HostedSettings> entries, String path) {
         for (int round = 0; round < 10; round++) {
             for (HostedSettings entry : entries) {
-                ask(entry, path, CRASHING);
+                sendRequest(entry, path, CRASHING);
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/again/x", "/stream/x"})
-    void shouldRefuseAtEveryEntryWhenRequestHasEndedThreeEndpoints(String path) throws Exception {
+    void shouldRefuseAtEveryEntryWhenRequestHasCrashedThreeEndpoints(String path) throws Exception {
         List<HostedSettings> entries = List.of(entry(), entry());
         sendInTurn(entries, path);
-        assertTrue(platform.crashes() <= MOST_CRASHES, () -> "endpoints ended: " + platform.crashes());
+        assertTrue(platform.crashes() <= MAX_CRASHES, () -> "crashed endpoints: " + platform.crashes());
         int before = platform.crashes();
         for (HostedSettings entry : entries) {
-            assertEquals(503, ask(entry, path, CRASHING).status(), "told that it was not run");
-            // The entry may still have to read that endpoints ended, and of those that took their places.
+            assertEquals(503, sendRequest(entry, path, CRASHING).status(), "a response that it was not run");
+            // The entry may still have to read the updates about crashed endpoints and their replacements.
             Await.until(
-                    "an answer to another body",
-                    () -> ask(entry, path, HARMLESS).status() == 200);
+                    "a response to another body",
+                    () -> sendRequest(entry, path, HARMLESS).status() == 200);
         }
         assertEquals(before, platform.crashes());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 14, 50})
-    void shouldBeKnownToEveryEntryWhenOneHasSeenThreeEndpointsEnd(int count) throws Exception {
+    void shouldBeKnownToEveryEntryWhenOneHasSeenThreeCrashes(int count) throws Exception {
         List<HostedSettings> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             entries.add(entry());
         }
-        while (ask(entries.getFirst(), "/again/x", CRASHING).status() != 503) {
-            assertTrue(platform.crashes() <= MOST_CRASHES, () -> "endpoints ended: " + platform.crashes());
+        while (sendRequest(entries.getFirst(), "/again/x", CRASHING).status() != 503) {
+            assertTrue(platform.crashes() <= MAX_CRASHES, () -> "crashed endpoints: " + platform.crashes());
         }
-        Await.until("the news everywhere", () -> entries.stream().allMatch(this::refuses));
+        Await.until("the update at every entry", () -> entries.stream().allMatch(this::refuses));
     }
 
-    /** Whether an entry refuses a request, by its figures, so that nothing is sent for the question. */
+    /** Whether an entry refuses the request, judged by its metrics so that no request has to be sent. */
     private boolean refuses(HostedSettings entry) {
         URI uri = URI.create("http://" + entry.listen().metrics() + "/metrics");
-        return client.call(HttpCall.get(Step.READ, uri), WITHIN)
+        return client.call(HttpCall.get(Step.READ, uri), TIMEOUT)
                 .toOptional()
-                .map(answer -> new String(answer.body(), StandardCharsets.UTF_8))
-                .filter(figures -> figures.contains("\"crashes.culprits\":1"))
+                .map(response -> new String(response.body(), StandardCharsets.UTF_8))
+                .filter(metrics -> metrics.contains("\"crashes.culprits\":1"))
                 .isPresent();
     }
 
     @Test
-    void shouldRefuseAtEntryThatStartedWhenRequestHadEndedThreeEndpointsBefore() throws Exception {
+    void shouldRefuseAtNewEntryWhenRequestCrashedThreeEndpointsBefore() throws Exception {
         sendInTurn(List.of(entry()), "/again/x");
         Await.until("the crashes in the store", () -> platform.crashesTold() == platform.crashes());
         int before = platform.crashes();
-        HostedSettings fresh = entry();
-        assertEquals(503, ask(fresh, "/again/x", CRASHING).status(), "it never saw the request before");
+        HostedSettings newEntry = entry();
+        assertEquals(503, sendRequest(newEntry, "/again/x", CRASHING).status(), "it has never received the request before");
         assertEquals(before, platform.crashes());
     }
 }
--- a/src/test/java/org/micabarrow/serving/LateSendingTest.java
+++ b/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
@@ -29,45 +29,48 @@
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
 /**
- * What leaves an entry that stood still between its decision and the first byte of the request. The standstill is played on
- * the entry's clock, right after it has decided and before its connection is up.
+ * Checks which requests an entry sends after a pause between its routing decision and the first byte of the request.
+ * The pause is simulated by advancing the entry's clock right after the decision, before the connection is established.
  */
-class LateSendingTest extends ServingFixture {
+class PreSendCheckTest extends ServingFixture {
 
-    /** Longer than an endpoint may take to accept a connection, and well within the client's time. */
-    private static final long STANDSTILL_MILLIS = 700;
+    /** Longer than an endpoint may take to accept a connection, and well within the client's deadline. */
+    private static final long PAUSE_MILLIS = 700;
 
-    /** Longer than an endpoint may take to accept a connection, as in a process that is slow all the time. */
+    /** Longer than an endpoint may take to accept a connection, as in a process that is always slow. */
     private static final long SLOW_MILLIS = 300;
 
-    /** A pause that no connect limit shows. */
+    /** A pause that the connect timeout does not detect. */
     private static final long SHORT_MILLIS = 200;
 
     private static final int MANY_REQUESTS = 100;
 
-    /** What {@link HostedSystem#request} sends, for a client whose socket a test closes itself. */
+    /** The request that {@link HostedSystem#request} sends, for a client whose socket the test closes itself. */
     private static final String REQUEST =
             "POST /stream/x HTTP/1.1\r\nHost: h.example\r\nKey: key-a\r\nAttempt-Id: a\r\n"
                     + "Deadline-Ms: 3000\r\nModel: model-a\r\nToken-Count: 100,20\r\nContent-Length: 6\r\n\r\na body";
 
-    /** How long the client of {@link HostedSystem#request} waits. */
+    /** The deadline that {@link HostedSystem#request} sends. */
     private static final long CLIENT_MILLIS = 3_000;
 
     private final AtomicReference<Runnable> afterDecision = new AtomicReference<>(() -> {});
     private final AtomicReference<Runnable> everyDecision = new AtomicReference<>(() -> {});
 
-    /** How an agent's answer, which is to be run, comes. */
-    private final AtomicReference<Consumer<Runnable>> agent = new AtomicReference<>(Runnable::run);
+    /** Runs the action that delivers an agent's reply. */
+    private final AtomicReference<Consumer<Runnable>> agentReply = new AtomicReference<>(Runnable::run);
 
     @BeforeEach
     void start() {
-        platform.manifest(2, "key-a", WITHIN.toMillis());
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
         platform.add("model-1", "models", 1);
-        idleWith("model-1", 1);
+        reportIdle("model-1", 1);
     }
 
-    /** Writes requests as the platform has them; what is to happen once after a decision does so when the first is written. */
-    private final class StandingStill implements EndpointProtocol {
+    /**
+     * Encodes requests as the platform does; encoding the first request runs the action that is set for after the
+     * decision.
+     */
+    private final class PausingProtocol implements EndpointProtocol {
 
         private final EndpointHeaders headers = new EndpointHeaders();
 
@@ -85,24 +88,27 @@
         }
     }
 
-    /** Starts to serve; older versions get nothing, and what they have not begun is cancelled, some time after the naming. */
-    private void serve(long demandMillis, long cancelMillis) throws IOException {
-        AgentQuestions questions = (endpoint, then) -> {
-            idleWith(endpoint.id(), 1);
-            agent.get().accept(() -> then.accept(true));
+    /**
+     * Starts the handler; older versions get nothing after the first time, and requests that they have not begun are
+     * cancelled after the second.
+     */
+    private void serve(long requireAfterMillis, long cancelAfterMillis) throws IOException {
+        AgentQuestions agentQueries = (endpoint, then) -> {
+            reportIdle(endpoint.id(), 1);
+            agentReply.get().accept(() -> then.accept(true));
         };
         serve(
-                new StandingStill(),
+                new PausingProtocol(),
                 new RetryBudget(0, 0),
-                questions,
-                new VersionTimes(NEVER_MILLIS, demandMillis, cancelMillis));
+                agentQueries,
+                new VersionTimes(NEVER_MILLIS, requireAfterMillis, cancelAfterMillis));
     }
 
-    private void standStill(long millis) {
+    private void pauseAfterDecision(long millis) {
         afterDecision.set(() -> clockMillis.addAndGet(millis));
     }
 
-    private long told(String endpoint) {
+    private long sentDeadline(String endpoint) {
         return Long.parseLong(
                 platform.endpoint(endpoint).received().getFirst().headers().get("Deadline-Ms"));
     }
@@ -110,51 +116,52 @@
     // -- tests
 
     @Test
-    void shouldTellWhatIsLeftWhenRequestIsWritten() throws IOException {
+    void shouldSendRemainingTimeAsOfWriting() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
-        standStill(SHORT_MILLIS);
-        assertEquals(200, ask("/stream/x").status());
-        assertEquals(CLIENT_MILLIS - SHORT_MILLIS, told("model-1"));
+        pauseAfterDecision(SHORT_MILLIS);
+        assertEquals(200, sendRequest("/stream/x").status());
+        assertEquals(CLIENT_MILLIS - SHORT_MILLIS, sentDeadline("model-1"));
     }
 
     @Test
-    void shouldSendToSameEndpointWhenConnectionCameTooLateAndItIsStillTheOne() throws IOException {
+    void shouldSendToSameEndpointWhenConnectionIsLateAndChoiceIsUnchanged() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
-        standStill(STANDSTILL_MILLIS);
-        assertEquals(200, ask("/stream/x").status());
+        pauseAfterDecision(PAUSE_MILLIS);
+        assertEquals(200, sendRequest("/stream/x").status());
         assertEquals(1, received("model-1"));
-        assertEquals(CLIENT_MILLIS - STANDSTILL_MILLIS, told("model-1"));
+        assertEquals(CLIENT_MILLIS - PAUSE_MILLIS, sentDeadline("model-1"));
     }
 
     @Test
-    void shouldDecideAnewWithoutRepeatWhenConnectionCameTooLate() throws IOException {
+    void shouldDecideAgainWithoutRetryWhenConnectionIsLate() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
         Await.until("the endpoints", () -> views.view().endpoints().size() == 3);
         afterDecision.set(() -> {
-            clockMillis.addAndGet(STANDSTILL_MILLIS);
+            clockMillis.addAndGet(PAUSE_MILLIS);
             fill(choice.load("plain-1").idle() ? "plain-2" : "plain-1");
         });
-        // There is no budget for repeats, and what may not be repeated goes on as well, since no byte of it has left.
-        assertEquals(200, ask("/once/x").status());
+        // The retry budget is empty, and a request that may not be repeated continues as well, since none of its bytes
+        // has been sent.
+        assertEquals(200, sendRequest("/once/x").status());
         List<String> filled =
                 Stream.of("plain-1", "plain-2").filter(id -> received(id) == 0).toList();
         assertEquals(1, filled.size());
-        assertFalse(choice.load(filled.getFirst()).idle(), "the one that was decided on first");
+        assertFalse(choice.load(filled.getFirst()).idle(), "the endpoint that was chosen first");
     }
 
     @Test
-    void shouldSendAllTheSameWhenEveryConnectionComesTooLate() throws IOException {
+    void shouldSendAnywayWhenEveryConnectionIsLate() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         platform.add("plain-1", "plain", 0);
         Await.until("the endpoints", () -> views.view().endpoints().size() == 2);
         everyDecision.set(() -> clockMillis.addAndGet(SLOW_MILLIS));
-        assertEquals(200, ask("/again/x").status());
+        assertEquals(200, sendRequest("/again/x").status());
         assertEquals(1, received("plain-1"));
     }
 
-    /** More requests than an endpoint has room for. */
+    /** Starts more requests at an endpoint than it has slots. */
     private void fill(String endpoint) {
         for (int i = 0; i < MANY_REQUESTS; i++) {
             choice.load(endpoint).began(0);
@@ -162,116 +169,118 @@
     }
 
     @Test
-    void shouldSendNothingWhenOlderVersionMayAnswerNoMore() throws IOException {
-        serve(STANDSTILL_MILLIS / 2, NEVER_MILLIS);
+    void shouldSendNothingWhenOlderVersionMayNoLongerServe() throws IOException {
+        serve(PAUSE_MILLIS / 2, NEVER_MILLIS);
         views.want(MODEL, 2);
-        standStill(STANDSTILL_MILLIS);
-        assertEquals(503, ask("/stream/x").status());
+        pauseAfterDecision(PAUSE_MILLIS);
+        assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldSendNothingWhenOlderVersionMayBeginNoMore() throws IOException {
+    void shouldSendNothingWhenOlderVersionMayNoLongerBegin() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
         views.want(MODEL, 2);
-        standStill(SHORT_MILLIS);
-        assertEquals(503, ask("/stream/x").status());
+        pauseAfterDecision(SHORT_MILLIS);
+        assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldGoOnElsewhereWhenOlderVersionMayBeginNoMore() throws IOException {
+    void shouldSwitchEndpointWhenOlderVersionMayNoLongerBegin() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
         views.want(MODEL, 2);
         afterDecision.set(() -> {
             clockMillis.addAndGet(SHORT_MILLIS);
             platform.add("model-2", "models", 2);
-            Await.until("the other", () -> views.view().endpoints().containsKey("model-2"));
+            Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
         });
-        assertEquals(200, ask("/stream/x").status());
+        assertEquals(200, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
         assertEquals(1, received("model-2"));
     }
 
     @Test
-    void shouldSendNothingWhenEndpointHasLeftMeanwhile() throws IOException {
+    void shouldSendNothingWhenEndpointBeganToDrainMeanwhile() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         afterDecision.set(() -> {
             platform.enter("model-1", "models", 1, "draining");
             Await.until(
-                    "the news that it leaves",
+                    "its draining state",
                     () -> views.view().endpoints().get("model-1").leaving());
         });
-        assertEquals(503, ask("/stream/x").status());
+        assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldSendNothingWhenEndpointIsListedNoMore() throws IOException {
+    void shouldSendNothingWhenEndpointIsNoLongerListed() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         afterDecision.set(() -> {
             platform.store().append("keyed.servers", "model-1", "");
-            Await.until("the end of its entry", () -> views.view().endpoints().isEmpty());
+            Await.until("the removal of its record", () -> views.view().endpoints().isEmpty());
         });
-        assertEquals(503, ask("/stream/x").status());
+        assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldSendNothingWhenTimeIsUp() throws IOException {
+    void shouldSendNothingWhenDeadlineHasPassed() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
-        standStill(CLIENT_MILLIS);
-        HttpAnswer refused = ask("/stream/x");
+        pauseAfterDecision(CLIENT_MILLIS);
+        HttpAnswer refused = sendRequest("/stream/x");
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldSendNothingWhenClientLeftDuringStandstill() throws Exception {
+    void shouldSendNothingWhenClientDisconnectedDuringPause() throws Exception {
         serve(NEVER_MILLIS, NEVER_MILLIS);
-        try (Socket leaving = client()) {
+        try (Socket disconnecting = connect()) {
             afterDecision.set(() -> {
-                close(leaving);
-                clockMillis.addAndGet(STANDSTILL_MILLIS);
+                close(disconnecting);
+                clockMillis.addAndGet(PAUSE_MILLIS);
             });
-            awaitEndOf(leaving);
+            awaitEndOfRequest(disconnecting);
         }
         assertEquals(0, received("model-1"));
     }
 
     @Test
-    void shouldSendNothingWhenItReadsOnlyAfterStandstillThatClientLeft() throws Exception {
+    void shouldSendNothingWhenDisconnectIsReadOnlyAfterPause() throws Exception {
         serve(NEVER_MILLIS, NEVER_MILLIS);
-        try (Socket leaving = client()) {
-            standStill(STANDSTILL_MILLIS);
-            agent.set(then -> {
-                close(leaving);
-                onceNothingIsOpen(then);
+        try (Socket disconnecting = connect()) {
+            pauseAfterDecision(PAUSE_MILLIS);
+            agentReply.set(then -> {
+                close(disconnecting);
+                onceNoRequestIsOpen(then);
             });
-            awaitEndOf(leaving);
+            awaitEndOfRequest(disconnecting);
         }
         assertEquals(0, received("model-1"));
     }
 
-    /** A client that resets its connection when it leaves, at once and not when another thread gets round to it. */
-    private Socket client() throws IOException {
-        InetSocketAddress at = Addresses.parse(clients());
-        Socket leaving = new Socket(at.getAddress(), at.getPort());
-        leaving.setSoLinger(true, 0);
-        return leaving;
+    /**
+     * Connects a client that resets its connection as soon as it is closed, rather than when another thread gets to it.
+     */
+    private Socket connect() throws IOException {
+        InetSocketAddress at = Addresses.parse(clientAddress());
+        Socket disconnecting = new Socket(at.getAddress(), at.getPort());
+        disconnecting.setSoLinger(true, 0);
+        return disconnecting;
     }
 
-    private void awaitEndOf(Socket leaving) throws IOException {
-        leaving.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+    private void awaitEndOfRequest(Socket disconnecting) throws IOException {
+        disconnecting.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         Await.until("the decision", () -> clockMillis.get() > 1_000_000);
         Await.until("the end of the request", () -> handler.connections().busy() == 0);
     }
 
-    /** Runs a step on the thread for traffic once it has read that the client left. */
-    private void onceNothingIsOpen(Runnable step) {
-        boolean over = handler.connections().busy() == 0;
-        Runnable next = over ? step : () -> onceNothingIsOpen(step);
+    /** Runs an action on the traffic thread once the disconnect of the client has been read. */
+    private void onceNoRequestIsOpen(Runnable step) {
+        boolean finished = handler.connections().busy() == 0;
+        Runnable next = finished ? step : () -> onceNoRequestIsOpen(step);
         worker.getIoThread().executeAfter(next, 1, TimeUnit.MILLISECONDS);
     }
 
--- a/src/test/java/org/micabarrow/serving/RawAnswersTest.java
+++ b/src/test/java/org/micabarrow/serving/RawResponsesTest.java
@@ -20,11 +20,11 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** What an entry makes of an endpoint's answer, byte by byte. */
-class RawAnswersTest {
+/** Checks how an entry handles the bytes of endpoint responses, including malformed ones. */
+class RawResponsesTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nAttempt-Id: attempt-1\r\nServer-Seal: s\r\n";
-    private static final String OTHER = HEAD.replace("attempt-1", "attempt-0");
+    private static final String OTHER_HEAD = HEAD.replace("attempt-1", "attempt-0");
 
     private HostedSystem platform;
     private HttpCaller caller;
@@ -49,7 +49,7 @@
     }
 
     /** Reads one request, writes the bytes, and closes or resets the connection. */
-    private void answerOnce(String bytes, boolean reset) {
+    private void respondOnce(String bytes, boolean reset) {
         Thread thread = new Thread(() -> {
             try (Socket socket = endpoint.accept()) {
                 byte[] request = new byte[4_096];
@@ -67,7 +67,7 @@
                     socket.setSoLinger(true, 0);
                 }
             } catch (IOException e) {
-                // The entry went first; what it told its client is what the test looks at.
+                // The entry closed the connection first; the test checks the response that the client receives.
                 assertTrue(endpoint.isClosed() || reset || e.getMessage() != null);
             }
         });
@@ -82,8 +82,8 @@
             case "ended by close", "reset" -> HEAD + "\r\nwhole";
             case "cut" -> HEAD + "Content-Length: 50\r\n\r\nwhole";
             case "cut chunked" -> HEAD + "Transfer-Encoding: chunked\r\n\r\n3\r\nwho\r\n2\r\nl";
-            case "surplus" -> HEAD + "Content-Length: 5\r\n\r\nwhole" + OTHER + "Content-Length: 5\r\n\r\nother";
-            case "late" -> OTHER + "Content-Length: 5\r\n\r\nother";
+            case "surplus" -> HEAD + "Content-Length: 5\r\n\r\nwhole" + OTHER_HEAD + "Content-Length: 5\r\n\r\nother";
+            case "late" -> OTHER_HEAD + "Content-Length: 5\r\n\r\nother";
             case "no signature" -> "HTTP/1.1 200 OK\r\nAttempt-Id: attempt-1\r\nContent-Length: 5\r\n\r\nwhole";
             case "broken head" -> "HTTP/9 huh\r\n\r\n";
             case "no bytes" -> "";
@@ -107,18 +107,18 @@
         "broken head,    false, 502",
         "no bytes,       false, 502"
     })
-    void shouldPassOnOnlyWholeAnswersToTheRequest(String form, boolean reset, int status) throws Exception {
+    void shouldForwardOnlyCompleteResponsesToTheRequest(String form, boolean reset, int status) throws Exception {
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("a manifest and the endpoint", () -> entry.takesRequests() && entry.endpoints() == 1);
-        answerOnce(bytes(form), reset);
-        HttpAnswer answer = caller.call(
+        respondOnce(bytes(form), reset);
+        HttpAnswer response = caller.call(
                         HostedSystem.request(settings.listen().clients().orElseThrow(), "/once/x", "attempt-1"),
                         Duration.ofSeconds(5))
                 .toOptional()
                 .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
-        assertEquals(status, answer.status());
+        assertEquals(status, response.status());
         if (status == 200) {
-            assertEquals("whole", new String(answer.body(), StandardCharsets.US_ASCII));
+            assertEquals("whole", new String(response.body(), StandardCharsets.US_ASCII));
         }
     }
 }
--- a/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
@@ -19,10 +19,10 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
-/** An endpoint of a model that starts again under its id, seen by an entry and an agent, over real sockets. */
+/** Tests how an entry and an agent handle a model endpoint that restarts under the same id, over real sockets. */
 class RestartedEndpointTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
     private static final long FIRST_START = 1_764_718_000_000L;
     private static final long SECOND_START = FIRST_START + 30_000;
     private static final String ID = "model-1";
@@ -40,11 +40,11 @@
         platform.enter(ID, "models", 1, "ready");
         endpoint = platform.endpoint(ID);
         caller = HttpCaller.start("test", 1);
-        HostedSettings beside = platform.agent(ID);
-        settings = platform.entryAsking(beside);
-        HostedAgentProcess.start(beside);
+        HostedSettings agent = platform.agent(ID);
+        settings = platform.entryAsking(agent);
+        HostedAgentProcess.start(agent);
         HostedEntryProcess.start(settings);
-        Await.until("an answer by version 1", () -> ask() == 200);
+        Await.until("a response of version 1", () -> sendRequest() == 200);
     }
 
     @AfterEach
@@ -53,48 +53,51 @@
         platform.close();
     }
 
-    private int ask() {
+    private int sendRequest() {
         String clients = settings.listen().clients().orElseThrow();
-        return caller.call(HostedSystem.request(clients, "/stream/x", "attempt-1"), WITHIN)
+        return caller.call(HostedSystem.request(clients, "/stream/x", "attempt-1"), TIMEOUT)
                 .toOptional()
                 .map(HttpAnswer::status)
                 .orElse(0);
     }
 
-    /** A refusal alone does not show that the entry knows: it also follows a sending that the endpoint turned away. */
+    /**
+     * A refusal alone does not show that the entry knows of the restart: it also follows an attempt that the endpoint
+     * refused.
+     */
     private boolean refusesWithoutSending() {
         int before = endpoint.misdirected();
-        return ask() == 503 && endpoint.misdirected() == before;
+        return sendRequest() == 503 && endpoint.misdirected() == before;
     }
 
     private void nameVersion(long version) {
         platform.store().append("keyed.op", "version/model-a", "{\"model\":\"model-a\",\"version\":" + version + "}");
     }
 
-    private void startAgain(Ending ending) {
+    private void restart(Ending ending) {
         platform.startAgain(ID, SECOND_START, ending);
         platform.enter(ID, "models", 0, "ready");
     }
 
     @Test
-    void shouldSendNothingToEndpointThatHoldsNothingAnyMore() {
-        startAgain(Ending.CRASH);
-        Await.until("nothing to send to", this::refusesWithoutSending);
+    void shouldSendNothingToRestartedEndpointWithoutWeights() {
+        restart(Ending.CRASH);
+        Await.until("no endpoint to send to", this::refusesWithoutSending);
         int before = endpoint.misdirected();
         for (int request = 0; request < 5; request++) {
-            assertEquals(503, ask());
+            assertEquals(503, sendRequest());
         }
-        assertEquals(before, endpoint.misdirected(), "requests that were sent although the endpoint holds nothing");
+        assertEquals(before, endpoint.misdirected(), "requests that were sent although the endpoint holds no weights");
     }
 
     @ParameterizedTest
     @EnumSource(Ending.class)
-    void shouldBringEndpointBackToNamedVersion(Ending ending) {
+    void shouldRestoreNamedVersionAtRestartedEndpoint(Ending ending) {
         nameVersion(2);
         Await.until("version 2", () -> endpoint.version() == 2);
-        Await.until("an answer by version 2", () -> ask() == 200);
-        startAgain(ending);
+        Await.until("a response of version 2", () -> sendRequest() == 200);
+        restart(ending);
         Await.until("version 2 again", () -> endpoint.version() == 2);
-        Await.until("an answer by the new start", () -> ask() == 200);
+        Await.until("a response of the new process", () -> sendRequest() == 200);
     }
 }
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -26,12 +26,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * The serving part of an entry over the platform in small. Its clock moves only when a test moves it, so that nothing that was
- * told grows old however long a step takes.
+ * Runs the serving part of an entry against a small platform of stand-ins. Its clock advances only when a test does so,
+ * so that no report expires however long a step takes.
  */
 abstract class ServingFixture {
 
-    static final Duration WITHIN = Duration.ofSeconds(10);
+    static final Duration TIMEOUT = Duration.ofSeconds(10);
     static final String MODEL = "model-a";
     static final long NEVER_MILLIS = 1_000_000;
 
@@ -60,16 +60,16 @@
         platform.close();
     }
 
-    /** The agent beside an endpoint tells that this is idle and which weight version it holds. */
-    final void idleWith(String endpoint, long version) {
+    /** Reports to the entry that an endpoint is idle and holds the given weight version. */
+    final void reportIdle(String endpoint, long version) {
         choice.load(endpoint).told(new LoadReport(0, 0, false, version), 0, clockMillis.get());
     }
 
-    /** Starts to serve, and waits until a manifest and an endpoint are known. */
+    /** Starts the handler, and waits until a manifest and an endpoint are known. */
     final void serve(
             EndpointProtocol protocol,
             RetryBudget budget,
-            ServingHandler.AgentQuestions questions,
+            ServingHandler.AgentQuestions agentQueries,
             ServingHandler.VersionTimes times)
             throws IOException {
         handler = ServingHandler.of(new ServingHandler.Parts(
@@ -81,50 +81,50 @@
                 budget,
                 new MetricRegistry(),
                 clockMillis::get,
-                questions,
+                agentQueries,
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
-        HttpListener.on(clients(), HttpListener.Bounds.usual(), worker, handler);
-        FollowedStore.follow(client, settings, WITHIN, views);
+                Crashes.disabled()));
+        HttpListener.on(clientAddress(), HttpListener.Bounds.usual(), worker, handler);
+        TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
     }
 
-    /** A manifest, and one plain endpoint. */
-    final void onePlainEndpoint() {
-        platform.manifest(2, "key-a", WITHIN.toMillis());
+    /** Adds a manifest and one plain endpoint. */
+    final void addPlainEndpoint() {
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
         platform.add("plain-1", "plain", 0);
     }
 
-    /** Serves where no weight version is ever named. */
+    /** Starts the handler without weight versions ever being required. */
     final void serveWithoutVersions() throws IOException {
         ServingHandler.VersionTimes never = new ServingHandler.VersionTimes(NEVER_MILLIS, NEVER_MILLIS, NEVER_MILLIS);
         serve(new EndpointHeaders(), new RetryBudget(0, 1_000), (endpoint, then) -> then.accept(true), never);
     }
 
-    /** How many requests have reached an endpoint. */
+    /** The number of requests that an endpoint has received. */
     final int received(String endpoint) {
         return platform.endpoint(endpoint).received().size();
     }
 
-    /** Takes a step on the thread for traffic, has the entry look after its requests there, and waits until both are done. */
-    final void lookAfterRequests(Runnable before) throws Exception {
-        CompletableFuture<Void> looked = new CompletableFuture<>();
+    /** Runs an action and then the check of all requests on the traffic thread, and waits until both are done. */
+    final void checkRequests(Runnable before) throws Exception {
+        CompletableFuture<Void> checked = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             before.run();
             handler.lookAfterRequests();
-            looked.complete(null);
+            checked.complete(null);
         });
-        looked.get(WITHIN.toMillis(), TimeUnit.MILLISECONDS);
+        checked.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Where clients reach the entry. */
-    final String clients() {
+    /** The address at which clients reach the entry. */
+    final String clientAddress() {
         return settings.listen().clients().orElseThrow();
     }
 
-    /** Sends a request and waits for its answer; status 0 if there is none. */
-    final HttpAnswer ask(String path) {
-        return client.call(HostedSystem.request(clients(), path, "attempt-1"), WITHIN)
+    /** Sends a request and waits for the response; status 0 if there is none. */
+    final HttpAnswer sendRequest(String path) {
+        return client.call(HostedSystem.request(clientAddress(), path, "attempt-1"), TIMEOUT)
                 .toOptional()
                 .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
     }
--- a/src/test/java/org/micabarrow/serving/ServingMetricsTest.java
+++ b/src/test/java/org/micabarrow/serving/ServingMetricsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Under which name a request is counted when it ends. */
+/** Checks which counter each outcome increments. */
 class ServingMetricsTest {
 
     @ParameterizedTest
@@ -15,9 +15,9 @@
         "ANSWERED, requests.answered", "NOT_RUN, requests.notRun", "UNKNOWN, requests.unknown",
         "TIMED_OUT, requests.unknown", "BROKEN, requests.broken", "CLIENT_GONE, requests.clientGone"
     })
-    void shouldCountRequestByItsEnd(Ending ending, String counter) {
+    void shouldCountRequestByOutcome(RequestOutcome outcome, String counter) {
         MetricRegistry registry = new MetricRegistry();
-        new ServingMetrics(registry).ended(ending);
+        new ServingMetrics(registry).countOutcome(outcome);
         assertEquals(1, registry.counter(counter).getCount());
         long all = registry.getCounters().values().stream()
                 .mapToLong(Counter::getCount)
--- a/src/test/java/org/micabarrow/serving/SilentClientTest.java
+++ b/src/test/java/org/micabarrow/serving/StalledClientTest.java
@@ -21,24 +21,29 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 
-/** What an entry bears of a client that takes none of its answer, as one whose connection fell silent does. */
-class SilentClientTest {
+/**
+ * Guards against an entry that keeps resources for a client that stops reading its response, as after a lost
+ * connection.
+ */
+class StalledClientTest {
 
     private static final String HEAD = "HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nServer-Seal: s\r\nContent-Length: ";
 
-    /** The least that a client can set; what it takes of an answer that it does not read. */
+    /** The smallest receive buffer that a client can set, which limits what it accepts without reading. */
     private static final int CLIENT_BUFFER_BYTES = 1_024;
 
-    /** An answer that is held until it is whole. */
-    private static final int WHOLE_BYTES = 255 * 1024;
+    /** The size of a response that is buffered until it is complete. */
+    private static final int BUFFERED_BYTES = 255 * 1024;
 
-    /** So many whole answers that no connection takes all of them if nobody reads. */
+    /** Enough complete responses that no connection accepts all of them unread. */
     private static final int REQUESTS = 64;
 
     private static final long ENDLESS_BYTES = 1L << 40;
 
-    /** How many looks in a row must find no open request, since there is a moment without one between two answers. */
-    private static final int LOOKS = 40;
+    /**
+     * How many consecutive checks must find no open request, since there is a moment without one between two responses.
+     */
+    private static final int CHECKS = 40;
 
     /** Ends a test that hangs. */
     private static final int HANG_MILLIS = 8_000;
@@ -46,8 +51,8 @@
     private HostedSystem platform;
     private ServerSocket endpoint;
     private HostedSettings settings;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final AtomicInteger answered = new AtomicInteger();
+    private final CountDownLatch connectionClosed = new CountDownLatch(1);
+    private final AtomicInteger completed = new AtomicInteger();
 
     @BeforeEach
     void start() throws IOException {
@@ -64,35 +69,38 @@
         platform.close();
     }
 
-    /** Answers requests, each on its own connection, with so many bytes; looks whether one of them ends before the last. */
-    private void answer(long bytes) {
+    /**
+     * Answers requests, each on its own connection, with the given number of bytes, and detects whether a connection
+     * ends early.
+     */
+    private void respond(long bytes) {
         Thread.ofPlatform().daemon().start(() -> {
             while (!endpoint.isClosed()) {
                 try (Socket socket = endpoint.accept()) {
-                    answer(socket, bytes);
-                    answered.incrementAndGet();
+                    respond(socket, bytes);
+                    completed.incrementAndGet();
                 } catch (IOException e) {
-                    // The entry has ended the connection, or the test its endpoint.
-                    ended.countDown();
+                    // The entry closed the connection, or the test closed the endpoint.
+                    connectionClosed.countDown();
                 }
             }
         });
     }
 
-    private static void answer(Socket socket, long bytes) throws IOException {
+    private static void respond(Socket socket, long bytes) throws IOException {
         StringBuilder read = new StringBuilder();
         while (!read.toString().endsWith("a body")) {
             read.append((char) socket.getInputStream().read());
         }
         OutputStream output = socket.getOutputStream();
         output.write((HEAD + bytes + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-        byte[] part = new byte[CLIENT_BUFFER_BYTES];
-        for (long left = bytes; left > 0; left -= part.length) {
-            output.write(part);
+        byte[] chunk = new byte[CLIENT_BUFFER_BYTES];
+        for (long remaining = bytes; remaining > 0; remaining -= chunk.length) {
+            output.write(chunk);
         }
     }
 
-    private Socket silentClient(int requests) throws IOException {
+    private Socket stalledClient(int requests) throws IOException {
         InetSocketAddress clients = Addresses.parse(settings.listen().clients().orElseThrow());
         Socket client = new Socket();
         client.setReceiveBufferSize(CLIENT_BUFFER_BYTES);
@@ -103,37 +111,37 @@
         return client;
     }
 
-    private HostedEntryProcess begin() throws IOException {
+    private HostedEntryProcess startEntry() throws IOException {
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("a manifest and the endpoint", () -> entry.takesRequests() && entry.endpoints() == 1);
         return entry;
     }
 
     @Test
-    void shouldFreeEndpointWhenClientTakesNoMoreOfLongAnswer() throws Exception {
-        HostedEntryProcess entry = begin();
-        answer(ENDLESS_BYTES);
-        try (Socket client = silentClient(1)) {
-            Await.until("the end at the endpoint", () -> ended.getCount() == 0);
+    void shouldFreeEndpointWhenClientStopsReadingLongResponse() throws Exception {
+        HostedEntryProcess entry = startEntry();
+        respond(ENDLESS_BYTES);
+        try (Socket client = stalledClient(1)) {
+            Await.until("the cancellation at the endpoint", () -> connectionClosed.getCount() == 0);
             Await.until("no open request", () -> entry.open() == 0);
             assertFalse(client.isClosed());
         }
-        assertEquals(0, answered.get());
+        assertEquals(0, completed.get());
     }
 
     @Test
-    void shouldFreeConnectionWhenClientTakesNoMoreOfWholeAnswers() throws Exception {
-        HostedEntryProcess entry = begin();
-        answer(WHOLE_BYTES);
-        try (Socket client = silentClient(REQUESTS)) {
-            Await.until("some answers", () -> answered.get() > 0);
-            AtomicInteger looks = new AtomicInteger();
+    void shouldFreeConnectionWhenClientStopsReadingCompleteResponses() throws Exception {
+        HostedEntryProcess entry = startEntry();
+        respond(BUFFERED_BYTES);
+        try (Socket client = stalledClient(REQUESTS)) {
+            Await.until("some responses", () -> completed.get() > 0);
+            AtomicInteger checks = new AtomicInteger();
             Await.until(
                     "no open request any more",
-                    () -> looks.updateAndGet(before -> entry.open() == 0 ? before + 1 : 0) == LOOKS);
+                    () -> checks.updateAndGet(before -> entry.open() == 0 ? before + 1 : 0) == CHECKS);
             client.setSoTimeout(HANG_MILLIS);
-            assertTrue(client.getInputStream().readAllBytes().length > 0, "what was on its way, and then the end");
+            assertTrue(client.getInputStream().readAllBytes().length > 0, "the data in transit, then the end of the stream");
         }
-        assertTrue(answered.get() < REQUESTS, "the connection took all answers, which shows nothing");
+        assertTrue(completed.get() < REQUESTS, "the connection accepted all responses, so the test shows nothing");
     }
 }
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -41,15 +41,18 @@
 import org.micabarrow.views.ViewKeeper;
 import org.xnio.XnioWorker;
 
-/** What an entry that stops has read is answered, and what it does not answer it does not read. */
+/**
+ * Guards against an entry that stops without responding to a request that it has read, or that reads requests it will
+ * not respond to.
+ */
 class StoppingEntryTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-    /** So long that a stop waits for a request that is open, in milliseconds. */
+    /** Long enough that a stop waits for an open request, in milliseconds. */
     private static final long GRACE_MILLIS = 60_000;
 
-    private static final Pattern ANSWER = Pattern.compile("HTTP/1\\.1 200");
+    private static final Pattern RESPONSE = Pattern.compile("HTTP/1\\.1 200");
     private static final Pattern CLOSE = Pattern.compile("(?i)connection: close");
 
     private HostedSystem platform;
@@ -59,7 +62,7 @@
     @BeforeEach
     void start() {
         platform = HostedSystem.start();
-        platform.manifest(2, "key-a", WITHIN.toMillis());
+        platform.manifest(2, "key-a", TIMEOUT.toMillis());
         platform.add("plain-1", "plain", 0);
         settings = platform.entry();
         client = HttpCaller.start("client", 1);
@@ -76,7 +79,7 @@
     private Socket connect() throws IOException {
         InetSocketAddress clients = Addresses.parse(settings.listen().clients().orElseThrow());
         Socket connected = new Socket(clients.getAddress(), clients.getPort());
-        connected.setSoTimeout((int) WITHIN.toMillis());
+        connected.setSoTimeout((int) TIMEOUT.toMillis());
         return connected;
     }
 
@@ -86,14 +89,14 @@
         connection.getOutputStream().write(request.repeat(requests).getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** What comes on a connection before its end, in good order or not. */
+    /** Reads a connection until its end, orderly or not. */
     private static String read(Socket connection) throws IOException {
         StringBuilder read = new StringBuilder();
         try {
-            for (int one = connection.getInputStream().read();
-                    one >= 0;
-                    one = connection.getInputStream().read()) {
-                read.append((char) one);
+            for (int next = connection.getInputStream().read();
+                    next >= 0;
+                    next = connection.getInputStream().read()) {
+                read.append((char) next);
             }
         } catch (SocketException e) {
             read.append("(reset)");
@@ -107,13 +110,13 @@
 
     // -- the process
 
-    private HostedEntryProcess begin() throws IOException {
+    private HostedEntryProcess startEntry() throws IOException {
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("a manifest and the endpoint", () -> entry.takesRequests() && entry.endpoints() == 1);
         return entry;
     }
 
-    private static CompletableFuture<Void> stopping(HostedEntryProcess entry) {
+    private static CompletableFuture<Void> closeAsync(HostedEntryProcess entry) {
         return CompletableFuture.runAsync(() -> {
             try {
                 entry.close();
@@ -124,12 +127,13 @@
     }
 
     @Test
-    void shouldReadNothingOnceItHasStopped() throws Exception {
-        HostedEntryProcess entry = begin();
-        try (Socket unused = connect()) {
+    void shouldReadNothingAfterStop() throws Exception {
+        HostedEntryProcess entry = startEntry();
+        try (Socket idle = connect()) {
             entry.close();
-            // Whatever is read after the last look for open requests ends with the process, without an answer.
-            assertEquals("", afterSending(unused).replace("(reset)", ""));
+            // A request that is read after the last check for open requests would end with the process, without a
+            // response.
+            assertEquals("", afterSending(idle).replace("(reset)", ""));
             assertEquals(0, platform.endpoint("plain-1").received().size());
         }
         assertThrows(ConnectException.class, this::connect);
@@ -145,7 +149,7 @@
     }
 
     @Test
-    void shouldRefuseUntilLastOpenRequestIsAnswered() throws Exception {
+    void shouldRefuseNewRequestsUntilLastOpenOneIsAnswered() throws Exception {
         HostedSettings.Bounds usual = settings.bounds();
         settings = new HostedSettings(
                 settings.instance(),
@@ -167,48 +171,48 @@
                         usual.crashMemoryMillis(),
                         usual.crashesKept()),
                 settings.log());
-        HostedEntryProcess entry = begin();
+        HostedEntryProcess entry = startEntry();
         platform.next(Behaviour.HANG);
         String clients = settings.listen().clients().orElseThrow();
         HttpCall open = HostedSystem.request(clients, "/again/x", "attempt-1").withHeader("Deadline-Ms", "9000");
-        Runnable leave = client.send(open, new Ignoring());
+        Runnable cancel = client.send(open, new Ignoring());
         Await.until("the open request", () -> platform.endpoint("plain-1").hanging() == 1);
-        CompletableFuture<Void> stopped = stopping(entry);
+        CompletableFuture<Void> stopped = closeAsync(entry);
         HttpCall other = HostedSystem.request(clients, "/once/x", "attempt-2");
         Await.until(
                 "a refusal",
-                () -> client.call(other, WITHIN)
+                () -> client.call(other, TIMEOUT)
                         .toOptional()
-                        .filter(answer -> answer.status() == 503)
+                        .filter(response -> response.status() == 503)
                         .isPresent());
-        leave.run();
-        stopped.get(WITHIN.toSeconds(), TimeUnit.SECONDS);
-        assertTrue(client.call(other, WITHIN).cause().isPresent(), "nothing is there any more");
+        cancel.run();
+        stopped.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
+        assertTrue(client.call(other, TIMEOUT).cause().isPresent(), "nothing listens any more");
     }
 
     @Test
-    void shouldTellClientThatItsOutcomeIsUnknownWhenGraceIsOver() throws Exception {
-        HostedEntryProcess entry = begin();
+    void shouldReportUnknownOutcomeWhenGracePeriodEnds() throws Exception {
+        HostedEntryProcess entry = startEntry();
         platform.next(Behaviour.HANG);
         String clients = settings.listen().clients().orElseThrow();
         HttpCall open = HostedSystem.request(clients, "/once/x", "attempt-1").withHeader("Deadline-Ms", "9000");
         CompletableFuture<Integer> status = CompletableFuture.supplyAsync(
-                () -> client.call(open, WITHIN).toOptional().orElseThrow().status());
+                () -> client.call(open, TIMEOUT).toOptional().orElseThrow().status());
         Await.until("the open request", () -> platform.endpoint("plain-1").hanging() == 1);
         entry.close();
-        assertEquals(0, entry.open(), "nothing ends with the process without an answer");
-        assertEquals(504, status.get(WITHIN.toSeconds(), TimeUnit.SECONDS));
+        assertEquals(0, entry.open(), "no request ends with the process without a response");
+        assertEquals(504, status.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
         Await.until(
-                "the end at the endpoint", () -> platform.endpoint("plain-1").hanging() == 0);
+                "the cancellation at the endpoint", () -> platform.endpoint("plain-1").hanging() == 0);
     }
 
     // -- connections
 
-    /** Tells when the first answer of an endpoint is here, and not yet on its way to the client. */
-    private static final class Answering implements EndpointProtocol {
+    /** Runs an action when the first response of an endpoint has arrived, before it is forwarded to the client. */
+    private static final class FirstResponseHook implements EndpointProtocol {
 
         private final EndpointHeaders headers = new EndpointHeaders();
-        private final AtomicReference<Runnable> first = new AtomicReference<>(() -> {});
+        private final AtomicReference<Runnable> onFirstResponse = new AtomicReference<>(() -> {});
 
         @Override
         public HttpCall call(ClientRequest request, Sending sending) {
@@ -217,16 +221,19 @@
 
         @Override
         public AnswerHead head(ClientRequest request, int status, Map<String, String> received) {
-            first.getAndSet(() -> {}).run();
+            onFirstResponse.getAndSet(() -> {}).run();
             return headers.head(request, status, received);
         }
     }
 
-    /** What a client reads that sends some requests at once, while the entry begins to stop before it answers the first. */
-    private String answersWhenStopBegins(int requests) throws IOException {
+    /**
+     * Returns what a client receives that sends several requests at once, while the entry begins to stop before it
+     * responds to the first.
+     */
+    private String responsesWhenStopBegins(int requests) throws IOException {
         XnioWorker worker = HttpCaller.worker("stopping-entry", 1);
-        ViewKeeper views = new ViewKeeper(new StoreRecords(), StoppingEntryTest::steadyMillis);
-        Answering protocol = new Answering();
+        ViewKeeper views = new ViewKeeper(new StoreRecords(), StoppingEntryTest::monotonicMillis);
+        FirstResponseHook protocol = new FirstResponseHook();
         ServingHandler handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
                 new EndpointChoice("region-a", Map.of("hall-a", "region-a")),
@@ -235,15 +242,15 @@
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 new RetryBudget(0, 0),
                 new MetricRegistry(),
-                StoppingEntryTest::steadyMillis,
+                StoppingEntryTest::monotonicMillis,
                 (endpoint, then) -> then.accept(true),
                 new ServingHandler.VersionTimes(GRACE_MILLIS, GRACE_MILLIS, GRACE_MILLIS),
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
-        protocol.first.set(handler.connections()::leave);
+                Crashes.disabled()));
+        protocol.onFirstResponse.set(handler.connections()::leave);
         String clients = settings.listen().clients().orElseThrow();
         HttpListener.on(clients, HttpListener.Bounds.usual(), worker, handler);
-        FollowedStore.follow(client, settings, WITHIN, views);
+        TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
         try (Socket connection = connect()) {
             send(connection, requests);
             return read(connection);
@@ -252,21 +259,21 @@
         }
     }
 
-    private static long steadyMillis() {
+    private static long monotonicMillis() {
         return System.nanoTime() / 1_000_000;
     }
 
     @Test
-    void shouldAskClientToLeaveWhenStopBeganDuringItsRequest() throws IOException {
-        String answers = answersWhenStopBegins(1);
-        assertEquals(1, count(ANSWER, answers), answers);
-        assertEquals(1, count(CLOSE, answers), answers);
+    void shouldCloseConnectionWhenStopBeganDuringRequest() throws IOException {
+        String responses = responsesWhenStopBegins(1);
+        assertEquals(1, count(RESPONSE, responses), responses);
+        assertEquals(1, count(CLOSE, responses), responses);
     }
 
     @Test
-    void shouldAnswerAllThatWasReadWhenClientSentTheNextAlready() throws IOException {
-        String answers = answersWhenStopBegins(3);
-        assertEquals(3, count(ANSWER, answers), answers);
-        assertEquals(1, count(CLOSE, answers), answers);
+    void shouldAnswerAllPipelinedRequestsWhenStopBegins() throws IOException {
+        String responses = responsesWhenStopBegins(3);
+        assertEquals(3, count(RESPONSE, responses), responses);
+        assertEquals(1, count(CLOSE, responses), responses);
     }
 }
--- a/src/test/java/org/micabarrow/serving/FollowedStore.java
+++ b/src/test/java/org/micabarrow/serving/TopicFollowers.java
@@ -9,14 +9,14 @@
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.ViewKeeper;
 
-/** The platform's store in small, followed for a view of it. */
-final class FollowedStore {
+/** Follows the topics of the platform's test store to build a view. */
+final class TopicFollowers {
 
-    private FollowedStore() {}
+    private TopicFollowers() {}
 
     /** Follows both topics, and waits until a manifest and an endpoint are known. */
-    static void follow(HttpCaller caller, HostedSettings settings, Duration within, ViewKeeper views) {
-        StoreClient store = new StoreClient(caller, settings.store(), within);
+    static void startAndAwaitView(HttpCaller caller, HostedSettings settings, Duration timeout, ViewKeeper views) {
+        StoreClient store = new StoreClient(caller, settings.store(), timeout);
         StoreFollower.Pace pace = new StoreFollower.Pace(Duration.ofMillis(200), Duration.ZERO);
         new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, pace).start();
         new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, pace).start();
