--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -254,12 +254,12 @@
             return;
         }
         load.heard(context.nowMillis());
-        AnswerHead read = context.protocol().head(request, status, headers);
-        read.weightVersion().ifPresent(load::answeredBy);
-        if (read.ofThisEndpoint()) {
-            applyEndpointState(read);
+        AnswerHead head = context.protocol().head(request, status, headers);
+        head.weightVersion().ifPresent(load::answeredBy);
+        if (head.isFromIntendedEndpoint()) {
+            applyEndpointState(head);
         }
-        switch (HeadClassification.classify(read, request.route().kind().repeatable(), response.started())) {
+        switch (HeadClassification.classify(head, request.route().kind().repeatable(), response.started())) {
             case NOT_RUN -> fail(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
                 load.failures().misdirected(context.nowMillis());
@@ -270,30 +270,30 @@
                 fail(AttemptEnd.UNKNOWN, "the response does not belong to this request");
             }
             case NOT_TO_PASS -> {
-                recordStatus(read.status());
-                fail(AttemptEnd.UNKNOWN, "the endpoint responded with " + read.status() + " without stating that the request was not run");
+                recordStatus(head.status());
+                fail(AttemptEnd.UNKNOWN, "the endpoint responded with " + head.status() + " without stating that the request was not run");
             }
             case ERROR -> {
-                recordStatus(read.status());
-                onEndpointError(read);
+                recordStatus(head.status());
+                onEndpointError(head);
             }
             case ANSWER -> {
-                recordStatus(read.status());
-                relay.start(read, false);
+                recordStatus(head.status());
+                relay.start(head, false);
             }
         }
     }
 
     /** Records what the response states about the endpoint itself, which later routing decisions use. */
-    private void applyEndpointState(AnswerHead read) {
-        if (read.leaving()) {
+    private void applyEndpointState(AnswerHead head) {
+        if (head.draining()) {
             context.markDraining(endpoint);
         }
-        read.restMillis().ifPresent(millis -> {
+        head.backoffMillis().ifPresent(millis -> {
             load.rest().asked(millis, context.nowMillis());
             served.log().backoffRequested(endpoint, millis);
         });
-        if (load.limit().answered(read.limit(), startMillis, context.nowMillis())) {
+        if (load.limit().answered(head.rateLimit(), startMillis, context.nowMillis())) {
             load.limit().logChange("answer");
         }
     }
@@ -308,11 +308,11 @@
         }
     }
 
-    private void onEndpointError(AnswerHead read) {
+    private void onEndpointError(AnswerHead head) {
         if (served.reserveRetry()) {
-            switchEndpoint(AttemptEnd.FAILED, "the endpoint failed with " + read.status());
+            switchEndpoint(AttemptEnd.FAILED, "the endpoint failed with " + head.status());
         } else {
-            relay.start(read, true);
+            relay.start(head, true);
         }
     }
 
--- a/src/main/java/org/micabarrow/serving/ClientResponse.java
+++ b/src/main/java/org/micabarrow/serving/ClientResponse.java
@@ -61,7 +61,7 @@
     void start(AnswerHead head) {
         started = true;
         exchange.setStatusCode(head.status());
-        head.passedOn().forEach((name, value) -> exchange.getResponseHeaders().put(new HttpString(name), value));
+        head.forwardedHeaders().forEach((name, value) -> exchange.getResponseHeaders().put(new HttpString(name), value));
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -31,34 +31,34 @@
      * The head of an endpoint's response.
      *
      * @param status its HTTP status
-     * @param own whether it belongs to the request that was sent rather than to an earlier one
+     * @param matchesAttempt whether it belongs to the request that was sent rather than to an earlier one
      * @param signed whether it carries the endpoint's signature
      * @param notRun whether it states that the request was not run
      * @param misdirected whether it states that the request was meant for another endpoint or version
      * @param weightVersion the weight version that served the request
-     * @param leaving whether the endpoint states that it is draining
-     * @param restMillis how long the endpoint asks to get no requests from this process; empty if it does not say
-     * @param limit the endpoint's rate limit in requests per second over all entries; empty if it names none
-     * @param passedOn the headers for the client
+     * @param draining whether the endpoint states that it is draining
+     * @param backoffMillis how long the endpoint asks to get no requests from this process; empty if it does not say
+     * @param rateLimit the endpoint's rate limit in requests per second over all entries; empty if it names none
+     * @param forwardedHeaders the headers to forward to the client
      */
     record AnswerHead(
             int status,
-            boolean own,
+            boolean matchesAttempt,
             boolean signed,
             boolean notRun,
             boolean misdirected,
             Optional<Long> weightVersion,
-            boolean leaving,
-            OptionalLong restMillis,
-            OptionalDouble limit,
-            Map<String, String> passedOn) {
+            boolean draining,
+            OptionalLong backoffMillis,
+            OptionalDouble rateLimit,
+            Map<String, String> forwardedHeaders) {
 
         /**
          * Whether the response certainly comes from the intended endpoint; another endpoint at its address states that
          * it is another.
          */
-        boolean ofThisEndpoint() {
-            return !misdirected && (own || notRun);
+        boolean isFromIntendedEndpoint() {
+            return !misdirected && (matchesAttempt || notRun);
         }
     }
 
--- a/src/main/java/org/micabarrow/serving/HeadClassification.java
+++ b/src/main/java/org/micabarrow/serving/HeadClassification.java
@@ -50,7 +50,7 @@
         if (head.misdirected()) {
             return MISDIRECTED;
         }
-        if (!head.own() || !head.signed()) {
+        if (!head.matchesAttempt() || !head.signed()) {
             return NO_ANSWER;
         }
         boolean suggestsNotRun = STATUSES_SUGGESTING_NOT_RUN.contains(head.status()) && !repeatable;
--- a/src/main/java/org/micabarrow/serving/RequestReader.java
+++ b/src/main/java/org/micabarrow/serving/RequestReader.java
@@ -21,9 +21,9 @@
          * A request that is refused.
          *
          * @param status the HTTP status of the response
-         * @param why the reason, for the client and the log
+         * @param reason the reason, for the client and the log
          */
-        record Refused(int status, String why) implements Reading {}
+        record Refused(int status, String reason) implements Reading {}
     }
 
     /**
