--- a/src/main/java/org/micabarrow/serving/ClientDisconnectDetector.java
+++ b/src/main/java/org/micabarrow/serving/ClientDisconnectDetector.java
@@ -33,11 +33,11 @@
     static void start(HttpServerExchange exchange, Runnable onDisconnect) {
         exchange.getConnection().addCloseListener(closed -> onDisconnect.run());
         if (exchange.getConnection() instanceof HttpServerConnection connection && connection.getExtraBytes() == null) {
-            ClientDisconnectDetector watch = new ClientDisconnectDetector(connection, onDisconnect);
+            ClientDisconnectDetector detector = new ClientDisconnectDetector(connection, onDisconnect);
             ConduitStreamSourceChannel source = connection.getChannel().getSourceChannel();
             // The request has been read completely, so its own conduit would always report the end of the stream.
             source.setConduit(connection.getOriginalSourceConduit());
-            source.setReadListener(watch::onReadable);
+            source.setReadListener(detector::onReadable);
             source.resumeReads();
         }
     }
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -37,8 +37,8 @@
      * @param misdirected whether it states that the request was meant for another endpoint or version
      * @param weightVersion the weight version that served the request
      * @param draining whether the endpoint states that it is draining
-     * @param backoffMillis how long the endpoint asks to get no requests from this process; empty if it does not say
-     * @param rateLimit the endpoint's rate limit in requests per second over all entries; empty if it names none
+     * @param backoffMillis how long the endpoint asks to get no requests from this process; empty if unspecified
+     * @param rateLimit the endpoint's rate limit in requests per second over all entries; empty if unspecified
      * @param forwardedHeaders the headers to forward to the client
      */
     record AnswerHead(
--- a/src/main/java/org/micabarrow/serving/ManifestAge.java
+++ b/src/main/java/org/micabarrow/serving/ManifestAge.java
@@ -12,7 +12,7 @@
  * newer one may allow larger bodies. The entry therefore responds with 401, 404 or 413 only while it can prove that it
  * knows every manifest that must be active by now. Otherwise it responds that the request was not run and may be
  * retried, so that an unresponsive store does not turn valid clients away for good. Requests that the manifest allows
- * are served whatever its age, since the store may be unreachable for long.
+ * are served whatever its age, since the store may be unreachable for a long time.
  *
  * <p>Invalid clients, too, are then told to retry, until the store or a peer that has reached it replies, or, if a
  * manifest is missing that no process has any more, until operators write the next one. This is no endless loop: the
--- a/src/main/java/org/micabarrow/serving/PreSendCheck.java
+++ b/src/main/java/org/micabarrow/serving/PreSendCheck.java
@@ -63,7 +63,7 @@
         }
         long connectMillis = context.nowMillis() - decidedMillis;
         if (connectMillis > CONNECT_TIMEOUT_MILLIS && !served.hadLateConnection()) {
-            // Updates that arrived meanwhile have not been read yet, so even a decision that seems valid rests on an
+            // Updates that arrived meanwhile have not been read yet, so even a decision that seems valid is based on an
             // old view. This is done only once per request: in a process that is always slow, every connection would be
             // late, and nothing would ever be sent.
             return new Result.Outdated("the connection was established only after " + connectMillis + " ms", true);
--- a/src/main/java/org/micabarrow/serving/ResponseRelay.java
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -42,11 +42,11 @@
      * Accepts the response head. The head of a stream is forwarded at once, unless the client already has one or the
      * endpoint reported an error.
      */
-    void start(AnswerHead read, boolean error) {
-        head = Optional.of(read);
+    void start(AnswerHead responseHead, boolean error) {
+        head = Optional.of(responseHead);
         forwarding = stream && !error;
         if (forwarding && !response.started()) {
-            response.start(read);
+            response.start(responseHead);
         }
     }
 
@@ -81,12 +81,12 @@
     /** Finishes the response after its last byte has arrived. */
     void complete(EndpointEntry endpoint) {
         if (!forwarding) {
-            finish(endpoint);
+            concludeRequest(endpoint);
             response.sendWhole(head.orElseThrow(), buffered.toByteArray());
             return;
         }
         byte[] rest = events.remainder();
-        finish(endpoint);
+        concludeRequest(endpoint);
         if (rest.length == 0) {
             response.end();
         } else {
@@ -94,7 +94,7 @@
         }
     }
 
-    private void finish(EndpointEntry endpoint) {
+    private void concludeRequest(EndpointEntry endpoint) {
         served.onResponseComplete("endpoint=" + endpoint.id() + " hall=" + endpoint.dataHall() + " status="
                 + head.map(AnswerHead::status).orElse(0) + " weights="
                 + head.flatMap(AnswerHead::weightVersion).map(String::valueOf).orElse("-"));
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -348,8 +348,8 @@
         conclude(RequestOutcome.CLIENT_GONE, "the client closed its connection");
     }
 
-    void onResponseComplete(String what) {
-        conclude(RequestOutcome.ANSWERED, what);
+    void onResponseComplete(String details) {
+        conclude(RequestOutcome.ANSWERED, details);
     }
 
     private void conclude(RequestOutcome outcome, String reason) {
--- a/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -101,7 +101,7 @@
 
     private HttpAnswer sendRequest(String path, String key, Optional<String> id, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Host", "h.example", "Key", key, "Deadline-Ms", "3000"));
-        id.ifPresent(one -> headers.put("Attempt-Id", one));
+        id.ifPresent(value -> headers.put("Attempt-Id", value));
         HttpCall call = new HttpCall(
                 Step.READ,
                 "POST",
--- a/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
@@ -22,7 +22,7 @@
  * Guards against requests that a paused endpoint begins after it resumes.
  *
  * <p>Users saw requests begin on weights that had been replaced, and requests reach an endpoint that had been draining
- * for long. A request was sent to an endpoint whose instance paused before reading it; then a newer weight version was
+ * for a long time. A request was sent to an endpoint whose instance paused before reading it; then a newer weight version was
  * named, or the endpoint drained. The client gave up, but the entry's connection stayed open because its HTTP client
  * waits for the response on close. Seconds later the instance resumed, read the request and began it. A request queued
  * at a paused instance thus outlives the reason for sending it, unless the sender ends the connection at once.
@@ -87,7 +87,7 @@
         return response;
     }
 
-    /** Advances the clock so that the agent is silent for the given time, and lets the entry check its requests. */
+    /** Advances the clock so that the agent has not reported for the given time, and lets the entry check its requests. */
     private void passWithoutReports(long millis) throws Exception {
         clockMillis.addAndGet(millis);
         checkRequests();
