--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -137,7 +137,8 @@
      * the body has.
      */
     private String progress() {
-        return "afterMs=" + (context.nowMillis() - startMillis) + " taken=" + relay.hasHead() + " begun=" + slot.begun();
+        return "afterMs=" + (context.nowMillis() - startMillis) + " taken=" + relay.hasHead() + " begun="
+                + slot.begun();
     }
 
     /**
@@ -175,8 +176,9 @@
      */
     private void switchIfOverdue() {
         long waitingMillis = stallTimer.waitingMillis();
-        boolean overdue =
-                sendStarted && !load.delayedLately(context.nowMillis()) && AttemptPolicy.overdue(request.route(), waitingMillis);
+        boolean overdue = sendStarted
+                && !load.delayedLately(context.nowMillis())
+                && AttemptPolicy.overdue(request.route(), waitingMillis);
         if (overdue && (!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
             switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + waitingMillis + " ms");
@@ -193,7 +195,9 @@
         boolean objectiveMissed = kind.stream()
                 && kind.repeatable()
                 && served.elapsedMillis() > request.route().objectiveMillis();
-        return objectiveMissed || context.isGoneOrDraining(endpoint) || context.versions().holdsOutdated(request, endpoint);
+        return objectiveMissed
+                || context.isGoneOrDraining(endpoint)
+                || context.versions().holdsOutdated(request, endpoint);
     }
 
     private void switchEndpoint(AttemptEnd end, String reason) {
@@ -271,7 +275,10 @@
             }
             case NOT_TO_PASS -> {
                 recordStatus(head.status());
-                fail(AttemptEnd.UNKNOWN, "the endpoint responded with " + head.status() + " without stating that the request was not run");
+                fail(
+                        AttemptEnd.UNKNOWN,
+                        "the endpoint responded with " + head.status()
+                                + " without stating that the request was not run");
             }
             case ERROR -> {
                 recordStatus(head.status());
--- a/src/main/java/org/micabarrow/serving/ClientResponse.java
+++ b/src/main/java/org/micabarrow/serving/ClientResponse.java
@@ -61,7 +61,8 @@
     void start(AnswerHead head) {
         started = true;
         exchange.setStatusCode(head.status());
-        head.forwardedHeaders().forEach((name, value) -> exchange.getResponseHeaders().put(new HttpString(name), value));
+        head.forwardedHeaders()
+                .forEach((name, value) -> exchange.getResponseHeaders().put(new HttpString(name), value));
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/CrashDetector.java
+++ b/src/main/java/org/micabarrow/serving/CrashDetector.java
@@ -76,7 +76,8 @@
     /** The requests and continuations that depend on the result of a running probe. */
     private record PendingProbe(RequestsAtEndpoint requests, List<Runnable> continuations) {}
 
-    private record CancelledRequest(EndpointStart endpoint, LazyDigest request, int bytes, boolean begun, long atMillis) {
+    private record CancelledRequest(
+            EndpointStart endpoint, LazyDigest request, int bytes, boolean begun, long atMillis) {
 
         private boolean isExpired(long nowMillis) {
             return nowMillis - atMillis > CANCELLED_RETENTION_MILLIS;
@@ -111,7 +112,8 @@
             return;
         }
         boolean probing = pendingProbes.containsKey(start);
-        PendingProbe pending = pendingProbes.computeIfAbsent(start, key -> new PendingProbe(RequestsAtEndpoint.empty(), new ArrayList<>()));
+        PendingProbe pending = pendingProbes.computeIfAbsent(
+                start, key -> new PendingProbe(RequestsAtEndpoint.empty(), new ArrayList<>()));
         pending.requests().add(request, begun);
         pending.continuations().add(continuation);
         if (!probing) {
@@ -149,8 +151,10 @@
     private void recordCrash(EndpointStart start, RequestsAtEndpoint requests) {
         long now = monotonicMillis.getAsLong();
         cancelled.stream()
-                .filter(cancelledRequest -> cancelledRequest.endpoint().equals(start) && !cancelledRequest.isExpired(now))
-                .forEach(cancelledRequest -> requests.add(cancelledRequest.request().get(), cancelledRequest.begun()));
+                .filter(cancelledRequest ->
+                        cancelledRequest.endpoint().equals(start) && !cancelledRequest.isExpired(now))
+                .forEach(cancelledRequest ->
+                        requests.add(cancelledRequest.request().get(), cancelledRequest.begun()));
         crashed.put(start, requests);
         if (crashed.size() > MAX_CRASHED_STARTS) {
             crashed.remove(crashed.keySet().iterator().next());
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -77,7 +77,8 @@
 
     /** Logs that an attempt is cancelled because its response is no longer needed. */
     void cancelled(EndpointEntry endpoint, String progress, String reason) {
-        LOG.info("event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, reason);
+        LOG.info(
+                "event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, reason);
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -53,7 +53,8 @@
     }
 
     void begin() {
-        deadlineTimer = Optional.of(thread.executeAfter(() -> end("the deadline has passed"), times.heldMillis(), TimeUnit.MILLISECONDS));
+        deadlineTimer = Optional.of(
+                thread.executeAfter(() -> end("the deadline has passed"), times.heldMillis(), TimeUnit.MILLISECONDS));
         context.inFlight().add(this);
         decideNext("first");
     }
@@ -144,7 +145,9 @@
 
     private void refuseWithoutSlot(int endpoints) {
         context.countRefusedForCapacity(request);
-        String capacity = objectiveMissed() ? "headroom for a request whose objective has passed" : "a free slot within the objective of the request";
+        String capacity = objectiveMissed()
+                ? "headroom for a request whose objective has passed"
+                : "a free slot within the objective of the request";
         concludeWithoutResponse("none of " + endpoints + " endpoints has " + capacity);
     }
 
@@ -263,7 +266,9 @@
             return;
         }
         boolean truncated = response.started() && !canResume();
-        if (!truncated && AttemptPolicy.again(request.route(), attempts.progress(remainingMillis()), context.budget()::tryRetry)) {
+        if (!truncated
+                && AttemptPolicy.again(
+                        request.route(), attempts.progress(remainingMillis()), context.budget()::tryRetry)) {
             decideNext(reason);
         } else {
             concludeWithoutResponse(reason);
@@ -365,7 +370,9 @@
         context.metrics().countOutcome(outcome);
         log.finished(outcome.logName(), reason, attempts.count(), elapsedMillis());
         switch (outcome) {
-            case NOT_RUN -> response.sendOwn(outcome.status(), reason, context.recordRefusal(request, retryAfterMillis.getAsLong()));
+            case NOT_RUN ->
+                response.sendOwn(
+                        outcome.status(), reason, context.recordRefusal(request, retryAfterMillis.getAsLong()));
             case UNKNOWN, TIMED_OUT -> response.sendOwn(outcome.status(), reason, 0);
             case BROKEN -> response.abort();
             case CLIENT_GONE -> response.onDisconnect();
--- a/src/main/java/org/micabarrow/serving/ServingContext.java
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -180,7 +180,8 @@
 
     /** Whether an endpoint's agent must be queried before the request is sent there. */
     boolean mustQueryAgent(ClientRequest request, EndpointEntry endpoint) {
-        return versions.agentQueryDue(request, endpoint) && dependencies.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
+        return versions.agentQueryDue(request, endpoint)
+                && dependencies.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
     }
 
     /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
@@ -215,7 +216,8 @@
      */
     long retryAfterMillis(ClientRequest request) {
         List<EndpointEntry> endpoints = view().endpointsOf(request.service());
-        return dependencies.choice()
+        return dependencies
+                .choice()
                 .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
                 .orElseGet(() -> Admission.comeBackMillis(request.deadlineMillis() - nowMillis()));
     }
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -168,8 +168,8 @@
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (same, body) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> handleBody(exchange, body)),
-                        (same, error) ->
-                                same.dispatch(SameThreadExecutor.INSTANCE, () -> onBodyError(exchange, error, knownAsOf)));
+                        (same, error) -> same.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> onBodyError(exchange, error, knownAsOf)));
     }
 
     /** Must be read before the view, so that the view contains at least all that was known at this time. */
@@ -228,7 +228,8 @@
     }
 
     private void serve(HttpServerExchange exchange, ClientRequest request) {
-        ServedRequest served = new ServedRequest(context, request, new ClientResponse(exchange), exchange.getIoThread());
+        ServedRequest served =
+                new ServedRequest(context, request, new ClientResponse(exchange), exchange.getIoThread());
         ClientDisconnectDetector.start(exchange, served::onClientDisconnected);
         served.begin();
     }
--- a/src/main/java/org/micabarrow/serving/StartDeadline.java
+++ b/src/main/java/org/micabarrow/serving/StartDeadline.java
@@ -29,8 +29,8 @@
         versions().newerNamed(served.request(), endpoint).ifPresent(newer -> {
             long delayMillis = versions().millisUntilStartDeadline(newer);
             if (timer.isEmpty()) {
-                timer = Optional.of(
-                        served.thread().executeAfter(() -> handleReached(newer), Math.max(1, delayMillis), TimeUnit.MILLISECONDS));
+                timer = Optional.of(served.thread()
+                        .executeAfter(() -> handleReached(newer), Math.max(1, delayMillis), TimeUnit.MILLISECONDS));
             } else if (delayMillis <= 0) {
                 handleReached(newer);
             }
--- a/src/main/java/org/micabarrow/serving/SuspectAdmission.java
+++ b/src/main/java/org/micabarrow/serving/SuspectAdmission.java
@@ -70,7 +70,8 @@
      * Chooses the first of the given endpoints that has a free slot. If none has, the request waits, even if other
      * endpoints have free slots.
      */
-    private Decision decideFirst(List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+    private Decision decideFirst(
+            List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
         for (EndpointEntry endpoint : available) {
             boolean healthy = !choice.failing(endpoint, nowMillis);
             if (healthy && admission.decide(List.of(endpoint), wanted, nowMillis) instanceof Decision.Send send) {
--- a/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
@@ -28,8 +28,8 @@
     private final CrashBook book = new CrashBook(600_000, 100, () -> 8);
     private long clockMillis = 1_000;
     private int continued;
-    private final CrashDetector detector =
-            new CrashDetector(new Crashes(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
+    private final CrashDetector detector = new CrashDetector(
+            new Crashes(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
 
     private static CrashNews crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
         return new CrashNews.Crashed(new EndpointCrash("e", notBegun, begun));
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -91,7 +91,8 @@
         "OTHER_ANSWER,  /again/x, 200, 2",
         "UNSIGNED,      /again/x, 200, 2"
     })
-    void shouldRetryOnlyRequestsThatMayRunAgain(Behaviour first, String path, int status, int attempts) throws Exception {
+    void shouldRetryOnlyRequestsThatMayRunAgain(Behaviour first, String path, int status, int attempts)
+            throws Exception {
         platform.add("plain-1", "plain", 0);
         platform.add("plain-2", "plain", 0);
         startEntry(2);
@@ -141,7 +142,8 @@
     void shouldForwardRequestUnchanged() throws Exception {
         platform.add("plain-1", "plain", 0);
         startEntry(1);
-        sendRequest("/once/a%20b//c?q=%2F&q=2", Map.of("X-Other", "kept", "Tenant", "forged", "Expect-Instance", "forged"));
+        sendRequest(
+                "/once/a%20b//c?q=%2F&q=2", Map.of("X-Other", "kept", "Tenant", "forged", "Expect-Instance", "forged"));
         Received received = received().getFirst();
         assertEquals("/once/a%20b//c?q=%2F&q=2", received.target());
         assertEquals("a body", received.body());
@@ -187,7 +189,8 @@
             startEntry(1);
             replyWithLoad(agent);
             Map<String, String> headers = Map.of("Model", "model-a", "Token-Count", "100,20", "Deadline-Ms", "9000");
-            CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> sendRequest("/stream/x", headers));
+            CompletableFuture<HttpAnswer> response =
+                    CompletableFuture.supplyAsync(() -> sendRequest("/stream/x", headers));
             waitUntil(() -> platform.endpoint("model-1").hanging() == 1);
             platform.add("model-2", "models", 1);
             // The agent replies to no further queries, and the endpoint sends nothing.
@@ -216,7 +219,8 @@
         "h.example, /once/x, key-b, 401",
         "h.example, /once/x, '', 401"
     })
-    void shouldRefuseRequestsThatManifestDoesNotAllow(String host, String path, String key, int status) throws Exception {
+    void shouldRefuseRequestsThatManifestDoesNotAllow(String host, String path, String key, int status)
+            throws Exception {
         platform.add("plain-1", "plain", 0);
         startEntry(1);
         Map<String, String> headers = new HashMap<>(Map.of("Host", host, "Key", key));
@@ -239,7 +243,8 @@
         platform.next(Behaviour.HANG);
         HttpCaller disconnectingClient = HttpCaller.start("disconnecting", 1);
         HttpCall call = call("/again/x", Map.of("Key", LONG_TIMEOUT_KEY, "Deadline-Ms", LONG_TIMEOUT_MILLIS), "a body");
-        assertTrue(disconnectingClient.call(call, Duration.ofMillis(300)).cause().isPresent());
+        assertTrue(
+                disconnectingClient.call(call, Duration.ofMillis(300)).cause().isPresent());
         disconnectingClient.close();
         waitUntil(() -> entry.open() == 0);
         waitUntil(() -> platform.endpoint("plain-1").hanging() == 0);
--- a/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -128,7 +128,8 @@
     }
 
     private void assertToldToRetry() {
-        for (HttpAnswer response : List.of(sendRequest("/once/x", "key-b"), sendRequest("/new/x", "key-a"), sendLargeBody())) {
+        for (HttpAnswer response :
+                List.of(sendRequest("/once/x", "key-b"), sendRequest("/new/x", "key-a"), sendLargeBody())) {
             assertEquals(UNAVAILABLE, response.status());
             assertEquals("0.300", response.headers().get("Retry-After"));
             String reason = new String(response.body(), StandardCharsets.UTF_8);
@@ -211,7 +212,8 @@
     @Test
     void shouldRejectMalformedRequestAtAnyAge() {
         assertEquals(
-                BAD_REQUEST, sendRequest("/once/x", "key-a", Optional.empty(), "a body").status());
+                BAD_REQUEST,
+                sendRequest("/once/x", "key-a", Optional.empty(), "a body").status());
     }
 
     /** There is no endpoint here; the response shows that the request was accepted. */
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -103,7 +103,9 @@
         Await.until("the request", () -> platform.endpoint("model-1").hanging() == 1);
         platform.add("model-2", "models", 2);
         assertEquals(200, response.join().status());
-        Await.until("the cancellation of the first attempt", () -> platform.endpoint("model-1").hanging() == 0);
+        Await.until(
+                "the cancellation of the first attempt",
+                () -> platform.endpoint("model-1").hanging() == 0);
     }
 
     @Test
--- a/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
@@ -103,7 +103,8 @@
     void shouldCancelWaitingRequestWhenClientDisconnects() throws Exception {
         serve(NEVER_MILLIS);
         try (HttpCaller disconnecting = HttpCaller.start("disconnecting", 1)) {
-            Runnable cancel = disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new Ignoring());
+            Runnable cancel =
+                    disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new Ignoring());
             Await.until("the request", () -> paused.pendingRequests() == 1);
             cancel.run();
             Await.until("the end of the request", () -> handler.connections().busy() == 0);
--- a/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
@@ -70,7 +70,8 @@
         resumeAfter(LONG_TIMEOUT_MILLIS + 1);
         assertEquals(504, response.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).status());
         Await.until(
-                "the cancellation at the endpoint", () -> platform.endpoint("model-1").hanging() == 0);
+                "the cancellation at the endpoint",
+                () -> platform.endpoint("model-1").hanging() == 0);
     }
 
     @Test
@@ -80,7 +81,8 @@
         CompletableFuture<HttpAnswer> response = sendHangingRequest();
         resumeAfter(CANCEL_MILLIS + 1);
         Await.until(
-                "the cancellation at the endpoint", () -> platform.endpoint("model-1").hanging() == 0);
+                "the cancellation at the endpoint",
+                () -> platform.endpoint("model-1").hanging() == 0);
         assertEquals(502, response.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).status());
     }
 }
--- a/src/test/java/org/micabarrow/serving/PoisonRequestTest.java
+++ b/src/test/java/org/micabarrow/serving/PoisonRequestTest.java
@@ -137,7 +137,8 @@
         Await.until("the crashes in the store", () -> platform.crashesTold() == platform.crashes());
         int before = platform.crashes();
         HostedSettings newEntry = entry();
-        assertEquals(503, sendRequest(newEntry, "/again/x", CRASHING).status(), "it has never received the request before");
+        assertEquals(
+                503, sendRequest(newEntry, "/again/x", CRASHING).status(), "it has never received the request before");
         assertEquals(before, platform.crashes());
     }
 }
--- a/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
+++ b/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
@@ -218,7 +218,8 @@
         serve(NEVER_MILLIS, NEVER_MILLIS);
         afterDecision.set(() -> {
             platform.store().append("keyed.servers", "model-1", "");
-            Await.until("the removal of its record", () -> views.view().endpoints().isEmpty());
+            Await.until(
+                    "the removal of its record", () -> views.view().endpoints().isEmpty());
         });
         assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
--- a/src/test/java/org/micabarrow/serving/RequestOutcomeTest.java
+++ b/src/test/java/org/micabarrow/serving/RequestOutcomeTest.java
@@ -16,7 +16,11 @@
         "true,  false, BROKEN,  BROKEN",
         "true,  true,  BROKEN,  BROKEN"
     })
-    void shouldReportNotRunOnlyWhenRequestCertainlyDidNotRun(boolean responseStarted, boolean mayRun, RequestOutcome withoutFurtherAttempts, RequestOutcome afterDeadline) {
+    void shouldReportNotRunOnlyWhenRequestCertainlyDidNotRun(
+            boolean responseStarted,
+            boolean mayRun,
+            RequestOutcome withoutFurtherAttempts,
+            RequestOutcome afterDeadline) {
         assertEquals(withoutFurtherAttempts, RequestOutcome.withoutResponse(responseStarted, mayRun));
         assertEquals(afterDeadline, RequestOutcome.timedOut(responseStarted, mayRun));
     }
--- a/src/test/java/org/micabarrow/serving/StalledClientTest.java
+++ b/src/test/java/org/micabarrow/serving/StalledClientTest.java
@@ -140,7 +140,9 @@
                     "no open request any more",
                     () -> checks.updateAndGet(before -> entry.open() == 0 ? before + 1 : 0) == CHECKS);
             client.setSoTimeout(HANG_MILLIS);
-            assertTrue(client.getInputStream().readAllBytes().length > 0, "the data in transit, then the end of the stream");
+            assertTrue(
+                    client.getInputStream().readAllBytes().length > 0,
+                    "the data in transit, then the end of the stream");
         }
         assertTrue(completed.get() < REQUESTS, "the connection accepted all responses, so the test shows nothing");
     }
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -203,7 +203,8 @@
         assertEquals(0, entry.open(), "no request ends with the process without a response");
         assertEquals(504, status.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS));
         Await.until(
-                "the cancellation at the endpoint", () -> platform.endpoint("plain-1").hanging() == 0);
+                "the cancellation at the endpoint",
+                () -> platform.endpoint("plain-1").hanging() == 0);
     }
 
     // -- connections
