--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -122,7 +122,7 @@
         stop();
     }
 
-    private void fail(AttemptEnd end, String reason) {
+    private void failAttempt(AttemptEnd end, String reason) {
         logFailed(end, reason);
         cancelAndRecord();
         served.onAttemptFailed(end, reason);
@@ -161,7 +161,7 @@
             return;
         }
         if (!slot.begun() && wouldStartTooLate()) {
-            fail(AttemptEnd.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
+            failAttempt(AttemptEnd.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
         } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
             switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint and its agent are unresponsive");
@@ -212,13 +212,15 @@
             return;
         }
         load.failures().broke(context.nowMillis());
-        fail(AttemptEnd.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
+        failAttempt(AttemptEnd.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
     }
 
     /** Cancels the request if the endpoint, which holds an older weight version, has not begun it in time. */
     private void onStartDeadline() {
         if (!closed && !slot.begun()) {
-            fail(AttemptEnd.UNKNOWN, "a newer weight version is required, and the endpoint has not begun the request");
+            failAttempt(
+                    AttemptEnd.UNKNOWN,
+                    "a newer weight version is required, and the endpoint has not begun the request");
         }
     }
 
@@ -264,18 +266,18 @@
             applyEndpointState(head);
         }
         switch (HeadClassification.classify(head, request.route().kind().repeatable(), response.started())) {
-            case NOT_RUN -> fail(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
+            case NOT_RUN -> failAttempt(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
                 load.failures().misdirected(context.nowMillis());
-                fail(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
+                failAttempt(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
                 load.failures().broke(context.nowMillis());
-                fail(AttemptEnd.UNKNOWN, "the response does not belong to this request");
+                failAttempt(AttemptEnd.UNKNOWN, "the response does not belong to this request");
             }
             case NOT_TO_PASS -> {
                 recordStatus(head.status());
-                fail(
+                failAttempt(
                         AttemptEnd.UNKNOWN,
                         "the endpoint responded with " + head.status()
                                 + " without stating that the request was not run");
@@ -359,7 +361,7 @@
         if (sent && fault.reason() == Reason.UNREACHABLE && !context.isDraining(endpoint)) {
             onConnectionBroken(fault.message());
         } else {
-            fail(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
+            failAttempt(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
         }
     }
 
