--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -30,7 +30,7 @@
 import org.micabarrow.weights.ChunkSources;
 import org.micabarrow.weights.ChunkSources.Agent;
 import org.micabarrow.weights.ModelEndpoint;
-import org.micabarrow.weights.ReplicaKeeper;
+import org.micabarrow.weights.ReplicaController;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -75,10 +75,10 @@
     private final HostedSettings settings;
     private final HostedNode node;
     private final NewsReader news;
-    private final ReplicaKeeper keeper;
+    private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
-    private volatile Placed placed = new Placed(View.empty(), new ReplicaKeeper.Place(0, 1));
+    private volatile Placed placed = new Placed(View.empty(), new ReplicaController.Place(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
     private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
@@ -96,7 +96,7 @@
                 ChunkSources.following(self, this::agents),
                 node.weightPacer(this::serves)::take,
                 HostedNode::steadyMillis));
-        this.keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+        this.keeper = new ReplicaController(new ReplicaController.Parts(
                 this::model,
                 this::layers,
                 new EndpointCalls(node.kept(), settings.endpoint().orElseThrow(), this::layers),
@@ -264,9 +264,9 @@
     }
 
     /** The place in a view. It is asked for twice a second and more, and views change when an endpoint does. */
-    private record Placed(View view, ReplicaKeeper.Place place) {}
+    private record Placed(View view, ReplicaController.Place place) {}
 
-    private ReplicaKeeper.Place place() {
+    private ReplicaController.Place place() {
         View now = view();
         Placed known = placed;
         if (known.view() != now) {
@@ -276,14 +276,14 @@
         return known.place();
     }
 
-    private ReplicaKeeper.Place place(View now) {
+    private ReplicaController.Place place(View now) {
         List<String> region = Stream.concat(agents(now).stream(), Stream.of(self))
                 .filter(agent -> agent.region().equals(self.region()))
                 .map(Agent::address)
                 .distinct()
                 .sorted()
                 .toList();
-        return new ReplicaKeeper.Place(region.indexOf(self.address()), region.size());
+        return new ReplicaController.Place(region.indexOf(self.address()), region.size());
     }
 
     private Duty duty() {
--- a/src/main/java/org/micabarrow/weights/ReplicaKeeper.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -18,9 +18,9 @@
  * Brings the endpoint beside an agent to the weight version that is wanted: fetches its chunks, lays them beside the
  * endpoint, reads all of them back, and orders the endpoint to take them up.
  */
-public final class ReplicaKeeper {
+public final class ReplicaController {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReplicaKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReplicaController.class);
 
     /** How long chunks are laid in one step, in milliseconds: some two hundred at a usual endpoint, which takes one in a millisecond. */
     private static final long LAYING_MILLIS = 250;
@@ -71,7 +71,7 @@
      *
      * @param parts what it works with
      */
-    public ReplicaKeeper(Parts parts) {
+    public ReplicaController(Parts parts) {
         this.parts = Objects.requireNonNull(parts, "parts is null");
         this.cordon = new Cordon(parts.tellEntries());
         this.laid = new LaidChunks(parts.endpoint());
--- a/src/main/java/org/micabarrow/weights/VersionChoice.java
+++ b/src/main/java/org/micabarrow/weights/VersionChoice.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.micabarrow.weights.ReplicaKeeper.Place;
+import org.micabarrow.weights.ReplicaController.Place;
 
 /** Which of the weight versions that are here an endpoint is brought to. */
 final class VersionChoice {
--- a/src/main/java/org/micabarrow/weights/VersionDeadlines.java
+++ b/src/main/java/org/micabarrow/weights/VersionDeadlines.java
@@ -17,7 +17,7 @@
     private static final double RETIRE_PART = 0.84;
 
     /** The place of the agent that orders last. */
-    private static final ReplicaKeeper.Place LAST = new ReplicaKeeper.Place(1, 2);
+    private static final ReplicaController.Place LAST = new ReplicaController.Place(1, 2);
 
     /** How long after its turn an agent whose chunks had turned bad may still order, in milliseconds: two passes over them. */
     private static final long READING_BACK_MILLIS = 200;
@@ -136,7 +136,7 @@
     }
 
     /** When an agent's turn is to order its endpoint to take up a newer version than the one held. */
-    long orderAt(String model, long held, ReplicaKeeper.Place place) {
+    long orderAt(String model, long held, ReplicaController.Place place) {
         return view.get()
                 .newerNamed(model, held)
                 .map(newer -> OrderTimes.at(newer.learnedMillis(), boundMillis, place.position(), place.count()))
--- a/src/test/java/org/micabarrow/weights/KeeperFixture.java
+++ b/src/test/java/org/micabarrow/weights/KeeperFixture.java
@@ -27,13 +27,13 @@
     final ViewKeeper views = new ViewKeeper(new EndpointsOnly(), now::get);
     volatile int pacedBytes;
     int toldClosing;
-    volatile ReplicaKeeper.Place place = new ReplicaKeeper.Place(0, 3);
-    final ReplicaKeeper keeper = newKeeper();
+    volatile ReplicaController.Place place = new ReplicaController.Place(0, 3);
+    final ReplicaController keeper = newKeeper();
     private final List<Thread> fetching = new ArrayList<>();
 
     /** A keeper that knows nothing of what one before it has done. */
-    final ReplicaKeeper newKeeper() {
-        return new ReplicaKeeper(new ReplicaKeeper.Parts(
+    final ReplicaController newKeeper() {
+        return new ReplicaController(new ReplicaController.Parts(
                 () -> Optional.of("m"),
                 () -> FakeEndpoint.LAYERS,
                 endpoint,
--- a/src/test/java/org/micabarrow/weights/OverlapPlay.java
+++ b/src/test/java/org/micabarrow/weights/OverlapPlay.java
@@ -171,7 +171,7 @@
         VersionFetches fetches;
         Optional<FetchProgress> progress = Optional.empty();
         boolean onOlder;
-        private ReplicaKeeper keeper;
+        private ReplicaController keeper;
         private double down;
         private double up;
         private long busyUntil;
@@ -189,13 +189,13 @@
         }
 
         private void startAgent() {
-            keeper = new ReplicaKeeper(new ReplicaKeeper.Parts(
+            keeper = new ReplicaController(new ReplicaController.Parts(
                     () -> Optional.of("m"),
                     () -> FakeEndpoint.LAYERS,
                     endpoint,
                     fetcher(true),
                     views::view,
-                    () -> new ReplicaKeeper.Place(place, day.agents()),
+                    () -> new ReplicaController.Place(place, day.agents()),
                     () -> {},
                     BOUND,
                     now::get));
--- a/src/test/java/org/micabarrow/weights/ReplicaKeeperTest.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An endpoint is brought to the wanted version, and never takes up what is not whole and right. */
-class ReplicaKeeperTest extends KeeperFixture {
+class ReplicaControllerTest extends KeeperFixture {
 
     @Test
     void shouldBeSettledOnlyWhileEndpointServesNewestVersion() {
@@ -71,7 +71,7 @@
 
     @Test
     void shouldGoPastVersionWhenNewerOneIsExpectedSoon() throws Exception {
-        place = new ReplicaKeeper.Place(2, 3);
+        place = new ReplicaController.Place(2, 3);
         Thread fetching = fetchMostOfThird();
         now.addAndGet(1_600);
         stepTwice();
@@ -85,7 +85,7 @@
 
     @Test
     void shouldTakeVersionWhenNewerOneComesNoMore() throws Exception {
-        place = new ReplicaKeeper.Place(2, 3);
+        place = new ReplicaController.Place(2, 3);
         Thread fetching = fetchMostOfThird();
         now.addAndGet(1_600);
         stepTwice();
--- a/src/test/java/org/micabarrow/weights/RetirementSeedsTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSeedsTest.java
@@ -23,7 +23,7 @@
     private static final double TROUBLE = 0.02;
     private static final List<Double> CHUNK_RATES = List.of(0.0, 0.01, 0.04, 0.2);
 
-    private ReplicaKeeper agent = keeper;
+    private ReplicaController agent = keeper;
     private long secondNamedMillis;
     private long thirdNamedMillis;
 
@@ -36,7 +36,7 @@
     void shouldServeNothingOldNorWrongWhateverComes(long seed) {
         Random random = new Random(seed);
         double chunkRate = CHUNK_RATES.get(random.nextInt(CHUNK_RATES.size()));
-        place = new ReplicaKeeper.Place(random.nextInt(3), 3);
+        place = new ReplicaController.Place(random.nextInt(3), 3);
         endpoint.held = 1;
         for (int i = 0; i < FakeOrigin.CHUNKS; i++) {
             endpoint.staged.put(i, FakeOrigin.chunk(1, i));
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -224,7 +224,7 @@
         secondIsNamedWhileFirstIsHeld();
         fetch();
         endpoint.readsBack = false;
-        place = new ReplicaKeeper.Place(2, 3);
+        place = new ReplicaController.Place(2, 3);
         stepFor(BOUND);
         assertEquals(0, endpoint.held);
     }
