--- a/src/main/java/org/micabarrow/platform/RequestHeaders.java
+++ b/src/main/java/org/micabarrow/platform/RequestHeaders.java
@@ -69,23 +69,23 @@
     }
 
     @Override
-    public Reading read(HttpServerExchange exchange, byte[] body, RouteManifest manifest, long nowMillis) {
+    public ReadResult read(HttpServerExchange exchange, byte[] body, RouteManifest manifest, long nowMillis) {
         HeaderMap headers = exchange.getRequestHeaders();
         String host = Optional.ofNullable(headers.getFirst(Headers.HOST)).orElse("");
         String path = pathOf(exchange);
         Optional<Route> route = manifest.route(hostName(host), path);
         if (route.isEmpty()) {
-            return new Reading.Refused(NOT_FOUND, "no route takes this host and path");
+            return new ReadResult.Refused(NOT_FOUND, "no route takes this host and path");
         }
         Optional<KeyOwner> owner =
                 Optional.ofNullable(headers.getFirst(WireNames.KEY)).flatMap(manifest::owner);
         if (manifest.keysNeeded() && !route.get().open() && owner.isEmpty()) {
-            return new Reading.Refused(UNAUTHORISED, "no organisation holds this key");
+            return new ReadResult.Refused(UNAUTHORISED, "no organisation holds this key");
         }
         if (headers.getFirst(WireNames.ATTEMPT) == null) {
-            return new Reading.Refused(BAD_REQUEST, "the request carries no " + WireNames.ATTEMPT);
+            return new ReadResult.Refused(BAD_REQUEST, "the request carries no " + WireNames.ATTEMPT);
         }
-        return new Reading.Understood(request(exchange, body, route.get(), owner, nowMillis, path));
+        return new ReadResult.Allowed(request(exchange, body, route.get(), owner, nowMillis, path));
     }
 
     private ClientRequest request(
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -12,8 +12,8 @@
 import org.micabarrow.routing.EndpointEntry;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.RequestKind;
-import org.micabarrow.serving.EndpointProtocol.AnswerHead;
-import org.micabarrow.serving.EndpointProtocol.Sending;
+import org.micabarrow.serving.EndpointProtocol.AttemptParameters;
+import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.transport.HttpCall;
@@ -73,13 +73,13 @@
 
     /** Builds the request with the current remaining time and required version. */
     private HttpCall call() {
-        Sending parameters = new Sending(
+        AttemptParameters parameters = new AttemptParameters(
                 endpoint,
                 Math.max(1, served.remainingMillis()),
                 context.versions().requiredVersion(request, endpoint),
                 events.lastId(),
                 served.objectiveMissed());
-        return context.protocol().call(request, parameters);
+        return context.protocol().encode(request, parameters);
     }
 
     private XnioExecutor.Key after(long millis, Runnable step) {
@@ -260,7 +260,7 @@
             return;
         }
         load.heard(context.nowMillis());
-        AnswerHead head = context.protocol().head(request, status, headers);
+        ResponseHead head = context.protocol().decodeHead(request, status, headers);
         head.weightVersion().ifPresent(load::answeredBy);
         if (head.isFromIntendedEndpoint()) {
             applyEndpointState(head);
@@ -294,7 +294,7 @@
     }
 
     /** Records what the response states about the endpoint itself, which later routing decisions use. */
-    private void applyEndpointState(AnswerHead head) {
+    private void applyEndpointState(ResponseHead head) {
         if (head.draining()) {
             context.markDraining(endpoint);
         }
@@ -317,7 +317,7 @@
         }
     }
 
-    private void onEndpointError(AnswerHead head) {
+    private void onEndpointError(ResponseHead head) {
         if (served.reserveRetry()) {
             switchEndpoint(AttemptEnd.FAILED, "the endpoint failed with " + head.status());
         } else {
--- a/src/main/java/org/micabarrow/serving/ClientConnections.java
+++ b/src/main/java/org/micabarrow/serving/ClientConnections.java
@@ -48,7 +48,7 @@
     }
 
     /** Starts draining: each connection is closed after its next response. */
-    public void leave() {
+    public void startDraining() {
         draining = true;
     }
 
@@ -82,7 +82,7 @@
      *
      * @return the number of connections with a request that awaits a response
      */
-    public int busy() {
+    public int inFlightCount() {
         return (int) open.values().stream().filter(busy -> busy).count();
     }
 }
--- a/src/main/java/org/micabarrow/serving/ClientResponse.java
+++ b/src/main/java/org/micabarrow/serving/ClientResponse.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.serving.EndpointProtocol.AnswerHead;
+import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.IoUtils;
@@ -58,7 +58,7 @@
     // -- responses of endpoints
 
     /** Starts a response; its body follows. */
-    void start(AnswerHead head) {
+    void start(ResponseHead head) {
         started = true;
         exchange.setStatusCode(head.status());
         head.forwardedHeaders()
@@ -90,7 +90,7 @@
     }
 
     /** Sends a response that is already complete. */
-    void sendWhole(AnswerHead head, byte[] body) {
+    void sendWhole(ResponseHead head, byte[] body) {
         start(head);
         finished = true;
         exchange.setResponseContentLength(body.length);
--- a/src/main/java/org/micabarrow/serving/CrashDetector.java
+++ b/src/main/java/org/micabarrow/serving/CrashDetector.java
@@ -84,7 +84,7 @@
         }
     }
 
-    CrashDetector(Crashes crashes, LongSupplier monotonicMillis) {
+    CrashDetector(CrashTracking crashes, LongSupplier monotonicMillis) {
         this.book = crashes.book();
         this.probe = crashes.probe();
         this.publisher = crashes.publisher();
--- a/src/main/java/org/micabarrow/serving/Crashes.java
+++ b/src/main/java/org/micabarrow/serving/CrashTracking.java
@@ -13,10 +13,10 @@
  * @param probe checks whether an endpoint has crashed
  * @param publisher receives updates for other processes
  */
-public record Crashes(CrashBook book, PortProbe probe, Consumer<CrashNews> publisher) {
+public record CrashTracking(CrashBook book, PortProbe probe, Consumer<CrashNews> publisher) {
 
     /** Checks that no component is null. */
-    public Crashes {
+    public CrashTracking {
         Objects.requireNonNull(book, "book is null");
         Objects.requireNonNull(probe, "probe is null");
         Objects.requireNonNull(publisher, "publisher is null");
@@ -27,7 +27,7 @@
      *
      * @return the instance
      */
-    public static Crashes disabled() {
-        return new Crashes(new CrashBook(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
+    public static CrashTracking disabled() {
+        return new CrashTracking(new CrashBook(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
     }
 }
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -15,17 +15,17 @@
      * The parameters of one attempt.
      *
      * @param endpoint the endpoint to send to
-     * @param millisLeft how long the client will still wait
-     * @param version the only weight version that may serve the request; empty for any
-     * @param lastEvent the id of the last event received, to resume a stream after it
-     * @param late whether the objective has been missed, so that the request gets the lowest priority
+     * @param remainingMillis how long the client will still wait
+     * @param requiredVersion the only weight version that may serve the request; empty for any
+     * @param lastEventId the id of the last event received, to resume a stream after it
+     * @param objectiveMissed whether the objective has been missed, so that the request gets the lowest priority
      */
-    record Sending(
+    record AttemptParameters(
             EndpointEntry endpoint,
-            long millisLeft,
-            Optional<Long> version,
-            Optional<String> lastEvent,
-            boolean late) {}
+            long remainingMillis,
+            Optional<Long> requiredVersion,
+            Optional<String> lastEventId,
+            boolean objectiveMissed) {}
 
     /**
      * The head of an endpoint's response.
@@ -41,7 +41,7 @@
      * @param rateLimit the endpoint's rate limit in requests per second over all entries; empty if unspecified
      * @param forwardedHeaders the headers to forward to the client
      */
-    record AnswerHead(
+    record ResponseHead(
             int status,
             boolean matchesAttempt,
             boolean signed,
@@ -66,10 +66,10 @@
      * Encodes a request.
      *
      * @param request the request
-     * @param sending the parameters of the attempt
+     * @param parameters the parameters of the attempt
      * @return the request as sent
      */
-    HttpCall call(ClientRequest request, Sending sending);
+    HttpCall encode(ClientRequest request, AttemptParameters parameters);
 
     /**
      * Decodes the head of a response.
@@ -79,5 +79,5 @@
      * @param headers the headers as received
      * @return the decoded head
      */
-    AnswerHead head(ClientRequest request, int status, Map<String, String> headers);
+    ResponseHead decodeHead(ClientRequest request, int status, Map<String, String> headers);
 }
--- a/src/main/java/org/micabarrow/serving/HeadClassification.java
+++ b/src/main/java/org/micabarrow/serving/HeadClassification.java
@@ -1,7 +1,7 @@
 package org.micabarrow.serving;
 
 import java.util.Set;
-import org.micabarrow.serving.EndpointProtocol.AnswerHead;
+import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 
 /** What the head of an endpoint's response means for the attempt. */
 enum HeadClassification {
@@ -43,7 +43,7 @@
      * @param responseStarted whether the client has received a part of a response
      * @return the classification
      */
-    static HeadClassification classify(AnswerHead head, boolean repeatable, boolean responseStarted) {
+    static HeadClassification classify(ResponseHead head, boolean repeatable, boolean responseStarted) {
         if (head.notRun()) {
             return NOT_RUN;
         }
--- a/src/main/java/org/micabarrow/serving/RequestReader.java
+++ b/src/main/java/org/micabarrow/serving/RequestReader.java
@@ -8,14 +8,14 @@
 public interface RequestReader {
 
     /** The result of reading a request. */
-    sealed interface Reading {
+    sealed interface ReadResult {
 
         /**
          * A request that is allowed.
          *
          * @param request the request
          */
-        record Understood(ClientRequest request) implements Reading {}
+        record Allowed(ClientRequest request) implements ReadResult {}
 
         /**
          * A request that is refused.
@@ -23,7 +23,7 @@
          * @param status the HTTP status of the response
          * @param reason the reason, for the client and the log
          */
-        record Refused(int status, String reason) implements Reading {}
+        record Refused(int status, String reason) implements ReadResult {}
     }
 
     /**
@@ -35,7 +35,7 @@
      * @param nowMillis the time on the monotonic clock
      * @return the request, or the reason for refusing it
      */
-    Reading read(HttpServerExchange exchange, byte[] body, RouteManifest manifest, long nowMillis);
+    ReadResult read(HttpServerExchange exchange, byte[] body, RouteManifest manifest, long nowMillis);
 
     /**
      * The client's id of a request, for logs.
--- a/src/main/java/org/micabarrow/serving/ResponseRelay.java
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.routing.EndpointEntry;
-import org.micabarrow.serving.EndpointProtocol.AnswerHead;
+import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 
 /**
  * Forwards an endpoint's response to the client. A stream is forwarded event by event; any other response is buffered
@@ -23,7 +23,7 @@
     private final EventSplitter events;
     private final boolean stream;
     private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
-    private Optional<AnswerHead> head = Optional.empty();
+    private Optional<ResponseHead> head = Optional.empty();
     private boolean forwarding;
 
     ResponseRelay(ServedRequest served) {
@@ -42,7 +42,7 @@
      * Accepts the response head. The head of a stream is forwarded at once, unless the client already has one or the
      * endpoint reported an error.
      */
-    void start(AnswerHead responseHead, boolean error) {
+    void start(ResponseHead responseHead, boolean error) {
         head = Optional.of(responseHead);
         forwarding = stream && !error;
         if (forwarding && !response.started()) {
@@ -96,7 +96,7 @@
 
     private void concludeRequest(EndpointEntry endpoint) {
         served.onResponseComplete("endpoint=" + endpoint.id() + " hall=" + endpoint.dataHall() + " status="
-                + head.map(AnswerHead::status).orElse(0) + " weights="
-                + head.flatMap(AnswerHead::weightVersion).map(String::valueOf).orElse("-"));
+                + head.map(ResponseHead::status).orElse(0) + " weights="
+                + head.flatMap(ResponseHead::weightVersion).map(String::valueOf).orElse("-"));
     }
 }
--- a/src/main/java/org/micabarrow/serving/ServingContext.java
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -27,7 +27,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
-    private final ServingHandler.Parts dependencies;
+    private final ServingHandler.Dependencies dependencies;
     private final WeightVersions versions;
     private final ServingMetrics metrics;
     private final InFlightRequests inFlight = new InFlightRequests();
@@ -42,7 +42,7 @@
      *
      * @param dependencies the handler's dependencies
      */
-    ServingContext(ServingHandler.Parts dependencies) {
+    ServingContext(ServingHandler.Dependencies dependencies) {
         this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
         this.versions = new WeightVersions(dependencies);
         this.metrics = new ServingMetrics(dependencies.registry());
@@ -186,7 +186,7 @@
 
     /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
     void queryAgent(ClientRequest request, EndpointEntry endpoint, Consumer<Boolean> callback) {
-        dependencies.agentQueries().ask(endpoint, inTime -> {
+        dependencies.agentQueries().query(endpoint, inTime -> {
             if (!inTime) {
                 load(endpoint).notAnswered();
             }
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -74,7 +74,7 @@
      * @param manifestAge how up to date the knowledge of operator changes is
      * @param crashes detects endpoint crashes
      */
-    public record Parts(
+    public record Dependencies(
             Supplier<View> view,
             EndpointChoice choice,
             HttpCaller caller,
@@ -83,13 +83,13 @@
             RetryBudget budget,
             MetricRegistry registry,
             LongSupplier monotonicMillis,
-            AgentQuestions agentQueries,
+            AgentQueries agentQueries,
             VersionTimes versionTimes,
             ManifestAge manifestAge,
-            Crashes crashes) {
+            CrashTracking crashes) {
 
         /** Checks that no component is null. */
-        public Parts {
+        public Dependencies {
             Objects.requireNonNull(view, "view is null");
             Objects.requireNonNull(choice, "choice is null");
             Objects.requireNonNull(caller, "caller is null");
@@ -107,7 +107,7 @@
 
     /** Queries the agent of an endpoint to learn whether it responds. */
     @FunctionalInterface
-    public interface AgentQuestions {
+    public interface AgentQueries {
 
         /**
          * Sends a query, on the traffic thread.
@@ -115,7 +115,7 @@
          * @param endpoint the endpoint
          * @param then receives once, on the same thread, whether the agent replied in time
          */
-        void ask(EndpointEntry endpoint, Consumer<Boolean> then);
+        void query(EndpointEntry endpoint, Consumer<Boolean> then);
     }
 
     /**
@@ -134,7 +134,7 @@
      * @param dependencies its dependencies
      * @return the handler
      */
-    public static ServingHandler of(Parts dependencies) {
+    public static ServingHandler of(Dependencies dependencies) {
         return new ServingHandler(new ServingContext(dependencies));
     }
 
@@ -148,7 +148,7 @@
     }
 
     /** Checks all requests in flight, and cancels or moves those at unresponsive endpoints; on the traffic thread. */
-    public void lookAfterRequests() {
+    public void checkRequests() {
         context.inFlight().checkAll();
     }
 
@@ -202,10 +202,10 @@
             return;
         }
         switch (context.reader().read(exchange, body, manifest.get(), context.nowMillis())) {
-            case RequestReader.Reading.Refused(int status, String reason)
+            case RequestReader.ReadResult.Refused(int status, String reason)
             when dependsOnManifest(status) -> refuseByManifest(exchange, status, reason, knownAsOf);
-            case RequestReader.Reading.Refused(int status, String reason) -> refuse(exchange, status, reason, 0);
-            case RequestReader.Reading.Understood(ClientRequest request) -> serve(exchange, request);
+            case RequestReader.ReadResult.Refused(int status, String reason) -> refuse(exchange, status, reason, 0);
+            case RequestReader.ReadResult.Allowed(ClientRequest request) -> serve(exchange, request);
         }
     }
 
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -27,7 +27,7 @@
      *
      * @param dependencies the handler's dependencies
      */
-    WeightVersions(ServingHandler.Parts dependencies) {
+    WeightVersions(ServingHandler.Dependencies dependencies) {
         this.view = dependencies.view();
         this.choice = dependencies.choice();
         this.times = dependencies.versionTimes();
--- a/src/main/java/org/micabarrow/weights/ChunkSet.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSet.java
@@ -12,22 +12,20 @@
 import java.util.concurrent.atomic.AtomicIntegerArray;
 import org.micabarrow.state.Digest;
 
-/**
- * The chunks of one weight version that an agent has, each checked against its digest. Safe for any number of threads.
- */
+/** The chunks of one weight version that an agent has, each verified against its digest. Thread-safe. */
 public final class ChunkSet {
 
     private final String model;
     private final long version;
     private final List<String> digests;
     private final List<CompletableFuture<byte[]>> chunks = new ArrayList<>();
-    private final AtomicIntegerArray given;
+    private final AtomicIntegerArray servedCounts;
 
-    /** Where this agent begins among chunks that it has given equally often. */
-    private final int start;
+    /** The index at which this agent starts among chunks that it has served equally often. */
+    private final int startIndex;
 
     /**
-     * Makes an empty set.
+     * Creates an empty set.
      *
      * @param model the model
      * @param version the weight version
@@ -37,8 +35,8 @@
         this.model = Objects.requireNonNull(model, "model is null");
         this.version = version;
         this.digests = List.copyOf(digests);
-        this.given = new AtomicIntegerArray(this.digests.size());
-        this.start = ThreadLocalRandom.current().nextInt(Math.max(1, this.digests.size()));
+        this.servedCounts = new AtomicIntegerArray(this.digests.size());
+        this.startIndex = ThreadLocalRandom.current().nextInt(Math.max(1, this.digests.size()));
         this.digests.forEach(digest -> chunks.add(new CompletableFuture<>()));
     }
 
@@ -63,7 +61,7 @@
     /**
      * The digests of all chunks.
      *
-     * @return the digests, in order
+     * @return the digests, in chunk order
      */
     public List<String> digests() {
         return digests;
@@ -72,14 +70,14 @@
     // -- chunks
 
     /**
-     * Takes a chunk, if its bytes have the right digest.
+     * Adds a chunk if its content matches the digest.
      *
-     * @param index which chunk
-     * @param bytes its bytes
-     * @return whether they are right
+     * @param index the chunk's index
+     * @param bytes the content
+     * @return whether the content matches
      */
     public boolean put(int index, byte[] bytes) {
-        if (!right(index, bytes)) {
+        if (!matchesDigest(index, bytes)) {
             return false;
         }
         chunks.get(index).complete(bytes);
@@ -87,69 +85,70 @@
     }
 
     /**
-     * Whether bytes are those of a chunk.
+     * Whether some content matches the digest of a chunk.
      *
-     * @param index which chunk
-     * @param bytes the bytes
-     * @return whether their digest is the chunk's
+     * @param index the chunk's index
+     * @param bytes the content
+     * @return whether its digest is that of the chunk
      */
-    public boolean right(int index, byte[] bytes) {
+    public boolean matchesDigest(int index, byte[] bytes) {
         return digests.get(index).equals(Digest.of(bytes));
     }
 
     /**
      * A chunk.
      *
-     * @param index which one
-     * @return its bytes, empty if it is not here yet
+     * @param index the chunk's index
+     * @return its content, empty if it is not present yet
      */
     public Optional<byte[]> chunk(int index) {
         return Optional.ofNullable(chunks.get(index).getNow(null));
     }
 
     /**
-     * Takes, of some chunks, the one that was given away least often, so that askers get different ones and can exchange
-     * them. Of several, agents take different ones: whoever asks many agents for the same chunks got each of the last ones
-     * from all of them, which filled its link with what it had.
+     * Picks the wanted chunk that was served least often, so that agents that fetch the same version get different
+     * chunks and can exchange them. Ties are broken differently by each agent. Otherwise an agent that requested the
+     * last missing chunks from many agents got the same chunk from all of them, which filled its link with duplicates.
      *
-     * @param wanted which chunks would do
-     * @return the chunk's index, empty if none of them is here
+     * @param wanted the indexes of the acceptable chunks
+     * @return the index of the chunk, empty if none of them is present
      */
-    public OptionalInt give(BitSet wanted) {
+    public OptionalInt pickLeastServed(BitSet wanted) {
         OptionalInt index = wanted.stream()
-                .filter(one -> one < chunks.size() && chunk(one).isPresent())
+                .filter(candidate ->
+                        candidate < chunks.size() && chunk(candidate).isPresent())
                 .boxed()
-                .min(Comparator.<Integer>comparingInt(given::get).thenComparingInt(this::fromStart))
+                .min(Comparator.<Integer>comparingInt(servedCounts::get).thenComparingInt(this::distanceFromStart))
                 .map(OptionalInt::of)
                 .orElse(OptionalInt.empty());
-        index.ifPresent(given::incrementAndGet);
+        index.ifPresent(servedCounts::incrementAndGet);
         return index;
     }
 
-    private int fromStart(int index) {
-        return Math.floorMod(index - start, chunks.size());
+    private int distanceFromStart(int index) {
+        return Math.floorMod(index - startIndex, chunks.size());
     }
 
-    /** Whether the chunks from one index up to another, the latter not included, are here. */
-    boolean hasAll(int first, int end) {
+    /** Whether the chunks from {@code first} (inclusive) to {@code end} (exclusive) are present. */
+    boolean hasRange(int first, int end) {
         return chunks.subList(first, end).stream().allMatch(CompletableFuture::isDone);
     }
 
     /**
-     * Whether all chunks are here.
+     * Whether all chunks are present.
      *
-     * @return true once the last has come
+     * @return true if none is missing
      */
-    public boolean complete() {
+    public boolean isComplete() {
         return chunks.stream().allMatch(CompletableFuture::isDone);
     }
 
     /**
-     * How many chunks are here.
+     * The number of chunks that are present.
      *
      * @return their number
      */
-    public int present() {
+    public int presentCount() {
         return (int) chunks.stream().filter(CompletableFuture::isDone).count();
     }
 }
--- a/src/main/java/org/micabarrow/weights/FetchProgress.java
+++ b/src/main/java/org/micabarrow/weights/FetchProgress.java
@@ -2,112 +2,118 @@
 
 import java.util.function.LongSupplier;
 
-/** How fast the chunks of a version come, and whether they still do. Safe for any number of threads. */
+/** Measures how fast the chunks of a version arrive, and detects when they stop. Thread-safe. */
 final class FetchProgress {
 
     /**
-     * How long no chunk may come before the fetching counts as stalled, in milliseconds: a dozen chunks' time on a link, and
-     * longer than an agent holds a question for a chunk that is on its way.
+     * The time without a new chunk after which a fetch counts as stalled, in milliseconds: the time of a dozen chunks
+     * on a link, and longer than an agent delays its answer for a chunk that it is about to receive.
      */
     private static final long STALLED_MILLIS = 700;
 
-    /** How far back the pace is looked at, in milliseconds: ten chunks' time on a link at least. The pace is of one window or two. */
+    /**
+     * The length of the measuring window for the chunk rate, in milliseconds: the time of at least ten chunks on a
+     * link. The rate covers between one and two windows.
+     */
     private static final long WINDOW_MILLIS = 500;
 
     private final ChunkSet set;
-    private final LongSupplier steadyMillis;
-    private final int presentAtFirst;
-    private final long beganMillis;
-    private int present;
-    private long sinceMillis;
+    private final LongSupplier monotonicMillis;
+    private final int initialPresent;
+    private final long startMillis;
+    private int lastPresent;
+    private long lastChunkAtMillis;
 
-    /** The looks by which the pace is told: the later at least a window after the earlier. */
-    private Look earlier;
+    /** The samples from which the chunk rate is computed, at least one window apart. */
+    private Sample olderSample;
 
-    private Look later;
+    private Sample newerSample;
     private double bestChunkMillis = Double.POSITIVE_INFINITY;
 
-    private record Look(long atMillis, int present) {}
+    private record Sample(long atMillis, int present) {}
 
-    FetchProgress(ChunkSet set, LongSupplier steadyMillis) {
+    FetchProgress(ChunkSet set, LongSupplier monotonicMillis) {
         this.set = set;
-        this.steadyMillis = steadyMillis;
-        this.presentAtFirst = set.present();
-        this.beganMillis = steadyMillis.getAsLong();
-        this.present = presentAtFirst;
-        this.sinceMillis = beganMillis;
-        this.earlier = new Look(beganMillis, presentAtFirst);
-        this.later = earlier;
+        this.monotonicMillis = monotonicMillis;
+        this.initialPresent = set.presentCount();
+        this.startMillis = monotonicMillis.getAsLong();
+        this.lastPresent = initialPresent;
+        this.lastChunkAtMillis = startMillis;
+        this.olderSample = new Sample(startMillis, initialPresent);
+        this.newerSample = olderSample;
     }
 
-    /** What is fetched. */
+    /** The chunks of the version being fetched. */
     ChunkSet set() {
         return set;
     }
 
-    /** How many chunks have come since the fetching began. */
-    int came() {
-        return set.present() - presentAtFirst;
+    /** The number of chunks that have arrived since the fetch started. */
+    int fetchedCount() {
+        return set.presentCount() - initialPresent;
     }
 
-    /** Whether it is of a version. */
-    boolean isOf(ChunkSet other) {
+    /** Whether this is the progress of the given set. */
+    boolean isFor(ChunkSet other) {
         return set.equals(other);
     }
 
-    /** How long some chunks are expected to take if they come as fast as those before; the greatest number if none has come. */
+    /**
+     * The expected time for some chunks at the average rate so far, in milliseconds; {@link Long#MAX_VALUE} if none has
+     * arrived.
+     */
     synchronized long expectedMillis(int chunks) {
-        int came = set.present() - presentAtFirst;
-        long took = steadyMillis.getAsLong() - beganMillis;
+        int fetched = set.presentCount() - initialPresent;
+        long elapsedMillis = monotonicMillis.getAsLong() - startMillis;
         if (chunks == 0) {
             return 0;
         }
-        return came == 0 ? Long.MAX_VALUE : took * chunks / came;
+        return fetched == 0 ? Long.MAX_VALUE : elapsedMillis * chunks / fetched;
     }
 
-    /** Whether no chunk has come for a while. */
-    synchronized boolean stalled() {
-        return silentMillis() > STALLED_MILLIS;
+    /** Whether no chunk has arrived for a while. */
+    synchronized boolean isStalled() {
+        return idleMillis() > STALLED_MILLIS;
     }
 
-    /** For how long no chunk has come. */
-    synchronized long silentMillis() {
-        look();
-        return steadyMillis.getAsLong() - sinceMillis;
+    /** The time since the last chunk arrived, in milliseconds. */
+    synchronized long idleMillis() {
+        takeSample();
+        return monotonicMillis.getAsLong() - lastChunkAtMillis;
     }
 
-    /** Whether chunks had the time to come: before, nothing is told by how few have. */
-    synchronized boolean tells() {
-        return steadyMillis.getAsLong() - beganMillis > STALLED_MILLIS;
+    /** Whether the fetch has run long enough for its rate to be meaningful. */
+    synchronized boolean isMeasurable() {
+        return monotonicMillis.getAsLong() - startMillis > STALLED_MILLIS;
     }
 
-    /** How long a chunk takes as they come lately, in milliseconds; infinite if none has come lately. */
+    /** The recent time per chunk, in milliseconds; infinite if none has arrived recently. */
     synchronized double chunkMillis() {
-        look();
-        return chunkMillis(steadyMillis.getAsLong());
+        takeSample();
+        return chunkMillis(monotonicMillis.getAsLong());
     }
 
-    /** How long a chunk took when they came fastest, in milliseconds; infinite if none has come. */
+    /** The shortest time per chunk in any window, in milliseconds; infinite if none has arrived. */
     synchronized double bestChunkMillis() {
         return bestChunkMillis;
     }
 
     private double chunkMillis(long now) {
-        int came = set.present() - earlier.present();
-        return came == 0 ? Double.POSITIVE_INFINITY : Math.max(1.0, now - earlier.atMillis()) / came;
+        int fetched = set.presentCount() - olderSample.present();
+        return fetched == 0 ? Double.POSITIVE_INFINITY : Math.max(1.0, now - olderSample.atMillis()) / fetched;
     }
 
-    private void look() {
-        long now = steadyMillis.getAsLong();
-        int here = set.present();
-        if (here > present) {
-            present = here;
-            sinceMillis = now;
+    private void takeSample() {
+        long now = monotonicMillis.getAsLong();
+        int currentPresent = set.presentCount();
+        if (currentPresent > lastPresent) {
+            lastPresent = currentPresent;
+            lastChunkAtMillis = now;
         }
-        if (now - later.atMillis() >= WINDOW_MILLIS) {
+        if (now - newerSample.atMillis() >= WINDOW_MILLIS) {
             bestChunkMillis = Math.min(bestChunkMillis, chunkMillis(now));
-            earlier = later;
-            later = new Look(now, here);
+            olderSample = newerSample;
+            newerSample = new Sample(now, currentPresent);
         }
     }
 }
--- a/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
@@ -29,7 +29,7 @@
     private long clockMillis = 1_000;
     private int continued;
     private final CrashDetector detector = new CrashDetector(
-            new Crashes(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
+            new CrashTracking(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
 
     private static CrashNews crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
         return new CrashNews.Crashed(new EndpointCrash("e", notBegun, begun));
--- a/src/test/java/org/micabarrow/serving/HeadClassificationTest.java
+++ b/src/test/java/org/micabarrow/serving/HeadClassificationTest.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.micabarrow.serving.EndpointProtocol.AnswerHead;
+import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 
 /** Checks the classification of response heads. */
 class HeadClassificationTest {
@@ -38,7 +38,7 @@
     })
     void shouldClassifyByWhatHeadStates(
             String states, int status, boolean repeatable, boolean responseStarted, HeadClassification expected) {
-        AnswerHead head = new AnswerHead(
+        ResponseHead head = new ResponseHead(
                 status,
                 states.contains("own"),
                 states.contains("signed"),
--- a/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -67,7 +67,7 @@
                 clients,
                 HttpListener.Bounds.usual(),
                 worker,
-                ServingHandler.of(new ServingHandler.Parts(
+                ServingHandler.of(new ServingHandler.Dependencies(
                         views::view,
                         new EndpointChoice("region-a", Map.of()),
                         HttpCaller.on(worker, 0),
@@ -79,7 +79,7 @@
                         (endpoint, then) -> then.accept(true),
                         new ServingHandler.VersionTimes(TIMEOUT.toMillis(), TIMEOUT.toMillis(), TIMEOUT.toMillis()),
                         new ManifestAge(views::operatorAsOfMillis, MAX_AGE_MILLIS),
-                        Crashes.disabled())));
+                        CrashTracking.disabled())));
         views.apply(Topic.OPERATOR, List.of(manifest(1, LATE_OFFSET)), LATE_OFFSET + 1);
     }
 
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
-import org.micabarrow.serving.ServingHandler.AgentQuestions;
+import org.micabarrow.serving.ServingHandler.AgentQueries;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
@@ -41,7 +41,7 @@
      * the second.
      */
     private void serve(long queryAfterMillis, long cancelAfterMillis) throws IOException {
-        AgentQuestions agentQueries = (endpoint, then) -> {
+        AgentQueries agentQueries = (endpoint, then) -> {
             queries.incrementAndGet();
             if (queryCompletes.get()) {
                 then.accept(agentRepliesInTime.get());
--- a/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
@@ -107,7 +107,7 @@
                     disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new Ignoring());
             Await.until("the request", () -> paused.pendingRequests() == 1);
             cancel.run();
-            Await.until("the end of the request", () -> handler.connections().busy() == 0);
+            Await.until("the end of the request", () -> handler.connections().inFlightCount() == 0);
         }
         assertEquals(List.of(), paused.resume());
     }
--- a/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
@@ -60,7 +60,7 @@
     private void resumeAfter(long millis) {
         clockMillis.addAndGet(millis);
         reportIdle("model-1", 1);
-        worker.getIoThread().execute(handler::lookAfterRequests);
+        worker.getIoThread().execute(handler::checkRequests);
     }
 
     @Test
--- a/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
+++ b/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
@@ -22,7 +22,7 @@
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.serving.ServingHandler.AgentQuestions;
+import org.micabarrow.serving.ServingHandler.AgentQueries;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
@@ -75,16 +75,16 @@
         private final EndpointHeaders headers = new EndpointHeaders();
 
         @Override
-        public HttpCall call(ClientRequest request, Sending sending) {
-            HttpCall call = headers.call(request, sending);
+        public HttpCall encode(ClientRequest request, AttemptParameters parameters) {
+            HttpCall call = headers.encode(request, parameters);
             afterDecision.getAndSet(() -> {}).run();
             everyDecision.get().run();
             return call;
         }
 
         @Override
-        public AnswerHead head(ClientRequest request, int status, Map<String, String> received) {
-            return headers.head(request, status, received);
+        public ResponseHead decodeHead(ClientRequest request, int status, Map<String, String> received) {
+            return headers.decodeHead(request, status, received);
         }
     }
 
@@ -93,7 +93,7 @@
      * cancelled after the second.
      */
     private void serve(long requireAfterMillis, long cancelAfterMillis) throws IOException {
-        AgentQuestions agentQueries = (endpoint, then) -> {
+        AgentQueries agentQueries = (endpoint, then) -> {
             reportIdle(endpoint.id(), 1);
             agentReply.get().accept(() -> then.accept(true));
         };
@@ -275,12 +275,12 @@
     private void awaitEndOfRequest(Socket disconnecting) throws IOException {
         disconnecting.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
         Await.until("the decision", () -> clockMillis.get() > 1_000_000);
-        Await.until("the end of the request", () -> handler.connections().busy() == 0);
+        Await.until("the end of the request", () -> handler.connections().inFlightCount() == 0);
     }
 
     /** Runs an action on the traffic thread once the disconnect of the client has been read. */
     private void onceNoRequestIsOpen(Runnable step) {
-        boolean finished = handler.connections().busy() == 0;
+        boolean finished = handler.connections().inFlightCount() == 0;
         Runnable next = finished ? step : () -> onceNoRequestIsOpen(step);
         worker.getIoThread().executeAfter(next, 1, TimeUnit.MILLISECONDS);
     }
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -69,10 +69,10 @@
     final void serve(
             EndpointProtocol protocol,
             RetryBudget budget,
-            ServingHandler.AgentQuestions agentQueries,
+            ServingHandler.AgentQueries agentQueries,
             ServingHandler.VersionTimes times)
             throws IOException {
-        handler = ServingHandler.of(new ServingHandler.Parts(
+        handler = ServingHandler.of(new ServingHandler.Dependencies(
                 views::view,
                 choice,
                 HttpCaller.on(worker, 0),
@@ -84,7 +84,7 @@
                 agentQueries,
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.disabled()));
+                CrashTracking.disabled()));
         HttpListener.on(clientAddress(), HttpListener.Bounds.usual(), worker, handler);
         TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
     }
@@ -111,7 +111,7 @@
         CompletableFuture<Void> checked = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             before.run();
-            handler.lookAfterRequests();
+            handler.checkRequests();
             checked.complete(null);
         });
         checked.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -216,14 +216,14 @@
         private final AtomicReference<Runnable> onFirstResponse = new AtomicReference<>(() -> {});
 
         @Override
-        public HttpCall call(ClientRequest request, Sending sending) {
-            return headers.call(request, sending);
+        public HttpCall encode(ClientRequest request, AttemptParameters parameters) {
+            return headers.encode(request, parameters);
         }
 
         @Override
-        public AnswerHead head(ClientRequest request, int status, Map<String, String> received) {
+        public ResponseHead decodeHead(ClientRequest request, int status, Map<String, String> received) {
             onFirstResponse.getAndSet(() -> {}).run();
-            return headers.head(request, status, received);
+            return headers.decodeHead(request, status, received);
         }
     }
 
@@ -235,7 +235,7 @@
         XnioWorker worker = HttpCaller.worker("stopping-entry", 1);
         ViewKeeper views = new ViewKeeper(new StoreRecords(), StoppingEntryTest::monotonicMillis);
         FirstResponseHook protocol = new FirstResponseHook();
-        ServingHandler handler = ServingHandler.of(new ServingHandler.Parts(
+        ServingHandler handler = ServingHandler.of(new ServingHandler.Dependencies(
                 views::view,
                 new EndpointChoice("region-a", Map.of("hall-a", "region-a")),
                 HttpCaller.on(worker, 0),
@@ -247,8 +247,8 @@
                 (endpoint, then) -> then.accept(true),
                 new ServingHandler.VersionTimes(GRACE_MILLIS, GRACE_MILLIS, GRACE_MILLIS),
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.disabled()));
-        protocol.onFirstResponse.set(handler.connections()::leave);
+                CrashTracking.disabled()));
+        protocol.onFirstResponse.set(handler.connections()::startDraining);
         String clients = settings.listen().clients().orElseThrow();
         HttpListener.on(clients, HttpListener.Bounds.usual(), worker, handler);
         TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
