--- a/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
+++ b/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
@@ -14,8 +14,8 @@
     /** Limits only tests that hang. */
     private static final long TIMEOUT_SECONDS = 10;
 
-    /** Throws on each attempt to start, and records when its wait has expired. */
-    private record Failing(CompletableFuture<Void> tried, CompletableFuture<Void> expired) implements Waiter {
+    /** Throws on each attempt to start, and records when its wait has timedOut. */
+    private record Failing(CompletableFuture<Void> tried, CompletableFuture<Void> timedOut) implements Waiter {
 
         @Override
         public boolean tryStart() {
@@ -25,7 +25,7 @@
 
         @Override
         public void tooLate() {
-            expired.complete(null);
+            timedOut.complete(null);
         }
     }
 
@@ -39,7 +39,7 @@
             worker.getIoThread().execute(() -> queue.join(0, 0, failing, worker.getIoThread()));
             failing.tried().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             clockMillis.incrementAndGet();
-            failing.expired().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            failing.timedOut().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } finally {
             worker.shutdownNow();
         }
--- a/src/test/java/org/micabarrow/serving/EndpointRateLimitTest.java
+++ b/src/test/java/org/micabarrow/serving/RateLimitedEndpointTest.java
@@ -12,7 +12,7 @@
 import org.micabarrow.transport.HttpCaller.HttpAnswer;
 
 /** Guards against sending an endpoint more requests per second than its rate limit allows. */
-class EndpointRateLimitTest extends ServingFixture {
+class RateLimitedEndpointTest extends ServingFixture {
 
     private static final long WINDOW_MILLIS = 4_000;
     private static final long APPLIED_AFTER_MILLIS = 3_000;
