--- a/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
+++ b/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
@@ -14,7 +14,7 @@
     /** Limits only tests that hang. */
     private static final long TIMEOUT_SECONDS = 10;
 
-    /** Throws on each attempt to start, and records when its wait has timedOut. */
+    /** Throws on each attempt to start, and records when its wait has timed out. */
     private record Failing(CompletableFuture<Void> tried, CompletableFuture<Void> timedOut) implements Waiter {
 
         @Override
