--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.admission.TakenRoom;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.OccupiedSlot;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.serving.EndpointProtocol.AttemptParameters;
@@ -17,7 +17,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.xnio.XnioExecutor;
 
 /**
@@ -25,17 +25,17 @@
  * response, and forwards it. If it ends without a response, {@link ServedRequest} decides what follows. All methods run
  * on the traffic thread.
  */
-final class Attempt implements HttpCaller.Listener {
+final class Attempt implements HttpClient.Listener {
 
     private final ServedRequest served;
     private final ServingContext context;
     private final ClientRequest request;
     private final ClientResponse response;
     private final EventSplitter events;
-    private final EndpointEntry endpoint;
+    private final EndpointRegistration endpoint;
     private final double predictedMillis;
     private final EndpointLoad load;
-    private final TakenRoom slot;
+    private final OccupiedSlot slot;
     private final Runnable releaseSuspect;
     private final ResponseRelay relay;
     private final StartDeadline startDeadline;
@@ -46,7 +46,7 @@
     private boolean closed;
     private boolean sendStarted;
 
-    Attempt(ServedRequest served, Choice.Send chosen) {
+    Attempt(ServedRequest served, EndpointSelection.Send chosen) {
         this.served = served;
         this.context = served.context();
         this.request = served.request();
@@ -61,7 +61,7 @@
         this.stallTimer = new ResponseStallTimer(context::nowMillis);
         this.releaseSuspect = context.suspects().onSent(endpoint, served.digest(), startMillis);
         load.limit().sent(startMillis);
-        this.slot = new TakenRoom(load, request.promptTokens(), context.waitQueue()::onSlotFreed);
+        this.slot = new OccupiedSlot(load, request.promptTokens(), context.waitQueue()::onSlotFreed);
     }
 
     /** Sends the request, whose slot the constructor has already taken. */
@@ -122,13 +122,13 @@
         stop();
     }
 
-    private void failAttempt(AttemptEnd end, String reason) {
+    private void failAttempt(AttemptOutcome end, String reason) {
         logFailed(end, reason);
         cancelAndRecord();
         served.onAttemptFailed(end, reason);
     }
 
-    private void logFailed(AttemptEnd end, String reason) {
+    private void logFailed(AttemptOutcome end, String reason) {
         served.log().attemptFailed(endpoint, end, progress(), reason);
     }
 
@@ -161,10 +161,10 @@
             return;
         }
         if (!slot.begun() && wouldStartTooLate()) {
-            failAttempt(AttemptEnd.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
+            failAttempt(AttemptOutcome.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
         } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
-            switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint and its agent are unresponsive");
+            switchEndpoint(AttemptOutcome.UNKNOWN, "the endpoint and its agent are unresponsive");
         }
     }
 
@@ -181,7 +181,7 @@
                 && AttemptPolicy.overdue(request.route(), waitingMillis);
         if (overdue && (!response.started() || served.canResume()) && served.reserveRetry()) {
             events.dropRemainder();
-            switchEndpoint(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + waitingMillis + " ms");
+            switchEndpoint(AttemptOutcome.UNKNOWN, "the endpoint has sent nothing for " + waitingMillis + " ms");
         }
     }
 
@@ -200,7 +200,7 @@
                 || context.versions().holdsOutdated(request, endpoint);
     }
 
-    private void switchEndpoint(AttemptEnd end, String reason) {
+    private void switchEndpoint(AttemptOutcome end, String reason) {
         logFailed(end, reason);
         cancelAndRecord();
         served.switchEndpoint(end, reason);
@@ -212,14 +212,14 @@
             return;
         }
         load.failures().broke(context.nowMillis());
-        failAttempt(AttemptEnd.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
+        failAttempt(AttemptOutcome.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
     }
 
     /** Cancels the request if the endpoint, which holds an older weight version, has not begun it in time. */
     private void onStartDeadline() {
         if (!closed && !slot.begun()) {
             failAttempt(
-                    AttemptEnd.UNKNOWN,
+                    AttemptOutcome.UNKNOWN,
                     "a newer weight version is required, and the endpoint has not begun the request");
         }
     }
@@ -247,7 +247,7 @@
     }
 
     private void withhold(PreSendCheck.Result.Outdated outdated) {
-        logFailed(AttemptEnd.NOT_RUN, outdated.reason());
+        logFailed(AttemptOutcome.NOT_RUN, outdated.reason());
         stop();
         served.onPreSendCheckFailed(endpoint, outdated);
     }
@@ -266,19 +266,19 @@
             applyEndpointState(head);
         }
         switch (HeadClassification.classify(head, request.route().kind().repeatable(), response.started())) {
-            case NOT_RUN -> failAttempt(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
+            case NOT_RUN -> failAttempt(AttemptOutcome.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
                 load.failures().misdirected(context.nowMillis());
-                failAttempt(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
+                failAttempt(AttemptOutcome.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
                 load.failures().broke(context.nowMillis());
-                failAttempt(AttemptEnd.UNKNOWN, "the response does not belong to this request");
+                failAttempt(AttemptOutcome.UNKNOWN, "the response does not belong to this request");
             }
             case NOT_TO_PASS -> {
                 recordStatus(head.status());
                 failAttempt(
-                        AttemptEnd.UNKNOWN,
+                        AttemptOutcome.UNKNOWN,
                         "the endpoint responded with " + head.status()
                                 + " without stating that the request was not run");
             }
@@ -319,7 +319,7 @@
 
     private void onEndpointError(ResponseHead head) {
         if (served.reserveRetry()) {
-            switchEndpoint(AttemptEnd.FAILED, "the endpoint failed with " + head.status());
+            switchEndpoint(AttemptOutcome.FAILED, "the endpoint failed with " + head.status());
         } else {
             relay.start(head, true);
         }
@@ -361,16 +361,16 @@
         if (sent && fault.reason() == Reason.UNREACHABLE && !context.isDraining(endpoint)) {
             onConnectionBroken(fault.message());
         } else {
-            failAttempt(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
+            failAttempt(sent ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN, fault.message());
         }
     }
 
     /** Ends the attempt, and continues the request once it is known whether the endpoint has crashed. */
     private void onConnectionBroken(String reason) {
         boolean begun = slot.begun();
-        logFailed(AttemptEnd.UNKNOWN, reason);
+        logFailed(AttemptOutcome.UNKNOWN, reason);
         stop();
-        served.recordAttemptEnd(AttemptEnd.UNKNOWN);
+        served.recordAttemptEnd(AttemptOutcome.UNKNOWN);
         context.crashes().connectionBroke(endpoint, served.digest().get(), begun, () -> served.retryOrConclude(reason));
     }
 }
--- a/src/main/java/org/micabarrow/serving/CrashDetector.java
+++ b/src/main/java/org/micabarrow/serving/CrashDetector.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.PortProbe;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointStart;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -48,9 +48,9 @@
     /** The estimated memory of a request besides its body, in bytes. */
     private static final int REQUEST_OVERHEAD_BYTES = 1 << 10;
 
-    private final CrashBook book;
+    private final CrashRegistry book;
     private final PortProbe probe;
-    private final Consumer<CrashNews> publisher;
+    private final Consumer<CrashUpdate> publisher;
     private final LongSupplier monotonicMillis;
     private final Map<EndpointStart, PendingProbe> pendingProbes = new HashMap<>();
     private final Map<EndpointStart, RequestsAtEndpoint> crashed = new LinkedHashMap<>();
@@ -103,7 +103,7 @@
      * @param continuation run once it is known whether the endpoint has crashed, immediately or after one round trip to
      *     its instance; if the request were retried earlier, it might crash the next endpoint without being suspected
      */
-    void connectionBroke(EndpointEntry endpoint, RequestDigest request, boolean begun, Runnable continuation) {
+    void connectionBroke(EndpointRegistration endpoint, RequestDigest request, boolean begun, Runnable continuation) {
         EndpointStart start = endpoint.start();
         if (crashed.containsKey(start)) {
             crashed.get(start).add(request, begun);
@@ -124,7 +124,7 @@
     /**
      * Records that a request with a body of the given size was cancelled; it may still be at its endpoint for a moment.
      */
-    void recordCancelled(EndpointEntry endpoint, LazyDigest request, int bytes, boolean begun) {
+    void recordCancelled(EndpointRegistration endpoint, LazyDigest request, int bytes, boolean begun) {
         int size = bytes + REQUEST_OVERHEAD_BYTES;
         if (size > MAX_CANCELLED_BYTES) {
             return;
@@ -145,7 +145,7 @@
         if (refused) {
             recordCrash(start, pending.requests());
         }
-        pending.continuations().forEach(continuation -> Steps.guarded("after-crash", continuation));
+        pending.continuations().forEach(continuation -> RepeatedTasks.guarded("after-crash", continuation));
     }
 
     private void recordCrash(EndpointStart start, RequestsAtEndpoint requests) {
@@ -170,7 +170,7 @@
                 crash.aboard(),
                 crash.begun());
         book.crashed(crash, monotonicMillis.getAsLong());
-        publisher.accept(new CrashNews.Crashed(crash));
+        publisher.accept(new CrashUpdate.Crashed(crash));
     }
 
     // -- clearing suspects
@@ -181,7 +181,7 @@
      */
     void onResponse(LazyDigest request, boolean whole) {
         if (book.mayKnow(request) && book.cleared(request.get(), whole) > 0) {
-            publisher.accept(new CrashNews.Cleared(request.get(), whole));
+            publisher.accept(new CrashUpdate.Cleared(request.get(), whole));
         }
     }
 }
--- a/src/main/java/org/micabarrow/serving/CrashTracking.java
+++ b/src/main/java/org/micabarrow/serving/CrashTracking.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 import java.util.function.Consumer;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.PortProbe;
 
 /**
@@ -13,7 +13,7 @@
  * @param probe checks whether an endpoint has crashed
  * @param publisher receives updates for other processes
  */
-public record CrashTracking(CrashBook book, PortProbe probe, Consumer<CrashNews> publisher) {
+public record CrashTracking(CrashRegistry book, PortProbe probe, Consumer<CrashUpdate> publisher) {
 
     /** Checks that no component is null. */
     public CrashTracking {
@@ -28,6 +28,6 @@
      * @return the instance
      */
     public static CrashTracking disabled() {
-        return new CrashTracking(new CrashBook(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
+        return new CrashTracking(new CrashRegistry(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
     }
 }
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -5,7 +5,7 @@
 import java.util.OptionalDouble;
 import java.util.OptionalLong;
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.transport.HttpCall;
 
 /** The wire format of requests and responses between an entry and an endpoint. */
@@ -21,7 +21,7 @@
      * @param objectiveMissed whether the objective has been missed, so that the request gets the lowest priority
      */
     record AttemptParameters(
-            EndpointEntry endpoint,
+            EndpointRegistration endpoint,
             long remainingMillis,
             Optional<Long> requiredVersion,
             Optional<String> lastEventId,
--- a/src/main/java/org/micabarrow/serving/EntryWaitQueue.java
+++ b/src/main/java/org/micabarrow/serving/EntryWaitQueue.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.admission.WaitQueue;
+import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.Waiter;
+import org.micabarrow.steps.RepeatedTasks;
 import org.xnio.XnioIoThread;
 
 /**
@@ -22,7 +22,7 @@
      */
     private static final long POLL_MILLIS = 10;
 
-    private final WaitingLine queue = new WaitingLine();
+    private final WaitQueue queue = new WaitQueue();
     private final LongSupplier monotonicMillis;
     private boolean polling;
 
@@ -40,8 +40,8 @@
     }
 
     /** The queue as seen by the requests of one thread. */
-    RoomWait.Line forThread(XnioIoThread thread) {
-        return new RoomWait.Line() {
+    SlotWait.Line forThread(XnioIoThread thread) {
+        return new SlotWait.Line() {
             @Override
             public Place join(int rank, long latestStartMillis, Waiter waiter) {
                 return EntryWaitQueue.this.join(rank, latestStartMillis, waiter, thread);
@@ -67,11 +67,11 @@
      * are not propagated to that request.
      */
     void onSlotFreed() {
-        Steps.guarded("room", queue::serve);
+        RepeatedTasks.guarded("room", queue::serve);
     }
 
     private void poll(XnioIoThread thread) {
-        Steps.guarded("expire", () -> queue.expire(monotonicMillis.getAsLong()));
+        RepeatedTasks.guarded("expire", () -> queue.expire(monotonicMillis.getAsLong()));
         onSlotFreed();
         polling = queue.size() > 0;
         if (polling) {
--- a/src/main/java/org/micabarrow/serving/InFlightRequests.java
+++ b/src/main/java/org/micabarrow/serving/InFlightRequests.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 
 /** The requests in flight. Used by the traffic thread. */
 final class InFlightRequests {
@@ -30,11 +30,11 @@
 
     /** Ends every request, even if some of them throw. */
     void endAll(String reason) {
-        List.copyOf(inFlight).forEach(request -> Steps.guarded("end", () -> request.end(reason)));
+        List.copyOf(inFlight).forEach(request -> RepeatedTasks.guarded("end", () -> request.end(reason)));
     }
 
     /** Checks every request, even if some of them throw; requests that end meanwhile are removed. */
     void checkAll() {
-        List.copyOf(inFlight).forEach(request -> Steps.guarded("look-after", request::check));
+        List.copyOf(inFlight).forEach(request -> RepeatedTasks.guarded("look-after", request::check));
     }
 }
--- a/src/main/java/org/micabarrow/serving/PreSendCheck.java
+++ b/src/main/java/org/micabarrow/serving/PreSendCheck.java
@@ -1,8 +1,8 @@
 package org.micabarrow.serving;
 
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Checks a routing decision again once the connection is established, just before the first byte of the request is
@@ -43,13 +43,13 @@
      * @param decidedMillis when the decision was made
      * @return whether the request may be sent now
      */
-    static Result check(ServedRequest served, EndpointEntry endpoint, long decidedMillis) {
+    static Result check(ServedRequest served, EndpointRegistration endpoint, long decidedMillis) {
         ServingContext context = served.context();
         ClientRequest request = served.request();
         if (served.remainingMillis() <= 0) {
             return new Result.Outdated("the deadline has passed", false);
         }
-        if (context.suspects().suspicion(served.digest(), context.nowMillis()) instanceof Standing.Refused) {
+        if (context.suspects().suspicion(served.digest(), context.nowMillis()) instanceof SuspicionLevel.Refused) {
             return new Result.Outdated("the request crashes endpoints", false);
         }
         if (context.isGoneOrDraining(endpoint) || !context.canReceive(request, endpoint)) {
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -1,11 +1,11 @@
 package org.micabarrow.serving;
 
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,7 +45,7 @@
                 context.viewAge());
     }
 
-    void sent(Choice.Send chosen, String reason, int attempt, long millisUntilObjective, long remainingMillis) {
+    void sent(EndpointSelection.Send chosen, String reason, int attempt, long millisUntilObjective, long remainingMillis) {
         EndpointLoad load = context.load(chosen.endpoint());
         long now = context.nowMillis();
         LOG.info(
@@ -64,11 +64,11 @@
                 context.viewAge());
     }
 
-    void backoffRequested(EndpointEntry endpoint, long millis) {
+    void backoffRequested(EndpointRegistration endpoint, long millis) {
         LOG.info("event=endpoint_rests request={} endpoint={} forMs={}", request.id(), endpoint.id(), millis);
     }
 
-    void notSent(EndpointEntry endpoint) {
+    void notSent(EndpointRegistration endpoint) {
         LOG.info(
                 "event=not_sent request={} endpoint={} why=\"its agent did not reply in time, or it may not get the request\"",
                 request.id(),
@@ -76,7 +76,7 @@
     }
 
     /** Logs that an attempt is cancelled because its response is no longer needed. */
-    void cancelled(EndpointEntry endpoint, String progress, String reason) {
+    void cancelled(EndpointRegistration endpoint, String progress, String reason) {
         LOG.info(
                 "event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, reason);
     }
@@ -85,11 +85,11 @@
      * Logs that an attempt ended without a response that may be forwarded. If the request may have run, its digest
      * shows whether the same request came before, under another id or at another entry.
      */
-    void attemptFailed(EndpointEntry endpoint, AttemptEnd end, String progress, String reason) {
+    void attemptFailed(EndpointRegistration endpoint, AttemptOutcome end, String progress, String reason) {
         LOG.info(
                 "event=attempt_failed request={} digest={} endpoint={} end={} {} why=\"{}\"",
                 request.id(),
-                end == AttemptEnd.UNKNOWN ? digest.get() : "-",
+                end == AttemptOutcome.UNKNOWN ? digest.get() : "-",
                 endpoint.id(),
                 end,
                 progress,
--- a/src/main/java/org/micabarrow/serving/ResponseRelay.java
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.serving.EndpointProtocol.ResponseHead;
 
 /**
@@ -79,7 +79,7 @@
     }
 
     /** Finishes the response after its last byte has arrived. */
-    void complete(EndpointEntry endpoint) {
+    void complete(EndpointRegistration endpoint) {
         if (!forwarding) {
             concludeRequest(endpoint);
             response.sendWhole(head.orElseThrow(), buffered.toByteArray());
@@ -94,7 +94,7 @@
         }
     }
 
-    private void concludeRequest(EndpointEntry endpoint) {
+    private void concludeRequest(EndpointRegistration endpoint) {
         served.onResponseComplete("endpoint=" + endpoint.id() + " hall=" + endpoint.dataHall() + " status="
                 + head.map(ResponseHead::status).orElse(0) + " weights="
                 + head.flatMap(ResponseHead::weightVersion).map(String::valueOf).orElse("-"));
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -4,32 +4,32 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.attempts.RequestTimes;
-import org.micabarrow.attempts.Sendings;
+import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RequestKind;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /** A client request from its arrival to the end of its response. All methods run on the traffic thread. */
-final class ServedRequest implements InFlightRequests.InFlightRequest, RoomWait.Request {
+final class ServedRequest implements InFlightRequests.InFlightRequest, SlotWait.Request {
 
     private final ServingContext context;
     private final ClientRequest request;
     private final ClientResponse response;
     private final XnioIoThread thread;
     private final RequestTimes times;
-    private final Sendings attempts = new Sendings();
-    private final RoomWait slotWait;
+    private final AttemptHistory attempts = new AttemptHistory();
+    private final SlotWait slotWait;
     private final EventSplitter events = new EventSplitter();
     private final EventTimes eventTimes = new EventTimes();
     private final RequestLog log;
@@ -48,7 +48,7 @@
         long sinceFirstAttemptMillis =
                 context.firstAttempts().millisSince(request.route().name(), request.deadlineMillis() - now, now);
         this.times = RequestTimes.of(request, now, sinceFirstAttemptMillis);
-        this.slotWait = new RoomWait(context.waitQueue().forThread(thread), this);
+        this.slotWait = new SlotWait(context.waitQueue().forThread(thread), this);
         this.log = new RequestLog(context, request, sinceFirstAttemptMillis, eventTimes, digest);
     }
 
@@ -121,7 +121,7 @@
     @Override
     public void decided(Decision decision, String reason) {
         switch (decision) {
-            case Decision.Send(Choice.Send chosen) -> sendOrQueryAgent(chosen, reason);
+            case Decision.Send(EndpointSelection.Send chosen) -> sendOrQueryAgent(chosen, reason);
             case Decision.Wait wait when !response.started() -> waitForSlot(wait, reason);
             case Decision.Wait(long ignored, int endpoints) -> refuseWithoutSlot(endpoints);
             case Decision.Full(int endpoints) -> refuseWithoutSlot(endpoints);
@@ -175,7 +175,7 @@
     // -- sending
 
     /** Sends the request, after querying the endpoint's agent if that is required. */
-    private void sendOrQueryAgent(Choice.Send chosen, String reason) {
+    private void sendOrQueryAgent(EndpointSelection.Send chosen, String reason) {
         if (!context.mustQueryAgent(request, chosen.endpoint())) {
             send(chosen, reason);
         } else if (attempts.ask()) {
@@ -185,7 +185,7 @@
         }
     }
 
-    private void onAgentReply(Choice.Send chosen, String reason, boolean maySend) {
+    private void onAgentReply(EndpointSelection.Send chosen, String reason, boolean maySend) {
         if (finished) {
             return;
         }
@@ -205,8 +205,8 @@
         return RequestOutcome.withoutResponse(response.started(), attempts.mayHaveRun());
     }
 
-    private void send(Choice.Send chosen, String reason) {
-        EndpointEntry endpoint = chosen.endpoint();
+    private void send(EndpointSelection.Send chosen, String reason) {
+        EndpointRegistration endpoint = chosen.endpoint();
         attempts.sent(endpoint.id());
         log.sent(chosen, reason, attempts.count(), millisUntilObjective(), remainingMillis());
         Attempt attempt = new Attempt(this, chosen);
@@ -218,7 +218,7 @@
      * Decides again after the check before the first byte has failed. Since nothing was sent, this does not count as a
      * retry: it takes nothing from the retry budget, and also applies to requests that may run only once.
      */
-    void onPreSendCheckFailed(EndpointEntry endpoint, PreSendCheck.Result.Outdated outdated) {
+    void onPreSendCheckFailed(EndpointRegistration endpoint, PreSendCheck.Result.Outdated outdated) {
         attempts.withheld();
         if (remainingMillis() < AttemptPolicy.LEAST_MILLIS_LEFT) {
             concludeWithoutResponse(outdated.reason());
@@ -250,13 +250,13 @@
     }
 
     /** Retries or concludes the request after an attempt has ended without a response. */
-    void onAttemptFailed(AttemptEnd end, String reason) {
+    void onAttemptFailed(AttemptOutcome end, String reason) {
         recordAttemptEnd(end);
         retryOrConclude(reason);
     }
 
     /** Records that an attempt has ended without a response; {@link #retryOrConclude} decides what follows. */
-    void recordAttemptEnd(AttemptEnd end) {
+    void recordAttemptEnd(AttemptOutcome end) {
         attempts.ended(end);
     }
 
@@ -279,7 +279,7 @@
      * Sends the request to another endpoint after {@link #reserveRetry} has allowed it; the previous endpoint may have
      * run it.
      */
-    void switchEndpoint(AttemptEnd end, String reason) {
+    void switchEndpoint(AttemptOutcome end, String reason) {
         attempts.ended(end);
         decideNext(reason);
     }
@@ -314,7 +314,7 @@
     public void check() {
         if (remainingMillis() <= 0) {
             end("the deadline has passed");
-        } else if (!response.started() && suspicion() instanceof Standing.Refused(int crashes, long forMillis)) {
+        } else if (!response.started() && suspicion() instanceof SuspicionLevel.Refused(int crashes, long forMillis)) {
             currentAttempt.ifPresent(this::cancelAttempt);
             refusePoisonRequest(crashes, forMillis);
         } else {
@@ -322,13 +322,13 @@
         }
     }
 
-    private Standing suspicion() {
+    private SuspicionLevel suspicion() {
         return context.suspects().suspicion(digest, context.nowMillis());
     }
 
     /** Cancels an attempt at an endpoint that the request may be about to crash. */
     private void cancelAttempt(Attempt attempt) {
-        attempts.ended(attempt.mayRun() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN);
+        attempts.ended(attempt.mayRun() ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN);
         attempt.abandon("the request crashes endpoints");
     }
 
--- a/src/main/java/org/micabarrow/serving/ServingContext.java
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.FirstTries;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.FirstAttemptEstimator;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.routing.Wanted;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -31,8 +31,8 @@
     private final WeightVersions versions;
     private final ServingMetrics metrics;
     private final InFlightRequests inFlight = new InFlightRequests();
-    private final FirstTries firstAttempts = new FirstTries();
-    private final Admission admission;
+    private final FirstAttemptEstimator firstAttempts = new FirstAttemptEstimator();
+    private final AdmissionControl admission;
     private final EntryWaitQueue waitQueue;
     private final SuspectAdmission suspects;
     private final CrashDetector crashes;
@@ -46,7 +46,7 @@
         this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
         this.versions = new WeightVersions(dependencies);
         this.metrics = new ServingMetrics(dependencies.registry());
-        this.admission = new Admission(dependencies.choice());
+        this.admission = new AdmissionControl(dependencies.choice());
         this.waitQueue = new EntryWaitQueue(dependencies.monotonicMillis());
         this.suspects = new SuspectAdmission(dependencies.crashes().book(), dependencies.choice(), admission);
         this.crashes = new CrashDetector(dependencies.crashes(), dependencies.monotonicMillis());
@@ -62,7 +62,7 @@
         return dependencies.reader();
     }
 
-    HttpCaller caller() {
+    HttpClient caller() {
         return dependencies.caller();
     }
 
@@ -86,7 +86,7 @@
         return inFlight;
     }
 
-    FirstTries firstAttempts() {
+    FirstAttemptEstimator firstAttempts() {
         return firstAttempts;
     }
 
@@ -112,27 +112,27 @@
 
     // -- routing
 
-    EndpointLoad load(EndpointEntry endpoint) {
+    EndpointLoad load(EndpointRegistration endpoint) {
         return dependencies.choice().load(endpoint.start());
     }
 
-    boolean isUnresponsive(EndpointEntry endpoint) {
+    boolean isUnresponsive(EndpointRegistration endpoint) {
         return dependencies.choice().silent(endpoint, nowMillis());
     }
 
-    boolean isBackingOff(EndpointEntry endpoint) {
+    boolean isBackingOff(EndpointRegistration endpoint) {
         return dependencies.choice().rests(endpoint, nowMillis());
     }
 
     /** Whether an endpoint has stated that it is draining, so that its end is no crash. */
-    boolean isDraining(EndpointEntry endpoint) {
-        EndpointEntry now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
+    boolean isDraining(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
         return now.start().equals(endpoint.start()) && dependencies.choice().leaves(now);
     }
 
     /** Whether an endpoint is draining, is no longer listed, or has restarted without the requests sent to it. */
-    boolean isGoneOrDraining(EndpointEntry endpoint) {
-        EndpointEntry now = view().endpoints().get(endpoint.id());
+    boolean isGoneOrDraining(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().get(endpoint.id());
         return now == null
                 || !now.start().equals(endpoint.start())
                 || dependencies.choice().leaves(now);
@@ -142,14 +142,14 @@
      * Records that a response stated that its endpoint is draining. It gets no new requests from now on, even if other
      * sources still report it as ready.
      */
-    void markDraining(EndpointEntry endpoint) {
+    void markDraining(EndpointRegistration endpoint) {
         if (dependencies.choice().saidThatItLeaves(endpoint.start())) {
             LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
         }
     }
 
     /** Whether an endpoint's rate limit allows this entry a request now. */
-    boolean withinRateLimit(EndpointEntry endpoint) {
+    boolean withinRateLimit(EndpointRegistration endpoint) {
         return dependencies.choice().withinLimit(endpoint, nowMillis());
     }
 
@@ -162,7 +162,7 @@
 
     /** Decides how to handle a request, given the time that is left until its objective. */
     Decision decide(ClientRequest request, LazyDigest digest, long millisUntilObjective, Set<String> tried) {
-        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return suspects.decide(endpoints, wanted(request, millisUntilObjective, tried), digest, nowMillis());
     }
 
@@ -179,13 +179,13 @@
     }
 
     /** Whether an endpoint's agent must be queried before the request is sent there. */
-    boolean mustQueryAgent(ClientRequest request, EndpointEntry endpoint) {
+    boolean mustQueryAgent(ClientRequest request, EndpointRegistration endpoint) {
         return versions.agentQueryDue(request, endpoint)
                 && dependencies.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
     }
 
     /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
-    void queryAgent(ClientRequest request, EndpointEntry endpoint, Consumer<Boolean> callback) {
+    void queryAgent(ClientRequest request, EndpointRegistration endpoint, Consumer<Boolean> callback) {
         dependencies.agentQueries().query(endpoint, inTime -> {
             if (!inTime) {
                 load(endpoint).notAnswered();
@@ -195,7 +195,7 @@
     }
 
     /** Runs an action once an endpoint's agent has replied or timed out; at once if there is no agent. */
-    void awaitAgentReply(ClientRequest request, EndpointEntry endpoint, Runnable callback) {
+    void awaitAgentReply(ClientRequest request, EndpointRegistration endpoint, Runnable callback) {
         if (load(endpoint).hasAgent()) {
             queryAgent(request, endpoint, ignored -> callback.run());
         } else {
@@ -204,7 +204,7 @@
     }
 
     /** Whether an endpoint may get the request at all, given current information. */
-    boolean canReceive(ClientRequest request, EndpointEntry endpoint) {
+    boolean canReceive(ClientRequest request, EndpointRegistration endpoint) {
         return dependencies.choice().able(endpoint, wanted(request, 0, Set.of()), nowMillis());
     }
 
@@ -215,11 +215,11 @@
      * backoff ends.
      */
     long retryAfterMillis(ClientRequest request) {
-        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return dependencies
                 .choice()
                 .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
-                .orElseGet(() -> Admission.comeBackMillis(request.deadlineMillis() - nowMillis()));
+                .orElseGet(() -> AdmissionControl.comeBackMillis(request.deadlineMillis() - nowMillis()));
     }
 
     /** Records that a client is refused and when it is told to retry; returns the retry delay. */
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -76,8 +76,8 @@
      */
     public record Dependencies(
             Supplier<View> view,
-            EndpointChoice choice,
-            HttpCaller caller,
+            EndpointSelector choice,
+            HttpClient caller,
             EndpointProtocol protocol,
             RequestReader reader,
             RetryBudget budget,
@@ -115,7 +115,7 @@
          * @param endpoint the endpoint
          * @param then receives once, on the same thread, whether the agent replied in time
          */
-        void query(EndpointEntry endpoint, Consumer<Boolean> then);
+        void query(EndpointRegistration endpoint, Consumer<Boolean> then);
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/StartDeadline.java
+++ b/src/main/java/org/micabarrow/serving/StartDeadline.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.views.View;
 import org.xnio.XnioExecutor;
 
@@ -14,11 +14,11 @@
 final class StartDeadline {
 
     private final ServedRequest served;
-    private final EndpointEntry endpoint;
+    private final EndpointRegistration endpoint;
     private final Runnable onReached;
     private Optional<XnioExecutor.Key> timer = Optional.empty();
 
-    StartDeadline(ServedRequest served, EndpointEntry endpoint, Runnable onReached) {
+    StartDeadline(ServedRequest served, EndpointRegistration endpoint, Runnable onReached) {
         this.served = served;
         this.endpoint = endpoint;
         this.onReached = onReached;
--- a/src/main/java/org/micabarrow/serving/SuspectAdmission.java
+++ b/src/main/java/org/micabarrow/serving/SuspectAdmission.java
@@ -1,14 +1,14 @@
 package org.micabarrow.serving;
 
 import java.util.List;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.crashes.CrashBook;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.crashes.SuspectPlacement;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.crashes.SuspectIsolation;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.Wanted;
 
 /**
@@ -17,27 +17,27 @@
  */
 final class SuspectAdmission {
 
-    private static final Standing UNSUSPECTED = new Standing.Unsuspected();
+    private static final SuspicionLevel UNSUSPECTED = new SuspicionLevel.Unsuspected();
 
-    private final CrashBook book;
-    private final EndpointChoice choice;
-    private final Admission admission;
-    private final SuspectPlacement placement = new SuspectPlacement();
+    private final CrashRegistry book;
+    private final EndpointSelector choice;
+    private final AdmissionControl admission;
+    private final SuspectIsolation placement = new SuspectIsolation();
 
-    SuspectAdmission(CrashBook book, EndpointChoice choice, Admission admission) {
+    SuspectAdmission(CrashRegistry book, EndpointSelector choice, AdmissionControl admission) {
         this.book = book;
         this.choice = choice;
         this.admission = admission;
     }
 
     /** What is known about a request's involvement in crashes. */
-    Standing suspicion(LazyDigest digest, long nowMillis) {
+    SuspicionLevel suspicion(LazyDigest digest, long nowMillis) {
         return book.mayKnow(digest) ? book.standing(digest.get(), nowMillis) : UNSUSPECTED;
     }
 
     /** Records that a request is sent; the returned action must run once the request has left its endpoint. */
-    Runnable onSent(EndpointEntry endpoint, LazyDigest digest, long nowMillis) {
-        if (!(suspicion(digest, nowMillis) instanceof Standing.Suspected)) {
+    Runnable onSent(EndpointRegistration endpoint, LazyDigest digest, long nowMillis) {
+        if (!(suspicion(digest, nowMillis) instanceof SuspicionLevel.Suspected)) {
             return () -> {};
         }
         placement.began(endpoint.start(), digest.get());
@@ -47,13 +47,13 @@
     // -- routing
 
     /** Decides how to handle a request. */
-    Decision decide(List<EndpointEntry> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
+    Decision decide(List<EndpointRegistration> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
         return switch (suspicion(digest, nowMillis)) {
-            case Standing.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
-            case Standing.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
-            case Standing.Suspected suspected -> {
-                List<EndpointEntry> available = placement.free(endpoints, digest.get(), suspected);
-                yield SuspectPlacement.apart(suspected)
+            case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
+            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
+            case SuspicionLevel.Suspected suspected -> {
+                List<EndpointRegistration> available = placement.free(endpoints, digest.get(), suspected);
+                yield SuspectIsolation.apart(suspected)
                         ? decideFirst(available, endpoints, wanted, nowMillis)
                         : decidePreferring(available, endpoints, wanted, nowMillis);
             }
@@ -61,7 +61,7 @@
     }
 
     private Decision decidePreferring(
-            List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+            List<EndpointRegistration> available, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
         Decision decision = admission.decide(available, wanted, nowMillis);
         return decision instanceof Decision.Send ? decision : admission.decide(endpoints, wanted, nowMillis);
     }
@@ -71,8 +71,8 @@
      * endpoints have free slots.
      */
     private Decision decideFirst(
-            List<EndpointEntry> available, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
-        for (EndpointEntry endpoint : available) {
+            List<EndpointRegistration> available, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
+        for (EndpointRegistration endpoint : available) {
             boolean healthy = !choice.failing(endpoint, nowMillis);
             if (healthy && admission.decide(List.of(endpoint), wanted, nowMillis) instanceof Decision.Send send) {
                 return send;
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.views.View;
@@ -18,7 +18,7 @@
 final class WeightVersions {
 
     private final Supplier<View> view;
-    private final EndpointChoice choice;
+    private final EndpointSelector choice;
     private final VersionTimes times;
     private final LongSupplier monotonicMillis;
 
@@ -35,7 +35,7 @@
     }
 
     /** The model of a request's service; empty for plain services. */
-    Optional<ModelService> model(ClientRequest request) {
+    Optional<ModelProfile> model(ClientRequest request) {
         return view.get()
                 .manifest()
                 .flatMap(manifest -> manifest.service(request.service()))
@@ -79,7 +79,7 @@
     // -- by request and endpoint
 
     /** The only version that may serve the request at an endpoint; empty while older versions are still allowed. */
-    Optional<Long> requiredVersion(ClientRequest request, EndpointEntry endpoint) {
+    Optional<Long> requiredVersion(ClientRequest request, EndpointRegistration endpoint) {
         long minVersion = minVersion(request);
         if (minVersion == 0) {
             return Optional.empty();
@@ -92,31 +92,31 @@
      * Whether a version newer than the endpoint's was named so long ago that the endpoint's agent must be queried
      * first.
      */
-    boolean agentQueryDue(ClientRequest request, EndpointEntry endpoint) {
+    boolean agentQueryDue(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
                 .filter(newer -> monotonicMillis.getAsLong() - newer.learnedMillis() >= times.queryAfterMillis())
                 .isPresent();
     }
 
     /** Whether an endpoint holds an older version than the one named. */
-    boolean holdsOutdated(ClientRequest request, EndpointEntry endpoint) {
+    boolean holdsOutdated(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint).isPresent();
     }
 
     /** The oldest named version that is newer than an endpoint's; empty if the endpoint holds the newest. */
-    Optional<View.Target> newerNamed(ClientRequest request, EndpointEntry endpoint) {
+    Optional<View.Target> newerNamed(ClientRequest request, EndpointRegistration endpoint) {
         return model(request).flatMap(model -> view.get().newerNamed(model.model(), held(endpoint, model)));
     }
 
     /** Whether an endpoint holds an older version than the given one. */
-    boolean holdsOlderThan(ClientRequest request, EndpointEntry endpoint, View.Target target) {
+    boolean holdsOlderThan(ClientRequest request, EndpointRegistration endpoint, View.Target target) {
         return model(request)
                 .filter(model -> held(endpoint, model) < target.version())
                 .isPresent();
     }
 
     /** Whether an endpoint may still begin a request, given the version that it holds. */
-    boolean mayStart(ClientRequest request, EndpointEntry endpoint) {
+    boolean mayStart(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
                 .filter(newer -> millisUntilStartDeadline(newer) <= 0)
                 .isEmpty();
@@ -133,7 +133,7 @@
     /**
      * The version in an endpoint's record, or a newer one with which it has responded or that its agent has reported.
      */
-    private long held(EndpointEntry endpoint, ModelService model) {
+    private long held(EndpointRegistration endpoint, ModelProfile model) {
         long listed = endpoint.models().getOrDefault(model.model(), 0L);
         return Math.max(listed, choice.load(endpoint.start()).version());
     }
--- a/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
@@ -8,31 +8,31 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /** Checks how crashes of endpoints are detected, published and cleared. */
 class CrashDetectorTest {
 
     private static final RequestDigest ONE = new RequestDigest("1".repeat(32));
     private static final RequestDigest OTHER = new RequestDigest("2".repeat(32));
-    private static final EndpointEntry ENDPOINT =
-            EndpointEntry.of("e", "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1);
+    private static final EndpointRegistration ENDPOINT =
+            EndpointRegistration.of("e", "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1);
 
     private final List<Consumer<Boolean>> probes = new ArrayList<>();
-    private final List<CrashNews> published = new ArrayList<>();
-    private final CrashBook book = new CrashBook(600_000, 100, () -> 8);
+    private final List<CrashUpdate> published = new ArrayList<>();
+    private final CrashRegistry book = new CrashRegistry(600_000, 100, () -> 8);
     private long clockMillis = 1_000;
     private int continued;
     private final CrashDetector detector = new CrashDetector(
             new CrashTracking(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
 
-    private static CrashNews crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
-        return new CrashNews.Crashed(new EndpointCrash("e", notBegun, begun));
+    private static CrashUpdate crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
+        return new CrashUpdate.Crashed(new EndpointCrash("e", notBegun, begun));
     }
 
     @Test
@@ -102,6 +102,6 @@
         detector.onResponse(LazyDigest.of(OTHER), true);
         assertEquals(List.of(), published);
         detector.onResponse(LazyDigest.of(ONE), true);
-        assertEquals(List.of(new CrashNews.Cleared(ONE, true)), published);
+        assertEquals(List.of(new CrashUpdate.Cleared(ONE, true)), published);
     }
 }
--- a/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
+++ b/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
@@ -8,8 +8,8 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * Guards against requests to an endpoint during the backoff that it asked for.
@@ -84,7 +84,7 @@
         sendRequest("/again/x");
         clockMillis.addAndGet(BACKOFF_MILLIS);
         platform.next(Behaviour.HANG);
-        Runnable cancel = client.send(HostedSystem.request(clientAddress(), "/again/x", "attempt-2"), new Ignoring());
+        Runnable cancel = client.send(HostedSystem.request(clientAddress(), "/again/x", "attempt-2"), new IgnoringListener());
         Await.until("the first request", () -> platform.endpoint("plain-1").hanging() == 1);
         assertEquals(503, sendRequest("/again/x").status(), "no other request before the endpoint has responded");
         cancel.run();
--- a/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
+++ b/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.WaitingLine.Waiter;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.admission.WaitQueue.Waiter;
+import org.micabarrow.transport.HttpClient;
 import org.xnio.XnioWorker;
 
 /** Checks that the wait queue keeps being polled. */
@@ -31,7 +31,7 @@
 
     @Test
     void shouldKeepPollingWhenOnePollFails() throws Exception {
-        XnioWorker worker = HttpCaller.worker("wait-queue", 1);
+        XnioWorker worker = HttpClient.worker("wait-queue", 1);
         try {
             AtomicLong clockMillis = new AtomicLong();
             EntryWaitQueue queue = new EntryWaitQueue(clockMillis::get);
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -38,8 +38,8 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Tests an entry end to end on the users' platform, against stand-ins over real sockets. */
 class HostedEntryTest {
@@ -56,13 +56,13 @@
     private static final String LONG_TIMEOUT_MILLIS = "60000";
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
     }
 
@@ -241,7 +241,7 @@
         platform.add("plain-1", "plain", 0);
         HostedEntryProcess entry = startWithLongTimeouts();
         platform.next(Behaviour.HANG);
-        HttpCaller disconnectingClient = HttpCaller.start("disconnecting", 1);
+        HttpClient disconnectingClient = HttpClient.start("disconnecting", 1);
         HttpCall call = call("/again/x", Map.of("Key", LONG_TIMEOUT_KEY, "Deadline-Ms", LONG_TIMEOUT_MILLIS), "a body");
         assertTrue(
                 disconnectingClient.call(call, Duration.ofMillis(300)).cause().isPresent());
--- a/src/test/java/org/micabarrow/serving/InvalidHeaderValuesTest.java
+++ b/src/test/java/org/micabarrow/serving/InvalidHeaderValuesTest.java
@@ -15,8 +15,8 @@
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * Guards against clients that send impossible numbers in headers: they get a response, and other clients are served as
@@ -27,13 +27,13 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
         platform.add("model-1", "models", 1);
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.serving.ServingHandler.AgentQueries;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Checks which requests are sent to an endpoint that still holds an older weight version than the named one. */
 class OlderVersionTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/OverdueResponseTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueResponseTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Checks when a request is retried elsewhere if its endpoint never responds although its agent reports no problem. */
 class OverdueResponseTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
@@ -14,9 +14,9 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * Guards against requests that a paused endpoint begins after it resumes.
@@ -102,9 +102,9 @@
     @Test
     void shouldCancelWaitingRequestWhenClientDisconnects() throws Exception {
         serve(NEVER_MILLIS);
-        try (HttpCaller disconnecting = HttpCaller.start("disconnecting", 1)) {
+        try (HttpClient disconnecting = HttpClient.start("disconnecting", 1)) {
             Runnable cancel =
-                    disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new Ignoring());
+                    disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new IgnoringListener());
             Await.until("the request", () -> paused.pendingRequests() == 1);
             cancel.run();
             Await.until("the end of the request", () -> handler.connections().inFlightCount() == 0);
--- a/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
+++ b/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
@@ -26,7 +26,7 @@
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * Checks which requests an entry sends after a pause between its routing decision and the first byte of the request.
--- a/src/test/java/org/micabarrow/serving/RateLimitedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/RateLimitedEndpointTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.Await;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Guards against sending an endpoint more requests per second than its rate limit allows. */
 class RateLimitedEndpointTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/TopicFollowers.java
+++ b/src/test/java/org/micabarrow/serving/TopicFollowers.java
@@ -4,10 +4,10 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.StoreClient;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** Follows the topics of the platform's test store to build a view. */
 final class TopicFollowers {
@@ -15,7 +15,7 @@
     private TopicFollowers() {}
 
     /** Follows both topics, and waits until a manifest and an endpoint are known. */
-    static void startAndAwaitView(HttpCaller caller, HostedSettings settings, Duration timeout, ViewKeeper views) {
+    static void startAndAwaitView(HttpClient caller, HostedSettings settings, Duration timeout, ViewMaintainer views) {
         StoreClient store = new StoreClient(caller, settings.store(), timeout);
         StoreFollower.Pace pace = new StoreFollower.Pace(Duration.ofMillis(200), Duration.ZERO);
         new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, pace).start();
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 
 /** What callers are told by an entry that starts while neither the log nor a peer has given it any configuration. */
@@ -55,7 +55,7 @@
         String address = Ports.freeAddress();
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callers());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpClient caller = HttpClient.start("test", 1)) {
             HttpCall call = new HttpCall(
                     Step.READ,
                     "POST",
