--- a/src/main/java/org/micabarrow/attempts/EventSplitter.java
+++ b/src/main/java/org/micabarrow/attempts/EventSplitter.java
@@ -5,73 +5,73 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of events at the blank lines between them, so that only whole events are passed on and the id of the last
- * one is known.
+ * Splits a stream of server-sent events at the blank lines between them, so that only complete events are passed on and
+ * the id of the last one is known.
  */
 public final class EventSplitter {
 
-    private static final String ID = "id:";
+    private static final String ID_FIELD = "id:";
 
-    private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
     private Optional<String> lastId = Optional.empty();
 
     /**
-     * Takes the next bytes.
+     * Appends the next bytes of the stream.
      *
      * @param data the bytes
-     * @return the events that are now whole, possibly none
+     * @return the events that are now complete, possibly none
      */
-    public byte[] whole(byte[] data) {
-        rest.writeBytes(data);
-        byte[] all = rest.toByteArray();
-        int end = endOfLastEvent(all);
+    public byte[] append(byte[] data) {
+        pending.writeBytes(data);
+        byte[] buffered = pending.toByteArray();
+        int end = endOfLastEvent(buffered);
         if (end == 0) {
             return new byte[0];
         }
-        rest.reset();
-        rest.write(all, end, all.length - end);
+        pending.reset();
+        pending.write(buffered, end, buffered.length - end);
         byte[] events = new byte[end];
-        System.arraycopy(all, 0, events, 0, end);
-        noteIds(events);
+        System.arraycopy(buffered, 0, events, 0, end);
+        recordIds(events);
         return events;
     }
 
-    private static int endOfLastEvent(byte[] all) {
-        for (int i = all.length - 1; i > 0; i--) {
-            if (all[i] != '\n') {
+    private static int endOfLastEvent(byte[] buffered) {
+        for (int i = buffered.length - 1; i > 0; i--) {
+            if (buffered[i] != '\n') {
                 continue;
             }
-            if (all[i - 1] == '\n' || (i > 1 && all[i - 1] == '\r' && all[i - 2] == '\n')) {
+            if (buffered[i - 1] == '\n' || (i > 1 && buffered[i - 1] == '\r' && buffered[i - 2] == '\n')) {
                 return i + 1;
             }
         }
         return 0;
     }
 
-    private void noteIds(byte[] events) {
+    private void recordIds(byte[] events) {
         for (String line : new String(events, StandardCharsets.UTF_8).split("\r?\n")) {
-            if (line.startsWith(ID)) {
-                lastId = Optional.of(line.substring(ID.length()).trim());
+            if (line.startsWith(ID_FIELD)) {
+                lastId = Optional.of(line.substring(ID_FIELD.length()).trim());
             }
         }
     }
 
     /**
-     * The bytes of an event that is not whole yet.
+     * Returns the bytes of an event that is not yet complete.
      *
      * @return the bytes, possibly none
      */
     public byte[] remainder() {
-        return rest.toByteArray();
+        return pending.toByteArray();
     }
 
-    /** Forgets the bytes of an event that will not become whole, because its connection broke. */
-    public void dropRemainder() {
-        rest.reset();
+    /** Discards the bytes of an event that will not be completed because its connection broke. */
+    public void discardRemainder() {
+        pending.reset();
     }
 
     /**
-     * The id of the last whole event.
+     * Returns the id of the last complete event that has one.
      *
      * @return the id, empty before the first event that has one
      */
--- a/src/main/java/org/micabarrow/bench/OperatorCalls.java
+++ b/src/main/java/org/micabarrow/bench/OperatorCalls.java
@@ -44,7 +44,7 @@
                         Map.of(),
                         body.getBytes(StandardCharsets.UTF_8))
                 .withHeader("Authorization", "Bearer " + LocalSystem.OPERATOR_TOKEN);
-        HttpClient.HttpAnswer answer = http.call(call, WITHIN).toOptional().orElseThrow();
+        HttpClient.HttpResponse answer = http.call(call, WITHIN).toOptional().orElseThrow();
         if (answer.status() != 200) {
             throw new IllegalStateException(new String(answer.body(), StandardCharsets.UTF_8));
         }
--- a/src/main/java/org/micabarrow/command/OperatorCommand.java
+++ b/src/main/java/org/micabarrow/command/OperatorCommand.java
@@ -61,7 +61,7 @@
         }
     }
 
-    private static <T> Result<T> read(HttpClient.HttpAnswer answer, Class<T> type) {
+    private static <T> Result<T> read(HttpClient.HttpResponse answer, Class<T> type) {
         try {
             if (answer.status() == 200) {
                 return Result.success(CanonicalJson.read(answer.body(), type));
--- a/src/main/java/org/micabarrow/limits/EndpointRateLimit.java
+++ b/src/main/java/org/micabarrow/limits/EndpointRateLimit.java
@@ -9,201 +9,210 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What one entry knows of the limit of one start of an endpoint, and when its own part of it allows the next request. Requests are kept
- * apart by a whole period each, so that time in which none comes, or in which the process stands still, saves up nothing. Used by one
- * thread.
+ * What one entry knows about the rate limit of one start of an endpoint, and when its quota share allows the next
+ * request. Requests are spaced by a whole period each, so no burst credit accumulates while none arrive or the process
+ * is paused. Not thread-safe: confined to one thread.
  */
 public final class EndpointRateLimit {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
     /**
-     * For how long what was heard counts with others, in milliseconds. A limit that was not named again for that long is no longer left to the
-     * entries that take part: the end of it may have passed this entry by.
+     * Time for which an observation is passed on to other processes, in milliseconds. A limit that has not been stated
+     * again for that long is also no longer left to the entries with a share of it, since this entry may have missed
+     * that it was lifted.
      */
-    static final long COUNTED_MILLIS = 30_000;
+    static final long EXPIRY_MILLIS = 30_000;
 
     private final String endpoint;
-    private final EntryCount entries;
+    private final EntryCount entryCount;
     private final RandomGenerator random;
-    private Optional<RateLimitObservation> heard = Optional.empty();
-    private Optional<RateLimitObservation> newest = Optional.empty();
+    private Optional<RateLimitObservation> ownObservation = Optional.empty();
+    private Optional<RateLimitObservation> latest = Optional.empty();
     private Optional<EntryRank> rank = Optional.empty();
 
-    /** Empty while the entry takes no part. */
+    /** Empty while this entry has no share of the limit. */
     private Optional<QuotaShare> share = Optional.empty();
 
-    private long sinceMillis;
+    private long periodStartMillis;
 
     /**
-     * Begins without a limit.
+     * Creates the state of an endpoint without a rate limit.
      *
      * @param endpoint the endpoint's id
-     * @param entries how many entries there are
+     * @param entryCount the number of entries
      * @param random spreads the first requests of entries that do not know their ranks
      */
-    public EndpointRateLimit(String endpoint, EntryCount entries, RandomGenerator random) {
+    public EndpointRateLimit(String endpoint, EntryCount entryCount, RandomGenerator random) {
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
-        this.entries = Objects.requireNonNull(entries, "entries is null");
+        this.entryCount = Objects.requireNonNull(entryCount, "entryCount is null");
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
-    // -- what is said
+    // -- observations
 
     /**
-     * An answer of the endpoint came.
+     * Records a response of the endpoint.
      *
-     * @param perSecond the limit that it names, in requests a second; empty if none
-     * @param sentMillis when the request was sent, on the steady clock
-     * @param nowMillis the time on the steady clock
-     * @return whether the limit is another than before
+     * @param perSecond the limit that it states, in requests per second; empty if it states none
+     * @param sentMillis the time at which the request was sent, on the monotonic clock
+     * @param nowMillis the time on the monotonic clock
+     * @return whether the limit changed
      */
-    public boolean answered(OptionalDouble perSecond, long sentMillis, long nowMillis) {
+    public boolean responseReceived(OptionalDouble perSecond, long sentMillis, long nowMillis) {
         return perSecond.isPresent()
-                ? hear(new RateLimitObservation.Named(perSecond.getAsDouble(), nowMillis))
-                : notNamed(sentMillis, nowMillis);
+                ? observe(new RateLimitObservation.Stated(perSecond.getAsDouble(), nowMillis))
+                : limitAbsent(sentMillis, nowMillis);
     }
 
-    /** The answer to a request that was sent before the limit was named may have been on its way since before, and tells nothing. */
-    private boolean notNamed(long sentMillis, long nowMillis) {
-        return limit().filter(named -> named.atMillis() <= sentMillis).isPresent()
-                && hear(new RateLimitObservation.Ended(nowMillis));
+    /**
+     * Ignores the response to a request that was sent before the limit was stated: it may have been under way since
+     * then.
+     */
+    private boolean limitAbsent(long sentMillis, long nowMillis) {
+        return current().filter(stated -> stated.atMillis() <= sentMillis).isPresent()
+                && observe(new RateLimitObservation.Lifted(nowMillis));
     }
 
-    private boolean hear(RateLimitObservation news) {
-        heard = Optional.of(news);
-        return take(news);
+    private boolean observe(RateLimitObservation observation) {
+        ownObservation = Optional.of(observation);
+        return apply(observation);
     }
 
     /**
-     * Another process told what the endpoint said to it.
+     * Records what the endpoint stated to another process.
      *
-     * @param news the news, by this process's steady clock
-     * @return whether the limit is another than before
+     * @param observation the observation, by this process's monotonic clock
+     * @return whether the limit changed
      */
-    public boolean told(RateLimitObservation news) {
-        return newest.filter(known -> !news.after(known)).isEmpty() && take(news);
+    public boolean updated(RateLimitObservation observation) {
+        return latest.filter(known -> !observation.isNewerThan(known)).isEmpty() && apply(observation);
     }
 
-    private boolean take(RateLimitObservation news) {
-        Optional<Double> before = limit().map(RateLimitObservation.Named::perSecond);
-        newest = Optional.of(news);
-        if (limit().isEmpty()) {
+    private boolean apply(RateLimitObservation observation) {
+        Optional<Double> before = current().map(RateLimitObservation.Stated::perSecond);
+        latest = Optional.of(observation);
+        if (current().isEmpty()) {
             share = Optional.empty();
         }
-        return !before.equals(limit().map(RateLimitObservation.Named::perSecond));
+        return !before.equals(current().map(RateLimitObservation.Stated::perSecond));
     }
 
     /**
-     * The endpoint's agent told the entry's rank.
+     * Records the entry's rank as reported by the endpoint's agent.
      *
-     * @param told the rank
+     * @param newRank the rank
      */
-    public void ranked(EntryRank told) {
-        rank = Optional.of(Objects.requireNonNull(told, "told is null"));
+    public void rankReported(EntryRank newRank) {
+        rank = Optional.of(Objects.requireNonNull(newRank, "newRank is null"));
     }
 
     /**
-     * What this entry heard from the endpoint itself and tells others.
+     * Returns the update with this entry's own observation for other processes.
      *
-     * @param nowMillis the time on the steady clock
-     * @return the word; empty if there is none that still counts
+     * @param nowMillis the time on the monotonic clock
+     * @return the update; empty if there is no observation or it has expired
      */
-    public Optional<RateLimitUpdate> word(long nowMillis) {
-        return heard.filter(news -> nowMillis - news.atMillis() <= COUNTED_MILLIS)
-                .map(news -> RateLimitUpdate.of(RateLimitUpdate.token(endpoint), news, nowMillis));
+    public Optional<RateLimitUpdate> ownUpdate(long nowMillis) {
+        return ownObservation
+                .filter(observation -> nowMillis - observation.atMillis() <= EXPIRY_MILLIS)
+                .map(observation -> RateLimitUpdate.of(RateLimitUpdate.token(endpoint), observation, nowMillis));
     }
 
     /**
-     * The limit.
+     * Returns the current limit.
      *
-     * @return the limit with the moment at which it was said; empty if the endpoint names none
+     * @return the limit and the time at which it was stated; empty if the endpoint states none
      */
-    public Optional<RateLimitObservation.Named> limit() {
-        return newest.filter(RateLimitObservation.Named.class::isInstance).map(RateLimitObservation.Named.class::cast);
+    public Optional<RateLimitObservation.Stated> current() {
+        return latest.filter(RateLimitObservation.Stated.class::isInstance)
+                .map(RateLimitObservation.Stated.class::cast);
     }
 
     /**
-     * Writes a line about the limit as it is now.
+     * Logs the current limit after a change.
      *
-     * @param from who said so
+     * @param from the source of the change
      */
     public void logChange(String from) {
         LOG.info(
                 "event=endpoint_limit endpoint={} perSecond={} from={} rank={} entries={}",
                 endpoint,
-                limit().map(named -> String.valueOf(named.perSecond())).orElse("none"),
+                current().map(stated -> String.valueOf(stated.perSecond())).orElse("none"),
                 from,
                 rank.map(one -> one.rank() + "/" + one.entries()).orElse("-"),
-                entries.count());
+                entryCount.count());
     }
 
     // -- sending
 
     /**
-     * Whether the entry may send a request now.
+     * Returns whether the entry may send a request now.
      *
-     * @param agentTells whether the endpoint's agent tells ranks now
-     * @param nowMillis the time on the steady clock
+     * @param ranksAvailable whether the endpoint's agent currently reports ranks
+     * @param nowMillis the time on the monotonic clock
      * @return true also if there is no limit
      */
-    public boolean allows(boolean agentTells, long nowMillis) {
-        if (newest.isEmpty()) {
+    public boolean allows(boolean ranksAvailable, long nowMillis) {
+        if (latest.isEmpty()) {
             return true;
         }
-        OptionalLong left = untilNextMillis(agentTells, nowMillis);
-        return left.isPresent() && left.getAsLong() == 0;
+        OptionalLong waitMillis = untilNextRequestMillis(ranksAvailable, nowMillis);
+        return waitMillis.isPresent() && waitMillis.getAsLong() == 0;
     }
 
     /**
-     * How long it takes until the entry may send a request.
+     * Returns the time until the entry may send a request.
      *
-     * @param agentTells whether the endpoint's agent tells ranks now
-     * @param nowMillis the time on the steady clock
+     * @param ranksAvailable whether the endpoint's agent currently reports ranks
+     * @param nowMillis the time on the monotonic clock
      * @return milliseconds, not below 0; empty if the limit is left to other entries
      */
-    public OptionalLong untilNextMillis(boolean agentTells, long nowMillis) {
-        if (limit().isEmpty()) {
+    public OptionalLong untilNextRequestMillis(boolean ranksAvailable, long nowMillis) {
+        if (current().isEmpty()) {
             return OptionalLong.of(0);
         }
-        RateLimitObservation.Named named = limit().get();
-        takePart(named, agentTells, nowMillis);
+        RateLimitObservation.Stated stated = current().get();
+        updateShare(stated, ranksAvailable, nowMillis);
         return share.isPresent()
-                ? OptionalLong.of(Math.max(0, sinceMillis + periodMillis(share.get(), named) - nowMillis))
+                ? OptionalLong.of(Math.max(0, periodStartMillis + periodMillis(share.get(), stated) - nowMillis))
                 : OptionalLong.empty();
     }
 
     /**
-     * The entry sends a request.
+     * Records that the entry sends a request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void sent(long nowMillis) {
-        sinceMillis = nowMillis;
+        periodStartMillis = nowMillis;
     }
 
-    /** Works out the share. An entry that did not take part in this way before begins at a moment of its own. */
-    private void takePart(RateLimitObservation.Named named, boolean agentTells, long nowMillis) {
-        QuotaShare present = share(named, agentTells, nowMillis);
-        if (present.periodMillis(named.perSecond()).isEmpty()) {
+    /**
+     * Updates the quota share. When an entry gets a share of this kind for the first time, its first period is offset
+     * from those of other entries.
+     */
+    private void updateShare(RateLimitObservation.Stated stated, boolean ranksAvailable, long nowMillis) {
+        QuotaShare newShare = computeShare(stated, ranksAvailable, nowMillis);
+        if (newShare.periodMillis(stated.perSecond()).isEmpty()) {
             share = Optional.empty();
             return;
         }
-        if (share.filter(before -> before.getClass() == present.getClass()).isEmpty()) {
-            long first = present.firstAfterMillis(named.perSecond(), random.nextDouble());
-            sinceMillis = nowMillis + first - periodMillis(present, named);
+        if (share.filter(before -> before.getClass() == newShare.getClass()).isEmpty()) {
+            long firstDelayMillis = newShare.firstDelayMillis(stated.perSecond(), random.nextDouble());
+            periodStartMillis = nowMillis + firstDelayMillis - periodMillis(newShare, stated);
         }
-        share = Optional.of(present);
+        share = Optional.of(newShare);
     }
 
-    private QuotaShare share(RateLimitObservation.Named named, boolean agentTells, long nowMillis) {
-        boolean lately = nowMillis - named.atMillis() <= COUNTED_MILLIS;
-        return agentTells && lately && rank.isPresent()
+    private QuotaShare computeShare(RateLimitObservation.Stated stated, boolean ranksAvailable, long nowMillis) {
+        boolean recent = nowMillis - stated.atMillis() <= EXPIRY_MILLIS;
+        return ranksAvailable && recent && rank.isPresent()
                 ? new QuotaShare.Ranked(rank.get())
-                : new QuotaShare.Unranked(entries.count());
+                : new QuotaShare.Unranked(entryCount.count());
     }
 
-    private static long periodMillis(QuotaShare share, RateLimitObservation.Named named) {
-        return share.periodMillis(named.perSecond()).orElseThrow();
+    private static long periodMillis(QuotaShare share, RateLimitObservation.Stated stated) {
+        return share.periodMillis(stated.perSecond()).orElseThrow();
     }
 }
--- a/src/main/java/org/micabarrow/platform/CrashRecords.java
+++ b/src/main/java/org/micabarrow/platform/CrashRecords.java
@@ -76,8 +76,8 @@
         return switch (news) {
             case CrashUpdate.Crashed(EndpointCrash crash) -> {
                 json.put(ENDPOINT, crash.endpoint());
-                put(json.putArray(ABOARD), crash.aboard());
-                put(json.putArray(BEGUN), crash.begun());
+                put(json.putArray(ABOARD), crash.unanswered());
+                put(json.putArray(BEGUN), crash.partlyAnswered());
                 yield record("crash/" + crash.endpoint(), json);
             }
             case CrashUpdate.Cleared(RequestDigest request, boolean whole) -> {
@@ -130,13 +130,14 @@
             return Result.success(new Told(news(json), JsonFields.whole(json, AT, 0)));
         } catch (IOException | IllegalArgumentException | JsonFields.MalformedField e) {
             return Result.failure(
-                    Fault.of(Step.READ, record.shownKey(), Reason.INVALID, StoredRecord.shown(e.toString())));
+                    Fault.of(Step.READ, record.loggableKey(), Reason.INVALID, StoredRecord.loggable(e.toString())));
         }
     }
 
     private static CrashUpdate news(JsonNode json) {
         return json.has(CLEARED)
-                ? new CrashUpdate.Cleared(new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
+                ? new CrashUpdate.Cleared(
+                        new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
                 : new CrashUpdate.Crashed(new EndpointCrash(
                         JsonFields.text(json, ENDPOINT), requests(json, ABOARD), requests(json, BEGUN)));
     }
--- a/src/main/java/org/micabarrow/platform/StoreClient.java
+++ b/src/main/java/org/micabarrow/platform/StoreClient.java
@@ -21,10 +21,10 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.ResponseTimeouts;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
+import org.micabarrow.transport.ResponseTimeouts;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader;
@@ -99,7 +99,7 @@
     // -- the newest of each key
 
     @Override
-    public Result<Batch> newest(Topic topic) {
+    public Result<Batch> readLatest(Topic topic) {
         List<StoredRecord> records = new ArrayList<>();
         String after = "";
         long end = -1;
@@ -177,11 +177,11 @@
                     topic,
                     offset,
                     count,
-                    StoredRecord.shown(String.valueOf(why)));
+                    StoredRecord.loggable(String.valueOf(why)));
         }
     }
 
-    private static Result<JsonNode> json(HttpCall call, HttpAnswer answer) {
+    private static Result<JsonNode> json(HttpCall call, HttpResponse answer) {
         if (answer.status() != OK) {
             return refused(call, answer);
         }
@@ -192,7 +192,7 @@
         }
     }
 
-    private static <T> Result<T> refused(HttpCall call, HttpAnswer answer) {
+    private static <T> Result<T> refused(HttpCall call, HttpResponse answer) {
         return Result.failure(
                 Fault.of(call.step(), call.peer(), Reason.OVERLOADED, "the store answered " + answer.status()));
     }
--- a/src/main/java/org/micabarrow/platform/StoreRecords.java
+++ b/src/main/java/org/micabarrow/platform/StoreRecords.java
@@ -81,7 +81,7 @@
     }
 
     private static <T> Result<T> refused(StoredRecord record, String why) {
-        return Result.failure(Fault.of(Step.READ, record.shownKey(), Reason.INVALID, StoredRecord.shown(why)));
+        return Result.failure(Fault.of(Step.READ, record.loggableKey(), Reason.INVALID, StoredRecord.loggable(why)));
     }
 
     // -- what operators write
@@ -92,11 +92,11 @@
     }
 
     @Override
-    public Result<OperatorRecord> operator(StoredRecord record) {
+    public Result<OperatorRecord> decodeOperatorRecord(StoredRecord record) {
         if (isManifest(record.key())) {
-            return decode(record, json -> new OperatorRecord.ManifestSet(manifest(json)));
+            return decode(record, json -> new OperatorRecord.ManifestPublished(manifest(json)));
         }
-        if (record.key().startsWith(VersionKeys.VERSIONS)) {
+        if (record.key().startsWith(VersionKeys.VERSION_PREFIX)) {
             return decode(
                     record,
                     json -> new OperatorRecord.WeightsNamed(
@@ -104,10 +104,10 @@
                             JsonFields.whole(json, "version", 1),
                             VersionRecords.namedMillis(json)));
         }
-        if (record.key().startsWith(VersionKeys.MANIFESTS)) {
+        if (record.key().startsWith(VersionKeys.MANIFEST_PREFIX)) {
             return decode(record, VersionRecords::manifestKept);
         }
-        return Result.success(new OperatorRecord.Unused());
+        return Result.success(new OperatorRecord.UnusedRecord());
     }
 
     private static RouteManifest manifest(JsonNode json) {
@@ -139,12 +139,12 @@
     }
 
     private static Route route(JsonNode json) {
-        List<Route.Share> shares = new ArrayList<>();
+        List<Route.WeightedService> shares = new ArrayList<>();
         JsonFields.objectsIfPresent(json, "traffic_split")
-                .forEach(part -> shares.add(
-                        new Route.Share(JsonFields.text(part, "service"), JsonFields.number(part, "weight"))));
+                .forEach(part -> shares.add(new Route.WeightedService(
+                        JsonFields.text(part, "service"), JsonFields.number(part, "weight"))));
         if (shares.isEmpty()) {
-            shares.add(new Route.Share(JsonFields.text(json, "service"), 1));
+            shares.add(new Route.WeightedService(JsonFields.text(json, "service"), 1));
         }
         long timeout = JsonFields.longOr(json, "timeout_ms", NO_TIMEOUT_MILLIS);
         return new Route(
@@ -198,7 +198,7 @@
      * not looked at, so that one that changes its type costs no endpoint.
      */
     @Override
-    public Result<EndpointRegistration> endpoint(StoredRecord record) {
+    public Result<EndpointRegistration> decodeEndpointRegistration(StoredRecord record) {
         return decode(
                 record,
                 json -> new EndpointRegistration(
--- a/src/main/java/org/micabarrow/platform/standin/EndpointHosts.java
+++ b/src/main/java/org/micabarrow/platform/standin/EndpointHosts.java
@@ -33,7 +33,7 @@
     String serve(String id, HttpHandler handler) {
         String address = Ports.freeAddress();
         try {
-            listeners.put(id, HttpListener.on(address, HttpListener.Bounds.usual(), threads, handler));
+            listeners.put(id, HttpListener.startOnWorker(address, HttpListener.Limits.defaults(), threads, handler));
             return address;
         } catch (IOException e) {
             throw new UncheckedIOException("no endpoint at " + address, e);
--- a/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
+++ b/src/main/java/org/micabarrow/platform/standin/HostedSystem.java
@@ -59,7 +59,7 @@
 
     private String serve(HttpHandler handler) {
         String address = Ports.freeAddress();
-        running.add(HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), handler));
+        running.add(HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), handler));
         return address;
     }
 
@@ -154,7 +154,7 @@
      * @return true once it is kept
      */
     public boolean keepsWeights(long version) {
-        return store.written("keyed.micabarrow.versions", VersionKeys.of(MODEL, version));
+        return store.written("keyed.micabarrow.versions", VersionKeys.ofVersion(MODEL, version));
     }
 
     /**
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -26,11 +26,11 @@
 import org.micabarrow.transport.StoreUpdate;
 import org.micabarrow.views.ChangeOffsets;
 import org.micabarrow.views.DrainTimeBudget;
-import org.micabarrow.views.VersionPersistence.Duty;
 import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.StoreFollower.PollTiming;
 import org.micabarrow.views.Topic;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,7 +50,7 @@
      * How long the store may hold a read of what other entries noticed of crashes: a connection that fell silent shows after this and
      * the answer's own time, together under the three seconds in which the users expect a process to be in touch again.
      */
-    private static final Pace CRASHES_PACE = new Pace(Duration.ofMillis(2_000), Duration.ZERO);
+    private static final PollTiming CRASHES_PACE = new PollTiming(Duration.ofMillis(2_000), Duration.ZERO);
 
     /** Among how many entries the users' slack for repeats is divided: more than there are, spares and restarts included. */
     private static final int ENTRIES_AT_MOST = 16;
@@ -96,7 +96,7 @@
                 new PeerFirstReader.Role.Entry(
                         Addresses.numeric(settings.listen().peers()), HostedNode.readerTrustMillis(bounds)),
                 HostedNode::steadyMillis);
-        this.loadFeed = LoadPoller.open(new LoadPoller.Parts(
+        this.loadFeed = LoadPoller.open(new LoadPoller.Dependencies(
                 settings.instance(),
                 settings.listen().peers(),
                 settings.regions(),
@@ -114,7 +114,7 @@
                 bounds.crashMemoryMillis(),
                 HostedNode::steadyMillis,
                 System::currentTimeMillis);
-        node.metrics().registerGauge("crashes.known", book::known);
+        node.metrics().registerGauge("crashes.known", book::crashCount);
         node.metrics().registerGauge("crashes.culprits", () -> book.refused().size());
         this.handler = ServingHandler.of(new ServingHandler.Dependencies(
                 node.views()::view,
@@ -125,7 +125,7 @@
                 new RetryBudget(bounds.retryShare(), bounds.retrySlack() / ENTRIES_AT_MOST),
                 node.metrics(),
                 HostedNode::steadyMillis,
-                loadFeed::ask,
+                loadFeed::query,
                 new ServingHandler.VersionTimes(
                         Math.round(bounds.versionMillis() * ASK_PART),
                         Math.round(bounds.versionMillis() * DEMAND_PART),
@@ -148,34 +148,34 @@
     }
 
     private void begin() throws IOException {
-        HttpListener.Bounds usual = HttpListener.Bounds.usual();
+        HttpListener.Limits usual = HttpListener.Limits.defaults();
         HostedPeerServer peers = new HostedPeerServer(
                 node.views(),
                 (model, version) -> Optional.empty(),
                 node.metrics(),
                 node.weightPacer(this::takesRequests));
-        HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().ready().orElseThrow(), usual, node.worker(), this::ready);
-        clients =
-                Optional.of(HttpListener.on(settings.listen().clients().orElseThrow(), usual, node.worker(), handler));
+        HttpListener.startOnWorker(settings.listen().peers(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().metrics(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().ready().orElseThrow(), usual, node.worker(), this::ready);
+        clients = Optional.of(
+                HttpListener.startOnWorker(settings.listen().clients().orElseThrow(), usual, node.worker(), handler));
         // After the listeners, so that no connection of our own takes one of their ports.
         // Agents keep the versions: an entry would write what they know as well.
-        node.follow(reader, node.store(), paces(settings.bounds()), this::peers, () -> Duty.NONE);
-        node.views().onCrashNews(crashes::take);
+        node.follow(reader, node.store(), paces(settings.bounds()), this::peers, () -> WriteRole.NONE);
+        node.views().onCrashRecords(crashes::take);
         crashNews = Optional.of(node.followCrashes(CRASHES_PACE, this::peers));
         crashes.start();
         loadFeed.start(handler::checkRequests);
         LOG.info(
                 "event=started role=entry instance={} countsSuspensions={}",
                 settings.instance().id(),
-                MonotonicClock.countsSuspensions());
+                MonotonicClock.includesSuspendedTime());
     }
 
     private static Paces paces(HostedSettings.Bounds bounds) {
         return new Paces(
-                new Pace(part(bounds.configurationMillis(), OPERATOR_HOLD_PART), Duration.ZERO),
-                DrainTimeBudget.pace(Duration.ofMillis(bounds.drainMillis())));
+                new PollTiming(part(bounds.configurationMillis(), OPERATOR_HOLD_PART), Duration.ZERO),
+                DrainTimeBudget.pollTiming(Duration.ofMillis(bounds.drainMillis())));
     }
 
     private static Duration part(long millis, double part) {
@@ -191,14 +191,18 @@
         }
         long knownMillisAgo = Math.max(0, HostedNode.steadyMillis() - asOf.getAsLong());
         return node.changesInTouch()
-                .map(changes ->
-                        new StoreUpdate(port, changes, node.views().newestManifest(), knownMillisAgo, reader.direct()));
+                .map(changes -> new StoreUpdate(
+                        port,
+                        changes,
+                        node.views().newestManifestPosition(),
+                        knownMillisAgo,
+                        reader.readsStoreDirectly()));
     }
 
     /** An agent told of the entry that reads the store for the region. */
-    private void heard(StoreUpdate.Heard told) {
-        reader.told(told.peer(), new ChangeOffsets(told.operator(), 0), told.asOfMillis());
-        if (node.views().end(Topic.OPERATOR) >= told.operator()) {
+    private void heard(StoreUpdate.ReaderState told) {
+        reader.onUpdate(told.peer(), new ChangeOffsets(told.operatorOffset(), 0), told.asOfMillis());
+        if (node.views().end(Topic.OPERATOR) >= told.operatorOffset()) {
             // It knows of nothing that is not known here.
             node.views().confirmOperator(told.asOfMillis());
         }
@@ -221,8 +225,8 @@
     public boolean takesRequests() {
         return !leaving
                 && node.views().view().manifest().isPresent()
-                && loadFeed.answersDue()
-                && crashNews.filter(StoreFollower::hasTried).isPresent();
+                && loadFeed.repliesDue()
+                && crashNews.filter(StoreFollower::isInitialized).isPresent();
     }
 
     /**
--- a/src/main/java/org/micabarrow/process/HostedNode.java
+++ b/src/main/java/org/micabarrow/process/HostedNode.java
@@ -22,14 +22,14 @@
 import org.micabarrow.transport.PeerRecordClient;
 import org.micabarrow.views.ChangeOffsets;
 import org.micabarrow.views.DrainTimeBudget;
-import org.micabarrow.views.VersionPersistence;
-import org.micabarrow.views.VersionPersistence.Duty;
 import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.StoreFollower.PollTiming;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader;
 import org.micabarrow.views.TopicReader.Batch;
+import org.micabarrow.views.VersionPersistence;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.micabarrow.views.ViewMaintainer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -77,16 +77,17 @@
     private final PeersInTurn turn = new PeersInTurn();
 
     /** How often topics are read. */
-    record Paces(Pace operator, Pace endpoints) {}
+    record Paces(PollTiming operator, PollTiming endpoints) {}
 
     HostedNode(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.worker = HttpClient.worker("traffic", 1);
-        this.kept = HttpClient.on(worker, KEPT_CONNECTIONS);
-        this.fresh = HttpClient.on(worker, 0);
+        this.kept = HttpClient.onWorker(worker, KEPT_CONNECTIONS);
+        this.fresh = HttpClient.onWorker(worker, 0);
         this.views = new ViewMaintainer(new StoreRecords(), HostedNode::steadyMillis);
         this.peerRecords = new PeerRecordClient(kept, HostedNode::steadyMillis);
-        this.store = new StoreClient(kept, settings.store(), DrainTimeBudget.STORE_ANSWER, HostedNode::steadyMillis);
+        this.store = new StoreClient(
+                kept, settings.store(), DrainTimeBudget.STORE_RESPONSE_TIMEOUT, HostedNode::steadyMillis);
         metrics.registerGauge(
                 "process.heapBytes",
                 () -> ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
@@ -147,13 +148,13 @@
     }
 
     /** Asks processes that tell of news for the records. */
-    PeerFirstReader.Peers peerRecords() {
-        return peerRecords::ask;
+    PeerFirstReader.PeerSource peerRecords() {
+        return peerRecords::request;
     }
 
     /** What is known of the store, while it answers; empty while it does not, and before it was read. */
     Optional<ChangeOffsets> changesInTouch() {
-        return !followers.isEmpty() && followers.stream().allMatch(StoreFollower::inTouch)
+        return !followers.isEmpty() && followers.stream().allMatch(StoreFollower::isConnected)
                 ? Optional.of(views.changes())
                 : Optional.empty();
     }
@@ -172,8 +173,8 @@
             TopicReader endpointsReader,
             Paces paces,
             Supplier<List<String>> peers,
-            Supplier<Duty> duty) {
-        VersionRecords records = new VersionRecords(kept, settings.store(), DrainTimeBudget.STORE_ANSWER);
+            Supplier<WriteRole> duty) {
+        VersionRecords records = new VersionRecords(kept, settings.store(), DrainTimeBudget.STORE_RESPONSE_TIMEOUT);
         Consumer<Topic> askPeer = topic -> askPeers(topic, peers.get());
         VersionPersistence operator =
                 new VersionPersistence(operatorReader, records, views, duty, () -> askPeer.accept(Topic.OPERATOR));
@@ -185,7 +186,7 @@
     }
 
     /** Begins to follow what entries tell each other of crashes; peers are asked while the store does not answer. */
-    StoreFollower followCrashes(Pace pace, Supplier<List<String>> peers) {
+    StoreFollower followCrashes(PollTiming pace, Supplier<List<String>> peers) {
         StoreFollower follower =
                 new StoreFollower(Topic.CRASHES, store, views, topic -> askPeers(topic, peers.get()), pace);
         follower.start();
@@ -197,7 +198,7 @@
         return new CrashRecords(
                 kept,
                 settings.store(),
-                DrainTimeBudget.STORE_ANSWER,
+                DrainTimeBudget.STORE_RESPONSE_TIMEOUT,
                 settings.instance().id());
     }
 
@@ -215,7 +216,7 @@
     }
 
     private boolean takeFrom(String peer, Topic topic) {
-        return switch (peerRecords.ask(peer, topic, views.askFrom(topic))) {
+        return switch (peerRecords.request(peer, topic, views.peerReadOffset(topic))) {
             case Result.Success<Batch>(Batch batch) -> {
                 views.apply(topic, batch.records(), batch.end());
                 if (topic == Topic.OPERATOR) {
--- a/src/main/java/org/micabarrow/routing/EndpointCandidate.java
+++ b/src/main/java/org/micabarrow/routing/EndpointCandidate.java
@@ -6,65 +6,74 @@
 import java.util.function.Predicate;
 
 /**
- * An endpoint and its load, which is looked up once for each decision. Decisions are made hundreds of times a second over all endpoints, so
- * that lists of these are gone through without streams.
+ * An endpoint and its load, which is looked up once per decision. Decisions are made hundreds of times a second over
+ * all endpoints, so lists of candidates are iterated without streams.
  *
  * @param endpoint the endpoint
- * @param load what is known of its load
+ * @param load its known load
  */
 record EndpointCandidate(EndpointRegistration endpoint, EndpointLoad load) {
 
-    /** The weight version of a model that it holds, by its entry or by what it did since; 0 if none. */
+    /**
+     * Returns the weight version of a model that the endpoint holds, from its registration or from later reports and
+     * responses; 0 if none.
+     */
     long version(ModelProfile model) {
-        long entered =
+        long registered =
                 endpoint.layers() < model.layers() ? 0 : endpoint.models().getOrDefault(model.model(), 0L);
-        return Math.max(entered, load.version());
+        return Math.max(registered, load.version());
     }
 
-    /** Whether it has asked this process to send it nothing now. */
-    boolean rests(long nowMillis) {
-        return load.rest().lasts(nowMillis);
+    /** Returns whether the endpoint has asked this process for a backoff that is still active. */
+    boolean inBackoff(long nowMillis) {
+        return load.backoff().active(nowMillis);
     }
 
-    /** Whether this process's part of its limit allows a request. */
-    boolean withinLimit(long nowMillis) {
-        return load.limitAllows(nowMillis);
+    /** Returns whether this process's quota share of the endpoint's rate limit allows a request now. */
+    boolean withinRateLimit(long nowMillis) {
+        return load.rateLimitAllows(nowMillis);
     }
 
-    /** How long it takes until the limit of one of some allows a request; empty if all are left to other entries. */
-    static OptionalLong firstWithinLimitMillis(List<EndpointCandidate> some, long nowMillis) {
-        return some.stream()
-                .map(one -> one.load().untilLimitAllowsMillis(nowMillis))
+    /**
+     * Returns the shortest time until the rate limit of a candidate allows a request; empty if all limits are left to
+     * other entries.
+     */
+    static OptionalLong untilRateLimitAllowsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        return candidates.stream()
+                .map(candidate -> candidate.load().untilRateLimitAllowsMillis(nowMillis))
                 .filter(OptionalLong::isPresent)
                 .mapToLong(OptionalLong::getAsLong)
                 .min();
     }
 
-    /** Whether neither failures nor a slow link speak against it. */
-    boolean well(long nowMillis) {
-        return !load.failures().excluded(nowMillis) && !load.delayed(nowMillis);
+    /** Returns whether the endpoint is neither ejected nor behind a slow link. */
+    boolean healthy(long nowMillis) {
+        return !load.failures().ejected(nowMillis) && !load.linkSlow(nowMillis);
     }
 
-    /** Those of some for which a condition holds. */
-    static List<EndpointCandidate> keep(List<EndpointCandidate> some, Predicate<EndpointCandidate> condition) {
-        List<EndpointCandidate> kept = new ArrayList<>(some.size());
-        for (EndpointCandidate one : some) {
-            if (condition.test(one)) {
-                kept.add(one);
+    /** Returns the candidates that match a condition. */
+    static List<EndpointCandidate> filter(List<EndpointCandidate> candidates, Predicate<EndpointCandidate> condition) {
+        List<EndpointCandidate> matching = new ArrayList<>(candidates.size());
+        for (EndpointCandidate candidate : candidates) {
+            if (condition.test(candidate)) {
+                matching.add(candidate);
             }
         }
-        return kept;
+        return matching;
     }
 
-    /** How long it takes until the first of some may be sent to again; empty if one does not rest, or there are none. */
-    static OptionalLong allRestMillis(List<EndpointCandidate> some, long nowMillis) {
-        long least = Long.MAX_VALUE;
-        for (EndpointCandidate one : some) {
-            if (!one.rests(nowMillis)) {
+    /**
+     * Returns the time until the first candidate ends its backoff; empty if a candidate is not in backoff or there are
+     * none.
+     */
+    static OptionalLong untilBackoffEndsMillis(List<EndpointCandidate> candidates, long nowMillis) {
+        long shortestMillis = Long.MAX_VALUE;
+        for (EndpointCandidate candidate : candidates) {
+            if (!candidate.inBackoff(nowMillis)) {
                 return OptionalLong.empty();
             }
-            least = Math.min(least, one.load().rest().leftMillis(nowMillis));
+            shortestMillis = Math.min(shortestMillis, candidate.load().backoff().remainingMillis(nowMillis));
         }
-        return some.isEmpty() ? OptionalLong.empty() : OptionalLong.of(least);
+        return candidates.isEmpty() ? OptionalLong.empty() : OptionalLong.of(shortestMillis);
     }
 }
--- a/src/main/java/org/micabarrow/routing/EndpointSelector.java
+++ b/src/main/java/org/micabarrow/routing/EndpointSelector.java
@@ -14,33 +14,36 @@
 import org.micabarrow.limits.EntryCount;
 
 /**
- * Chooses the endpoint for a request: the one that is expected to answer first, with a preference for the entry's own
- * region, and none at all if the objective could not be met. Used by one thread.
+ * Selects the endpoint with the shortest predicted time to the first event, with a preference for the entry's own
+ * region. Selects none if the objective cannot be met. Not thread-safe: confined to one thread.
  */
 public final class EndpointSelector {
 
     /**
-     * What sending to another region counts as, in milliseconds of delay. Bytes between regions are paid for; in relation
-     * to a request's worth the price is that of a few hundredths of its objective.
+     * Penalty for sending a request to another region, in milliseconds of delay. Traffic between regions is billed;
+     * relative to the value of a request its price corresponds to a few hundredths of the objective.
      */
-    private static final double OTHER_REGION_MILLIS = 60;
+    private static final double OTHER_REGION_PENALTY_MILLIS = 60;
 
-    /** How long an agent of the entry's region may be silent before its endpoint is passed over: two questions lost. */
-    private static final long NEAR_SILENCE_MILLIS = 400;
+    /**
+     * Time without contact after which an endpoint of the entry's own region is passed over, in milliseconds: two lost
+     * queries.
+     */
+    private static final long OWN_REGION_CONTACT_TIMEOUT_MILLIS = 400;
 
-    /** As above for agents of other regions, which are asked less often. */
-    private static final long FAR_SILENCE_MILLIS = 1_000;
+    /** As above for other regions, whose agents are queried less often. */
+    private static final long OTHER_REGION_CONTACT_TIMEOUT_MILLIS = 1_000;
 
     private final Map<EndpointStart, EndpointLoad> loads = new HashMap<>();
-    private final DrainingEndpoints leaving = new DrainingEndpoints();
-    private final UnmetDemand unmet = new UnmetDemand();
-    private final EntryCount entries = new EntryCount();
+    private final DrainingEndpoints draining = new DrainingEndpoints();
+    private final UnmetDemand unmetDemand = new UnmetDemand();
+    private final EntryCount entryCount = new EntryCount();
     private final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     private final Map<String, String> regions;
     private final String region;
 
     /**
-     * Makes a choice that knows nothing of any load.
+     * Creates a selector without any load information.
      *
      * @param region the entry's region
      * @param regions the region of each data hall
@@ -51,291 +54,309 @@
     }
 
     /**
-     * What is known of an endpoint's load.
+     * Returns the load of one start of an endpoint. Load of earlier starts does not carry over.
      *
-     * @param start the endpoint's start; what was known of a former one holds no more
-     * @return its load, to be updated
+     * @param start the endpoint's start
+     * @return its mutable load
      */
     public EndpointLoad load(EndpointStart start) {
-        return loads.computeIfAbsent(start, key -> new EndpointLoad(new EndpointRateLimit(key.id(), entries, random)));
+        return loads.computeIfAbsent(
+                start, key -> new EndpointLoad(new EndpointRateLimit(key.id(), entryCount, random)));
     }
 
     /**
-     * What is known of the load of an endpoint that does not tell when it was started.
+     * Returns the load of an endpoint that does not report its start time.
      *
      * @param id the endpoint's id
-     * @return its load, to be updated
+     * @return its mutable load
      */
     public EndpointLoad load(String id) {
-        return load(EndpointStart.untold(id));
+        return load(EndpointStart.ofUnknownTime(id));
     }
 
     /**
-     * Whether own requests wait at an endpoint.
+     * Returns whether requests of this entry are in flight at an endpoint.
      *
      * @param start the endpoint's start
-     * @return false if none does, or nothing is known of it
+     * @return false if there are none, or the endpoint is unknown
      */
-    public boolean awaits(EndpointStart start) {
+    public boolean hasRequestsInFlight(EndpointStart start) {
         EndpointLoad load = loads.get(start);
         return load != null && !load.idle();
     }
 
     /**
-     * Forgets endpoints that are gone or have started again, once no request waits there any more: what still does must be seen
-     * to have fallen silent.
+     * Forgets endpoints that are no longer listed or have restarted, once no request is in flight there. Endpoints with
+     * requests in flight are kept, so that their unresponsiveness can still be detected.
      *
-     * @param present those that are listed
+     * @param present the listed endpoints
      */
-    public void keepOnly(Collection<EndpointRegistration> present) {
-        Set<EndpointStart> starts = present.stream().map(EndpointRegistration::start).collect(Collectors.toSet());
+    public void retainOnly(Collection<EndpointRegistration> present) {
+        Set<EndpointStart> starts =
+                present.stream().map(EndpointRegistration::start).collect(Collectors.toSet());
         loads.entrySet()
-                .removeIf(
-                        one -> !starts.contains(one.getKey()) && one.getValue().idle());
+                .removeIf(entry ->
+                        !starts.contains(entry.getKey()) && entry.getValue().idle());
     }
 
-    // -- leaving
+    // -- draining
 
     /**
-     * An endpoint said in an answer that it leaves.
+     * Records that an endpoint stated in a response that it is draining.
      *
      * @param start the endpoint's start
-     * @return false if it had said so before
+     * @return false if this was recorded before
      */
-    public boolean saidThatItLeaves(EndpointStart start) {
-        return leaving.add(start);
+    public boolean markDraining(EndpointStart start) {
+        return draining.add(start);
     }
 
     /**
-     * Whether an endpoint takes nothing new, by its entry, its answers or its agent.
+     * Returns whether an endpoint accepts no new requests, according to its registration, its responses or its agent.
      *
      * @param endpoint the endpoint
-     * @return true if one of them says so
+     * @return true if any of them says so
      */
-    public boolean leaves(EndpointRegistration endpoint) {
-        return leaves(known(endpoint));
+    public boolean isDraining(EndpointRegistration endpoint) {
+        return isDraining(withLoad(endpoint));
     }
 
-    private boolean leaves(EndpointCandidate one) {
-        return one.endpoint().leaving()
-                || leaving.contains(one.endpoint().start())
-                || one.load().toldThatItLeaves();
+    private boolean isDraining(EndpointCandidate candidate) {
+        return candidate.endpoint().draining()
+                || draining.contains(candidate.endpoint().start())
+                || candidate.load().reportedDraining();
     }
 
     /**
-     * How many requests for models this entry lately had to turn away for want of room.
+     * Returns the recent demand that this entry could not serve for lack of capacity.
      *
-     * @return the count, to be kept
+     * @return the mutable count of refused model requests
      */
-    public UnmetDemand unmet() {
-        return unmet;
+    public UnmetDemand unmetDemand() {
+        return unmetDemand;
     }
 
     /**
-     * How many entries there are, which share the limits of endpoints.
+     * Returns the number of entries among which rate limits are divided.
      *
-     * @return what agents told, to be updated
+     * @return the mutable count, as reported by agents
      */
-    public EntryCount entries() {
-        return entries;
+    public EntryCount entryCount() {
+        return entryCount;
     }
 
-    // -- choosing
+    // -- selection
 
     /**
-     * Whether an endpoint's limit allows this entry a request now.
+     * Returns whether an endpoint's rate limit allows this entry a request now.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true also if it has none
+     * @param nowMillis the time on the monotonic clock
+     * @return true also if the endpoint has no rate limit
      */
-    public boolean withinLimit(EndpointRegistration endpoint, long nowMillis) {
-        return known(endpoint).withinLimit(nowMillis);
+    public boolean withinRateLimit(EndpointRegistration endpoint, long nowMillis) {
+        return withLoad(endpoint).withinRateLimit(nowMillis);
     }
 
     /**
-     * Chooses.
+     * Selects an endpoint.
      *
      * @param candidates the service's endpoints
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return the choice
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return the selection
      */
-    public EndpointSelection choose(List<EndpointRegistration> candidates, Wanted wanted, long nowMillis) {
-        List<EndpointCandidate> known = known(candidates);
-        List<EndpointCandidate> able = EndpointCandidate.keep(known, one -> able(one, wanted, nowMillis));
-        OptionalLong allRest = EndpointCandidate.allRestMillis(able, nowMillis);
-        if (allRest.isPresent()) {
-            return new EndpointSelection.Resting(able.size(), allRest.getAsLong());
+    public EndpointSelection select(List<EndpointRegistration> candidates, RoutingRequest request, long nowMillis) {
+        List<EndpointCandidate> all = withLoad(candidates);
+        List<EndpointCandidate> eligible =
+                EndpointCandidate.filter(all, candidate -> eligible(candidate, request, nowMillis));
+        OptionalLong untilBackoffEnds = EndpointCandidate.untilBackoffEndsMillis(eligible, nowMillis);
+        if (untilBackoffEnds.isPresent()) {
+            return new EndpointSelection.BackingOff(eligible.size(), untilBackoffEnds.getAsLong());
         }
-        List<EndpointCandidate> awake = EndpointCandidate.keep(able, one -> !one.rests(nowMillis));
-        List<EndpointCandidate> open = EndpointCandidate.keep(awake, one -> one.withinLimit(nowMillis));
-        if (open.isEmpty() && !awake.isEmpty()) {
-            return new EndpointSelection.Limited(awake.size(), EndpointCandidate.firstWithinLimitMillis(awake, nowMillis));
+        List<EndpointCandidate> available =
+                EndpointCandidate.filter(eligible, candidate -> !candidate.inBackoff(nowMillis));
+        List<EndpointCandidate> withinLimit =
+                EndpointCandidate.filter(available, candidate -> candidate.withinRateLimit(nowMillis));
+        if (withinLimit.isEmpty() && !available.isEmpty()) {
+            return new EndpointSelection.RateLimited(
+                    available.size(), EndpointCandidate.untilRateLimitAllowsMillis(available, nowMillis));
         }
-        List<EndpointCandidate> pool = pool(known, open, nowMillis);
-        return pool.isEmpty() ? new EndpointSelection.None() : first(pool, wanted, nowMillis);
+        List<EndpointCandidate> pool = pool(all, withinLimit, nowMillis);
+        return pool.isEmpty() ? new EndpointSelection.NoneEligible() : selectFastest(pool, request, nowMillis);
     }
 
-    /** The endpoint of some that is expected to answer first, if any of them has room. */
-    private EndpointSelection first(List<EndpointCandidate> pool, Wanted wanted, long nowMillis) {
-        EndpointSelection first = new EndpointSelection.Full(pool.size());
-        double least = Double.POSITIVE_INFINITY;
-        for (EndpointCandidate one : pool) {
-            if (EndpointCapacity.isFor(wanted, one.endpoint(), one.load(), nowMillis)) {
-                double predicted = EndpointCapacity.predictedMillis(wanted, one.endpoint(), one.load(), nowMillis);
-                double counted = predicted + distance(one.endpoint());
-                if (counted < least) {
-                    least = counted;
-                    first = new EndpointSelection.Send(one.endpoint(), predicted);
+    /** Selects the endpoint with the shortest predicted time to the first event among those with capacity. */
+    private EndpointSelection selectFastest(List<EndpointCandidate> pool, RoutingRequest request, long nowMillis) {
+        EndpointSelection best = new EndpointSelection.Full(pool.size());
+        double lowestCost = Double.POSITIVE_INFINITY;
+        for (EndpointCandidate candidate : pool) {
+            if (EndpointCapacity.hasCapacity(request, candidate.endpoint(), candidate.load(), nowMillis)) {
+                double predictedMillis =
+                        EndpointCapacity.predictedMillis(request, candidate.endpoint(), candidate.load(), nowMillis);
+                double cost = predictedMillis + regionPenaltyMillis(candidate.endpoint());
+                if (cost < lowestCost) {
+                    lowestCost = cost;
+                    best = new EndpointSelection.Selected(candidate.endpoint(), predictedMillis);
                 }
             }
         }
-        return first;
+        return best;
     }
 
-    private EndpointCandidate known(EndpointRegistration endpoint) {
+    private EndpointCandidate withLoad(EndpointRegistration endpoint) {
         return new EndpointCandidate(endpoint, load(endpoint.start()));
     }
 
-    private List<EndpointCandidate> known(List<EndpointRegistration> endpoints) {
-        List<EndpointCandidate> known = new ArrayList<>(endpoints.size());
-        endpoints.forEach(endpoint -> known.add(known(endpoint)));
-        return known;
+    private List<EndpointCandidate> withLoad(List<EndpointRegistration> endpoints) {
+        List<EndpointCandidate> all = new ArrayList<>(endpoints.size());
+        endpoints.forEach(endpoint -> all.add(withLoad(endpoint)));
+        return all;
     }
 
     /**
-     * Whether an endpoint has asked this process to send it nothing now.
+     * Returns whether an endpoint has asked this process for a backoff that is still active.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true until the rest is over
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the backoff ends
      */
-    public boolean rests(EndpointRegistration endpoint, long nowMillis) {
-        return known(endpoint).rests(nowMillis);
+    public boolean inBackoff(EndpointRegistration endpoint, long nowMillis) {
+        return withLoad(endpoint).inBackoff(nowMillis);
     }
 
     /**
-     * How long it takes until the first of some endpoints may be sent to again.
+     * Returns the time until the first of the eligible endpoints ends its backoff.
      *
      * @param candidates a service's endpoints
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds; empty if one that may get the request does not rest, or none may get it
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds; empty if an eligible endpoint is not in backoff, or none is eligible
      */
-    public OptionalLong allRestMillis(List<EndpointRegistration> candidates, Wanted wanted, long nowMillis) {
-        return EndpointCandidate.allRestMillis(
-                EndpointCandidate.keep(known(candidates), one -> able(one, wanted, nowMillis)), nowMillis);
+    public OptionalLong untilBackoffEndsMillis(
+            List<EndpointRegistration> candidates, RoutingRequest request, long nowMillis) {
+        return EndpointCandidate.untilBackoffEndsMillis(
+                EndpointCandidate.filter(withLoad(candidates), candidate -> eligible(candidate, request, nowMillis)),
+                nowMillis);
     }
 
     /**
-     * The endpoints to choose among. Those with failures or a slow link do if there are no others. Those that fell silent do only if no
-     * endpoint of the service is heard of at all: then it is more likely that this entry does not hear.
+     * Returns the endpoints to select from. Endpoints with failures or a slow link are used only if there are no
+     * others. Unresponsive endpoints are used only if there is no recent contact with any endpoint of the service: then
+     * it is more likely that this entry itself is cut off.
      */
-    private List<EndpointCandidate> pool(List<EndpointCandidate> candidates, List<EndpointCandidate> able, long nowMillis) {
-        List<EndpointCandidate> heard = EndpointCandidate.keep(able, one -> !silent(one, nowMillis));
-        List<EndpointCandidate> well = EndpointCandidate.keep(heard, one -> one.well(nowMillis));
-        if (!well.isEmpty()) {
-            return well;
+    private List<EndpointCandidate> pool(
+            List<EndpointCandidate> candidates, List<EndpointCandidate> eligible, long nowMillis) {
+        List<EndpointCandidate> responsive =
+                EndpointCandidate.filter(eligible, candidate -> !unresponsive(candidate, nowMillis));
+        List<EndpointCandidate> healthy =
+                EndpointCandidate.filter(responsive, candidate -> candidate.healthy(nowMillis));
+        if (!healthy.isEmpty()) {
+            return healthy;
         }
-        boolean hearing = candidates.stream().anyMatch(one -> one.load().toldLately(nowMillis));
-        return hearing || !heard.isEmpty() ? heard : able;
+        boolean anyRecentReport =
+                candidates.stream().anyMatch(candidate -> candidate.load().hasRecentReport(nowMillis));
+        return anyRecentReport || !responsive.isEmpty() ? responsive : eligible;
     }
 
     /**
-     * Whether nothing is heard of an endpoint any more.
+     * Returns whether contact with an endpoint is lost.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true if its agent used to tell, and it and its agent have been silent for too long
+     * @param nowMillis the time on the monotonic clock
+     * @return true if its agent has reported before, and neither the endpoint nor its agent has been heard from within
+     *     the timeout
      */
-    public boolean silent(EndpointRegistration endpoint, long nowMillis) {
-        return silent(known(endpoint), nowMillis);
+    public boolean unresponsive(EndpointRegistration endpoint, long nowMillis) {
+        return unresponsive(withLoad(endpoint), nowMillis);
     }
 
-    private boolean silent(EndpointCandidate one, long nowMillis) {
-        return one.load().silent(patienceMillis(one.endpoint()), nowMillis);
+    private boolean unresponsive(EndpointCandidate candidate, long nowMillis) {
+        return candidate.load().unresponsive(contactTimeoutMillis(candidate.endpoint()), nowMillis);
     }
 
-    private long patienceMillis(EndpointRegistration endpoint) {
-        return near(endpoint) ? NEAR_SILENCE_MILLIS : FAR_SILENCE_MILLIS;
+    private long contactTimeoutMillis(EndpointRegistration endpoint) {
+        return inOwnRegion(endpoint) ? OWN_REGION_CONTACT_TIMEOUT_MILLIS : OTHER_REGION_CONTACT_TIMEOUT_MILLIS;
     }
 
     /**
-     * Whether an endpoint's agent is to be asked before a request is sent there. An endpoint that still holds an older
-     * version than was named must not get what it may begin after the version's bound: while its instance stands still,
-     * requests wait in front of it, where only a reset of their connections takes them back.
+     * Returns whether an endpoint's agent must be queried before a request is sent there. An endpoint that still holds
+     * an older version than the newest announced one must not get requests that it could start after that version's
+     * deadline: while its instance is paused, requests queue up in front of it, and only resetting their connections
+     * withdraws them.
      *
      * @param endpoint the endpoint
-     * @param wanted what is to be sent
+     * @param request the request to send
      * @return whether the endpoint holds an older version and has an agent
      */
-    public boolean mustAsk(EndpointRegistration endpoint, Wanted wanted) {
+    public boolean mustQueryAgent(EndpointRegistration endpoint, RoutingRequest request) {
         return load(endpoint.start()).hasAgent()
-                && wanted.model()
-                        .filter(model -> known(endpoint).version(model) < wanted.newestVersion())
+                && request.model()
+                        .filter(model -> withLoad(endpoint).version(model) < request.newestVersion())
                         .isPresent();
     }
 
     /**
-     * Whether an endpoint may get a request at all, however full it is.
+     * Returns whether an endpoint may get a request at all, regardless of its load.
      *
      * @param endpoint the endpoint
-     * @param wanted what is to be sent
-     * @param nowMillis the time on the steady clock
-     * @return false if it leaves, was tried, or does not hold a version that may answer
+     * @param request the request to send
+     * @param nowMillis the time on the monotonic clock
+     * @return false if it is draining, was tried, or does not hold a version that may respond
      */
-    public boolean able(EndpointRegistration endpoint, Wanted wanted, long nowMillis) {
-        return able(known(endpoint), wanted, nowMillis);
+    public boolean eligible(EndpointRegistration endpoint, RoutingRequest request, long nowMillis) {
+        return eligible(withLoad(endpoint), request, nowMillis);
     }
 
-    private boolean able(EndpointCandidate one, Wanted wanted, long nowMillis) {
-        if (leaves(one) || wanted.tried().contains(one.endpoint().id())) {
+    private boolean eligible(EndpointCandidate candidate, RoutingRequest request, long nowMillis) {
+        if (isDraining(candidate)
+                || request.triedEndpoints().contains(candidate.endpoint().id())) {
             return false;
         }
-        if (wanted.model().isEmpty()) {
+        if (request.model().isEmpty()) {
             return true;
         }
-        long held = one.version(wanted.model().get());
-        EndpointLoad load = one.load();
-        // What waits in a slow link may arrive when the older version may answer no more.
-        boolean linkInDoubt = load.unanswered()
-                || load.delayedLately(nowMillis)
-                || load.agentSilent(patienceMillis(one.endpoint()), nowMillis);
-        boolean mayComeTooLate = held < wanted.newestVersion() && linkInDoubt;
-        return held > 0
-                && held >= wanted.leastVersion()
-                && !mayComeTooLate
-                && !load.startedAgain()
+        long heldVersion = candidate.version(request.model().get());
+        EndpointLoad load = candidate.load();
+        // Requests delayed by a slow link may arrive when the older version may no longer respond.
+        boolean linkUncertain = load.hasUnansweredQuery()
+                || load.linkRecentlySlow(nowMillis)
+                || load.agentUnresponsive(contactTimeoutMillis(candidate.endpoint()), nowMillis);
+        boolean mayArriveTooLate = heldVersion < request.newestVersion() && linkUncertain;
+        return heldVersion > 0
+                && heldVersion >= request.minVersion()
+                && !mayArriveTooLate
+                && !load.restarted()
                 && !load.loading(nowMillis);
     }
 
     /**
-     * Whether an endpoint is left out, as long as there are others, because of how its last requests ended.
+     * Returns whether an endpoint is ejected because of recent failures. Ejected endpoints are used only if there are
+     * no others.
      *
      * @param endpoint the endpoint
-     * @param nowMillis the time on the steady clock
-     * @return true until its exclusion ends
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the ejection ends
      */
-    public boolean failing(EndpointRegistration endpoint, long nowMillis) {
-        return load(endpoint.start()).failures().excluded(nowMillis);
+    public boolean ejected(EndpointRegistration endpoint, long nowMillis) {
+        return load(endpoint.start()).failures().ejected(nowMillis);
     }
 
     /**
-     * How long a request may wait for room and still be in time.
+     * Returns how long a request may wait for a free slot and still meet its objective.
      *
-     * @param wanted what is to be sent
-     * @return milliseconds; not above 0 if it may not wait
+     * @param request the request to send
+     * @return milliseconds; 0 or less if it must not wait
      */
-    public long spareMillis(Wanted wanted) {
-        return EndpointCapacity.spareMillis(wanted);
+    public long maxSlotWaitMillis(RoutingRequest request) {
+        return EndpointCapacity.maxSlotWaitMillis(request);
     }
 
-    private double distance(EndpointRegistration endpoint) {
-        return near(endpoint) ? 0 : OTHER_REGION_MILLIS;
+    private double regionPenaltyMillis(EndpointRegistration endpoint) {
+        return inOwnRegion(endpoint) ? 0 : OTHER_REGION_PENALTY_MILLIS;
     }
 
-    private boolean near(EndpointRegistration endpoint) {
+    private boolean inOwnRegion(EndpointRegistration endpoint) {
         return region.equals(regions.get(endpoint.dataHall()));
     }
 }
--- a/src/main/java/org/micabarrow/routing/FailureTracker.java
+++ b/src/main/java/org/micabarrow/routing/FailureTracker.java
@@ -1,70 +1,76 @@
 package org.micabarrow.routing;
 
-/** How the last requests at an endpoint ended, and until when it is left out because of that. Used by one thread. */
+/**
+ * Tracks the failures of recent requests at an endpoint and ejects it for a while because of them. Not thread-safe:
+ * confined to one thread.
+ */
 public final class FailureTracker {
 
-    /** How long an endpoint is left out after the first failure in a row, in milliseconds; doubled by each further one. */
-    private static final long FIRST_EXCLUSION_MILLIS = 1_000;
+    /**
+     * Duration of the ejection after the first of consecutive connection failures, in milliseconds; doubled by each
+     * further one.
+     */
+    private static final long INITIAL_EJECTION_MILLIS = 1_000;
 
-    /** The longest exclusion, in milliseconds: an endpoint that is back gets traffic again within this. */
-    private static final long LONGEST_EXCLUSION_MILLIS = 8_000;
+    /** Longest ejection, in milliseconds: a recovered endpoint gets traffic again within this time. */
+    private static final long MAX_EJECTION_MILLIS = 8_000;
 
-    /** The weight of the newest answer in the share of failures. */
+    /** Weight of the newest response in the smoothed failure ratio. */
     private static final double FAILURE_SMOOTHING = 0.15;
 
-    /** The share of failed answers from which an endpoint is left out: well above the errors that healthy services give. */
-    private static final double FAILURE_SHARE = 0.5;
+    /** Failure ratio above which an endpoint is ejected: well above the error ratio of healthy services. */
+    private static final double MAX_FAILURE_RATIO = 0.5;
 
-    private int inARow;
-    private double share;
-    private long excludedUntilMillis = Long.MIN_VALUE;
+    private int consecutiveFailures;
+    private double failureRatio;
+    private long ejectedUntilMillis = Long.MIN_VALUE;
 
-    /** The endpoint gave an answer that may be passed on. */
+    /** Records a response that may be passed on. */
     public void succeeded() {
-        inARow = 0;
-        share *= 1 - FAILURE_SMOOTHING;
+        consecutiveFailures = 0;
+        failureRatio *= 1 - FAILURE_SMOOTHING;
     }
 
     /**
-     * A connection failed, broke, or gave what is no answer.
+     * Records a connection that failed or broke, or a response that does not belong to the request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
-    public void broke(long nowMillis) {
-        long exclusion = FIRST_EXCLUSION_MILLIS << Math.min(inARow, 3);
-        inARow++;
-        excludedUntilMillis = nowMillis + Math.min(exclusion, LONGEST_EXCLUSION_MILLIS);
+    public void connectionFailed(long nowMillis) {
+        long ejectionMillis = INITIAL_EJECTION_MILLIS << Math.min(consecutiveFailures, 3);
+        consecutiveFailures++;
+        ejectedUntilMillis = nowMillis + Math.min(ejectionMillis, MAX_EJECTION_MILLIS);
     }
 
     /**
-     * The endpoint answered with an error of its own.
+     * Records a response with an error of the endpoint itself.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
-    public void failed(long nowMillis) {
-        share += (1 - share) * FAILURE_SMOOTHING;
-        if (share > FAILURE_SHARE) {
-            excludedUntilMillis = nowMillis + FIRST_EXCLUSION_MILLIS;
+    public void errorReceived(long nowMillis) {
+        failureRatio += (1 - failureRatio) * FAILURE_SMOOTHING;
+        if (failureRatio > MAX_FAILURE_RATIO) {
+            ejectedUntilMillis = nowMillis + INITIAL_EJECTION_MILLIS;
         }
     }
 
     /**
-     * At the endpoint's address is another one, or it holds another weight version than is wanted: its entry is older than
-     * what it tells of itself.
+     * Records that another endpoint responded at the address, or that the endpoint holds another weight version than
+     * requested: its registration is out of date.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
     public void misdirected(long nowMillis) {
-        excludedUntilMillis = Math.max(excludedUntilMillis, nowMillis + FIRST_EXCLUSION_MILLIS);
+        ejectedUntilMillis = Math.max(ejectedUntilMillis, nowMillis + INITIAL_EJECTION_MILLIS);
     }
 
     /**
-     * Whether the endpoint is left out because of failures.
+     * Returns whether the endpoint is ejected because of failures.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true until the exclusion ends
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the ejection ends
      */
-    public boolean excluded(long nowMillis) {
-        return nowMillis < excludedUntilMillis;
+    public boolean ejected(long nowMillis) {
+        return nowMillis < ejectedUntilMillis;
     }
 }
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -8,9 +8,9 @@
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.EndpointSelection;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.serving.EndpointProtocol.AttemptParameters;
 import org.micabarrow.serving.EndpointProtocol.ResponseHead;
@@ -46,21 +46,21 @@
     private boolean closed;
     private boolean sendStarted;
 
-    Attempt(ServedRequest served, EndpointSelection.Send chosen) {
+    Attempt(ServedRequest served, EndpointSelection.Selected selected) {
         this.served = served;
         this.context = served.context();
         this.request = served.request();
         this.response = served.response();
         this.events = served.events();
-        this.endpoint = chosen.endpoint();
-        this.predictedMillis = chosen.predictedMillis();
+        this.endpoint = selected.endpoint();
+        this.predictedMillis = selected.predictedMillis();
         this.relay = new ResponseRelay(served);
         this.startDeadline = new StartDeadline(served, endpoint, this::onStartDeadline);
         this.load = context.load(endpoint);
         this.startMillis = context.nowMillis();
         this.stallTimer = new ResponseStallTimer(context::nowMillis);
         this.releaseSuspect = context.suspects().onSent(endpoint, served.digest(), startMillis);
-        load.limit().sent(startMillis);
+        load.rateLimit().sent(startMillis);
         this.slot = new OccupiedSlot(load, request.promptTokens(), context.waitQueue()::onSlotFreed);
     }
 
@@ -92,7 +92,7 @@
         startDeadline.cancel();
         // Before the slot is freed: requests that wait for either are reconsidered as soon as the slot is free.
         releaseSuspect.run();
-        slot.free();
+        slot.release();
     }
 
     /** Whether the endpoint may run the request now or later: it has been sent, and the attempt has not ended. */
@@ -117,19 +117,19 @@
     /** Cancels the attempt and records that its endpoint may still run the request for a moment, and crash on it. */
     private void cancelAndRecord() {
         if (sendStarted) {
-            context.crashes().recordCancelled(endpoint, served.digest(), request.body().length, slot.begun());
+            context.crashes().recordCancelled(endpoint, served.digest(), request.body().length, slot.started());
         }
         stop();
     }
 
-    private void failAttempt(AttemptOutcome end, String reason) {
-        logFailed(end, reason);
+    private void failAttempt(AttemptOutcome outcome, String reason) {
+        logFailed(outcome, reason);
         cancelAndRecord();
-        served.onAttemptFailed(end, reason);
+        served.onAttemptFailed(outcome, reason);
     }
 
-    private void logFailed(AttemptOutcome end, String reason) {
-        served.log().attemptFailed(endpoint, end, progress(), reason);
+    private void logFailed(AttemptOutcome outcome, String reason) {
+        served.log().attemptFailed(endpoint, outcome, progress(), reason);
     }
 
     /**
@@ -138,7 +138,7 @@
      */
     private String progress() {
         return "afterMs=" + (context.nowMillis() - startMillis) + " taken=" + relay.hasHead() + " begun="
-                + slot.begun();
+                + slot.started();
     }
 
     /**
@@ -150,7 +150,7 @@
         if (closed) {
             return;
         }
-        if (!slot.begun()) {
+        if (!slot.started()) {
             startDeadline.update();
         }
         if (closed) {
@@ -160,10 +160,11 @@
             switchIfOverdue();
             return;
         }
-        if (!slot.begun() && wouldStartTooLate()) {
-            failAttempt(AttemptOutcome.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
+        if (!slot.started() && wouldStartTooLate()) {
+            failAttempt(
+                    AttemptOutcome.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
         } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
-            events.dropRemainder();
+            events.discardRemainder();
             switchEndpoint(AttemptOutcome.UNKNOWN, "the endpoint and its agent are unresponsive");
         }
     }
@@ -177,10 +178,10 @@
     private void switchIfOverdue() {
         long waitingMillis = stallTimer.waitingMillis();
         boolean overdue = sendStarted
-                && !load.delayedLately(context.nowMillis())
+                && !load.linkRecentlySlow(context.nowMillis())
                 && AttemptPolicy.overdue(request.route(), waitingMillis);
         if (overdue && (!response.started() || served.canResume()) && served.reserveRetry()) {
-            events.dropRemainder();
+            events.discardRemainder();
             switchEndpoint(AttemptOutcome.UNKNOWN, "the endpoint has sent nothing for " + waitingMillis + " ms");
         }
     }
@@ -200,10 +201,10 @@
                 || context.versions().holdsOutdated(request, endpoint);
     }
 
-    private void switchEndpoint(AttemptOutcome end, String reason) {
-        logFailed(end, reason);
+    private void switchEndpoint(AttemptOutcome outcome, String reason) {
+        logFailed(outcome, reason);
         cancelAndRecord();
-        served.switchEndpoint(end, reason);
+        served.switchEndpoint(outcome, reason);
     }
 
     /** A timer that was already due when it was removed still runs, so the state is checked again here. */
@@ -211,13 +212,13 @@
         if (closed || sendStarted) {
             return;
         }
-        load.failures().broke(context.nowMillis());
+        load.failures().connectionFailed(context.nowMillis());
         failAttempt(AttemptOutcome.NOT_RUN, "no connection within " + PreSendCheck.CONNECT_TIMEOUT_MILLIS + " ms");
     }
 
     /** Cancels the request if the endpoint, which holds an older weight version, has not begun it in time. */
     private void onStartDeadline() {
-        if (!closed && !slot.begun()) {
+        if (!closed && !slot.started()) {
             failAttempt(
                     AttemptOutcome.UNKNOWN,
                     "a newer weight version is required, and the endpoint has not begun the request");
@@ -228,7 +229,7 @@
 
     /** Sends the request with the time that is left now, if the routing decision is still valid. */
     @Override
-    public Optional<HttpCall> onSending(HttpCall decided) {
+    public Optional<HttpCall> beforeSend(HttpCall decided) {
         if (closed) {
             return Optional.empty();
         }
@@ -259,9 +260,9 @@
         if (closed) {
             return;
         }
-        load.heard(context.nowMillis());
+        load.dataReceived(context.nowMillis());
         ResponseHead head = context.protocol().decodeHead(request, status, headers);
-        head.weightVersion().ifPresent(load::answeredBy);
+        head.weightVersion().ifPresent(load::respondedWithVersion);
         if (head.isFromIntendedEndpoint()) {
             applyEndpointState(head);
         }
@@ -272,7 +273,7 @@
                 failAttempt(AttemptOutcome.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
-                load.failures().broke(context.nowMillis());
+                load.failures().connectionFailed(context.nowMillis());
                 failAttempt(AttemptOutcome.UNKNOWN, "the response does not belong to this request");
             }
             case NOT_TO_PASS -> {
@@ -299,20 +300,20 @@
             context.markDraining(endpoint);
         }
         head.backoffMillis().ifPresent(millis -> {
-            load.rest().asked(millis, context.nowMillis());
+            load.backoff().requested(millis, context.nowMillis());
             served.log().backoffRequested(endpoint, millis);
         });
-        if (load.limit().answered(head.rateLimit(), startMillis, context.nowMillis())) {
-            load.limit().logChange("answer");
+        if (load.rateLimit().responseReceived(head.rateLimit(), startMillis, context.nowMillis())) {
+            load.rateLimit().logChange("answer");
         }
     }
 
     private void recordStatus(int status) {
         if (HeadClassification.isError(status)) {
-            load.failures().failed(context.nowMillis());
+            load.failures().errorReceived(context.nowMillis());
         } else {
             load.failures().succeeded();
-            load.rest().answered(context.nowMillis());
+            load.backoff().responded(context.nowMillis());
             context.metrics().firstByte.update(served.elapsedMillis(), TimeUnit.MILLISECONDS);
         }
     }
@@ -330,10 +331,10 @@
         if (closed) {
             return;
         }
-        load.heard(context.nowMillis());
-        if (!slot.begun()) {
+        load.dataReceived(context.nowMillis());
+        if (!slot.started()) {
             context.crashes().onResponse(served.digest(), false);
-            load.firstEvents().observed(predictedMillis, context.nowMillis() - startMillis, context.nowMillis());
+            load.firstEventDelay().observed(predictedMillis, context.nowMillis() - startMillis, context.nowMillis());
         }
         // The head may arrive as soon as the endpoint accepts the request; only the first event shows that it has read
         // the prompt.
@@ -356,8 +357,8 @@
         if (closed) {
             return;
         }
-        load.failures().broke(context.nowMillis());
-        events.dropRemainder();
+        load.failures().connectionFailed(context.nowMillis());
+        events.discardRemainder();
         if (sent && fault.reason() == Reason.UNREACHABLE && !context.isDraining(endpoint)) {
             onConnectionBroken(fault.message());
         } else {
@@ -367,10 +368,10 @@
 
     /** Ends the attempt, and continues the request once it is known whether the endpoint has crashed. */
     private void onConnectionBroken(String reason) {
-        boolean begun = slot.begun();
+        boolean begun = slot.started();
         logFailed(AttemptOutcome.UNKNOWN, reason);
         stop();
-        served.recordAttemptEnd(AttemptOutcome.UNKNOWN);
+        served.recordAttemptOutcome(AttemptOutcome.UNKNOWN);
         context.crashes().connectionBroke(endpoint, served.digest().get(), begun, () -> served.retryOrConclude(reason));
     }
 }
--- a/src/main/java/org/micabarrow/serving/CrashDetector.java
+++ b/src/main/java/org/micabarrow/serving/CrashDetector.java
@@ -48,7 +48,7 @@
     /** The estimated memory of a request besides its body, in bytes. */
     private static final int REQUEST_OVERHEAD_BYTES = 1 << 10;
 
-    private final CrashRegistry book;
+    private final CrashRegistry registry;
     private final PortProbe probe;
     private final Consumer<CrashUpdate> publisher;
     private final LongSupplier monotonicMillis;
@@ -85,7 +85,7 @@
     }
 
     CrashDetector(CrashTracking crashes, LongSupplier monotonicMillis) {
-        this.book = crashes.book();
+        this.registry = crashes.registry();
         this.probe = crashes.probe();
         this.publisher = crashes.publisher();
         this.monotonicMillis = monotonicMillis;
@@ -117,7 +117,7 @@
         pending.requests().add(request, begun);
         pending.continuations().add(continuation);
         if (!probing) {
-            probe.ask(endpoint, refused -> onProbeResult(start, refused));
+            probe.probe(endpoint, refused -> onProbeResult(start, refused));
         }
     }
 
@@ -145,7 +145,7 @@
         if (refused) {
             recordCrash(start, pending.requests());
         }
-        pending.continuations().forEach(continuation -> RepeatedTasks.guarded("after-crash", continuation));
+        pending.continuations().forEach(continuation -> RepeatedTasks.runGuarded("after-crash", continuation));
     }
 
     private void recordCrash(EndpointStart start, RequestsAtEndpoint requests) {
@@ -167,9 +167,9 @@
         LOG.warn(
                 "event=endpoint_crashed endpoint={} aboard={} begun={}",
                 crash.endpoint(),
-                crash.aboard(),
-                crash.begun());
-        book.crashed(crash, monotonicMillis.getAsLong());
+                crash.unanswered(),
+                crash.partlyAnswered());
+        registry.crashed(crash, monotonicMillis.getAsLong());
         publisher.accept(new CrashUpdate.Crashed(crash));
     }
 
@@ -180,7 +180,7 @@
      * never are.
      */
     void onResponse(LazyDigest request, boolean whole) {
-        if (book.mayKnow(request) && book.cleared(request.get(), whole) > 0) {
+        if (registry.mayBeSuspect(request) && registry.cleared(request.get(), whole) > 0) {
             publisher.accept(new CrashUpdate.Cleared(request.get(), whole));
         }
     }
--- a/src/main/java/org/micabarrow/serving/CrashTracking.java
+++ b/src/main/java/org/micabarrow/serving/CrashTracking.java
@@ -9,15 +9,15 @@
 /**
  * What a handler uses to detect requests that crash endpoints.
  *
- * @param book the crashes known so far
+ * @param registry the crashes known so far
  * @param probe checks whether an endpoint has crashed
  * @param publisher receives updates for other processes
  */
-public record CrashTracking(CrashRegistry book, PortProbe probe, Consumer<CrashUpdate> publisher) {
+public record CrashTracking(CrashRegistry registry, PortProbe probe, Consumer<CrashUpdate> publisher) {
 
     /** Checks that no component is null. */
     public CrashTracking {
-        Objects.requireNonNull(book, "book is null");
+        Objects.requireNonNull(registry, "registry is null");
         Objects.requireNonNull(probe, "probe is null");
         Objects.requireNonNull(publisher, "publisher is null");
     }
--- a/src/main/java/org/micabarrow/serving/EntryWaitQueue.java
+++ b/src/main/java/org/micabarrow/serving/EntryWaitQueue.java
@@ -4,7 +4,7 @@
 import java.util.function.LongSupplier;
 import org.micabarrow.admission.SlotWait;
 import org.micabarrow.admission.WaitQueue;
-import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.QueuedRequest;
 import org.micabarrow.admission.WaitQueue.Waiter;
 import org.micabarrow.steps.RepeatedTasks;
 import org.xnio.XnioIoThread;
@@ -30,32 +30,32 @@
         this.monotonicMillis = monotonicMillis;
     }
 
-    Place join(int rank, long latestStartMillis, Waiter waiter, XnioIoThread thread) {
-        Place place = queue.join(rank, latestStartMillis, waiter);
+    QueuedRequest join(int rank, long latestStartMillis, Waiter waiter, XnioIoThread thread) {
+        QueuedRequest queued = queue.enqueue(rank, latestStartMillis, waiter);
         if (!polling) {
             polling = true;
             thread.executeAfter(() -> poll(thread), POLL_MILLIS, TimeUnit.MILLISECONDS);
         }
-        return place;
+        return queued;
     }
 
     /** The queue as seen by the requests of one thread. */
-    SlotWait.Line forThread(XnioIoThread thread) {
-        return new SlotWait.Line() {
+    SlotWait.Queue forThread(XnioIoThread thread) {
+        return new SlotWait.Queue() {
             @Override
-            public Place join(int rank, long latestStartMillis, Waiter waiter) {
+            public QueuedRequest enqueue(int rank, long latestStartMillis, Waiter waiter) {
                 return EntryWaitQueue.this.join(rank, latestStartMillis, waiter, thread);
             }
 
             @Override
-            public void leave(Place place) {
-                EntryWaitQueue.this.leave(place);
+            public void remove(QueuedRequest queued) {
+                EntryWaitQueue.this.leave(queued);
             }
         };
     }
 
-    void leave(Place place) {
-        queue.leave(place);
+    void leave(QueuedRequest queued) {
+        queue.remove(queued);
     }
 
     int size() {
@@ -67,11 +67,11 @@
      * are not propagated to that request.
      */
     void onSlotFreed() {
-        RepeatedTasks.guarded("room", queue::serve);
+        RepeatedTasks.runGuarded("room", queue::dispatch);
     }
 
     private void poll(XnioIoThread thread) {
-        RepeatedTasks.guarded("expire", () -> queue.expire(monotonicMillis.getAsLong()));
+        RepeatedTasks.runGuarded("expire", () -> queue.expire(monotonicMillis.getAsLong()));
         onSlotFreed();
         polling = queue.size() > 0;
         if (polling) {
--- a/src/main/java/org/micabarrow/serving/InFlightRequests.java
+++ b/src/main/java/org/micabarrow/serving/InFlightRequests.java
@@ -30,11 +30,11 @@
 
     /** Ends every request, even if some of them throw. */
     void endAll(String reason) {
-        List.copyOf(inFlight).forEach(request -> RepeatedTasks.guarded("end", () -> request.end(reason)));
+        List.copyOf(inFlight).forEach(request -> RepeatedTasks.runGuarded("end", () -> request.end(reason)));
     }
 
     /** Checks every request, even if some of them throw; requests that end meanwhile are removed. */
     void checkAll() {
-        List.copyOf(inFlight).forEach(request -> RepeatedTasks.guarded("look-after", request::check));
+        List.copyOf(inFlight).forEach(request -> RepeatedTasks.runGuarded("look-after", request::check));
     }
 }
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -4,9 +4,9 @@
 import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointSelection;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,20 +45,25 @@
                 context.viewAge());
     }
 
-    void sent(EndpointSelection.Send chosen, String reason, int attempt, long millisUntilObjective, long remainingMillis) {
-        EndpointLoad load = context.load(chosen.endpoint());
+    void sent(
+            EndpointSelection.Selected selected,
+            String reason,
+            int attempt,
+            long millisUntilObjective,
+            long remainingMillis) {
+        EndpointLoad load = context.load(selected.endpoint());
         long now = context.nowMillis();
         LOG.info(
                 "event=sent request={} endpoint={} hall={} attempt={} why=\"{}\" predictedMs={} requestsThere={}"
                         + " toldMsAgo={} toObjectiveMs={} leftMs={} {}",
                 request.id(),
-                chosen.endpoint().id(),
-                chosen.endpoint().dataHall(),
+                selected.endpoint().id(),
+                selected.endpoint().dataHall(),
                 attempt,
                 reason,
-                Math.round(chosen.predictedMillis()),
+                Math.round(selected.predictedMillis()),
                 load.requests(now),
-                load.hasAgent() ? load.millisSinceTold(now) : "-",
+                load.hasAgent() ? load.millisSinceReport(now) : "-",
                 millisUntilObjective,
                 remainingMillis,
                 context.viewAge());
@@ -85,13 +90,13 @@
      * Logs that an attempt ended without a response that may be forwarded. If the request may have run, its digest
      * shows whether the same request came before, under another id or at another entry.
      */
-    void attemptFailed(EndpointRegistration endpoint, AttemptOutcome end, String progress, String reason) {
+    void attemptFailed(EndpointRegistration endpoint, AttemptOutcome outcome, String progress, String reason) {
         LOG.info(
                 "event=attempt_failed request={} digest={} endpoint={} end={} {} why=\"{}\"",
                 request.id(),
-                end == AttemptOutcome.UNKNOWN ? digest.get() : "-",
+                outcome == AttemptOutcome.UNKNOWN ? digest.get() : "-",
                 endpoint.id(),
-                end,
+                outcome,
                 progress,
                 reason);
     }
--- a/src/main/java/org/micabarrow/serving/ResponseRelay.java
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -56,7 +56,7 @@
             buffer(data, more);
             return;
         }
-        byte[] wholeEvents = stream ? events.whole(data) : data;
+        byte[] wholeEvents = stream ? events.append(data) : data;
         if (wholeEvents.length == 0) {
             more.run();
         } else {
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -6,16 +6,16 @@
 import java.util.function.LongSupplier;
 import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.admission.SlotWait;
+import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.attempts.RequestTimes;
-import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.SuspicionLevel;
-import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelection;
 import org.micabarrow.routing.RequestKind;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
@@ -45,16 +45,16 @@
         this.thread = thread;
         this.digest = LazyDigest.of(request);
         long now = context.nowMillis();
-        long sinceFirstAttemptMillis =
-                context.firstAttempts().millisSince(request.route().name(), request.deadlineMillis() - now, now);
+        long sinceFirstAttemptMillis = context.firstAttempts()
+                .millisSinceFirstAttempt(request.route().name(), request.deadlineMillis() - now, now);
         this.times = RequestTimes.of(request, now, sinceFirstAttemptMillis);
         this.slotWait = new SlotWait(context.waitQueue().forThread(thread), this);
         this.log = new RequestLog(context, request, sinceFirstAttemptMillis, eventTimes, digest);
     }
 
     void begin() {
-        deadlineTimer = Optional.of(
-                thread.executeAfter(() -> end("the deadline has passed"), times.heldMillis(), TimeUnit.MILLISECONDS));
+        deadlineTimer = Optional.of(thread.executeAfter(
+                () -> end("the deadline has passed"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
         context.inFlight().add(this);
         decideNext("first");
     }
@@ -91,15 +91,15 @@
     }
 
     long elapsedMillis() {
-        return times.takenMillis(context.nowMillis());
+        return times.elapsedMillis(context.nowMillis());
     }
 
     long remainingMillis() {
-        return times.leftMillis(context.nowMillis());
+        return times.remainingMillis(context.nowMillis());
     }
 
     private long millisUntilObjective() {
-        return times.toObjectiveMillis(context.nowMillis(), response.started());
+        return times.untilObjectiveMillis(context.nowMillis(), response.started());
     }
 
     /** Whether the response can no longer meet the objective. */
@@ -111,7 +111,7 @@
 
     @Override
     public Decision decide() {
-        return context.decide(request, digest, millisUntilObjective(), attempts.tried());
+        return context.decide(request, digest, millisUntilObjective(), attempts.triedEndpoints());
     }
 
     private void decideNext(String reason) {
@@ -121,15 +121,15 @@
     @Override
     public void decided(Decision decision, String reason) {
         switch (decision) {
-            case Decision.Send(EndpointSelection.Send chosen) -> sendOrQueryAgent(chosen, reason);
+            case Decision.Send(EndpointSelection.Selected selected) -> sendOrQueryAgent(selected, reason);
             case Decision.Wait wait when !response.started() -> waitForSlot(wait, reason);
             case Decision.Wait(long ignored, int endpoints) -> refuseWithoutSlot(endpoints);
             case Decision.Full(int endpoints) -> refuseWithoutSlot(endpoints);
             case Decision.Unable ignored -> concludeWithoutResponse("no endpoint can serve");
-            case Decision.Resting(int endpoints, long ignored) ->
+            case Decision.BackingOff(int endpoints, long ignored) ->
                 concludeWithoutResponse("all " + endpoints + " endpoints asked for a backoff");
-            case Decision.Limited(int endpoints, OptionalLong millis) -> refuseOverRateLimit(endpoints, millis);
-            case Decision.Culprit(int crashes, long forMillis) -> refusePoisonRequest(crashes, forMillis);
+            case Decision.RateLimited(int endpoints, OptionalLong millis) -> refuseOverRateLimit(endpoints, millis);
+            case Decision.PoisonRequest(int crashes, long forMillis) -> refusePoisonRequest(crashes, forMillis);
         }
     }
 
@@ -168,31 +168,31 @@
     }
 
     @Override
-    public void outOfTime() {
+    public void expired() {
         decideNext("no endpoint had a free slot in time");
     }
 
     // -- sending
 
     /** Sends the request, after querying the endpoint's agent if that is required. */
-    private void sendOrQueryAgent(EndpointSelection.Send chosen, String reason) {
-        if (!context.mustQueryAgent(request, chosen.endpoint())) {
-            send(chosen, reason);
-        } else if (attempts.ask()) {
-            context.queryAgent(request, chosen.endpoint(), maySend -> onAgentReply(chosen, reason, maySend));
+    private void sendOrQueryAgent(EndpointSelection.Selected selected, String reason) {
+        if (!context.mustQueryAgent(request, selected.endpoint())) {
+            send(selected, reason);
+        } else if (attempts.countAgentQuery()) {
+            context.queryAgent(request, selected.endpoint(), maySend -> onAgentReply(selected, reason, maySend));
         } else {
             concludeWithoutResponse("no agent of an endpoint that could serve replies");
         }
     }
 
-    private void onAgentReply(EndpointSelection.Send chosen, String reason, boolean maySend) {
+    private void onAgentReply(EndpointSelection.Selected selected, String reason, boolean maySend) {
         if (finished) {
             return;
         }
-        if (maySend && context.withinRateLimit(chosen.endpoint())) {
-            send(chosen, reason);
+        if (maySend && context.withinRateLimit(selected.endpoint())) {
+            send(selected, reason);
         } else {
-            log.notSent(chosen.endpoint());
+            log.notSent(selected.endpoint());
             decideNext(reason);
         }
     }
@@ -205,11 +205,11 @@
         return RequestOutcome.withoutResponse(response.started(), attempts.mayHaveRun());
     }
 
-    private void send(EndpointSelection.Send chosen, String reason) {
-        EndpointRegistration endpoint = chosen.endpoint();
+    private void send(EndpointSelection.Selected selected, String reason) {
+        EndpointRegistration endpoint = selected.endpoint();
         attempts.sent(endpoint.id());
-        log.sent(chosen, reason, attempts.count(), millisUntilObjective(), remainingMillis());
-        Attempt attempt = new Attempt(this, chosen);
+        log.sent(selected, reason, attempts.count(), millisUntilObjective(), remainingMillis());
+        Attempt attempt = new Attempt(this, selected);
         currentAttempt = Optional.of(attempt);
         attempt.begin();
     }
@@ -219,11 +219,11 @@
      * retry: it takes nothing from the retry budget, and also applies to requests that may run only once.
      */
     void onPreSendCheckFailed(EndpointRegistration endpoint, PreSendCheck.Result.Outdated outdated) {
-        attempts.withheld();
-        if (remainingMillis() < AttemptPolicy.LEAST_MILLIS_LEFT) {
+        attempts.notSent();
+        if (remainingMillis() < AttemptPolicy.MIN_REMAINING_MILLIS) {
             concludeWithoutResponse(outdated.reason());
         } else if (outdated.mayReuseEndpoint()) {
-            attempts.cameLateAt(endpoint.id());
+            attempts.connectionLate(endpoint.id());
             // No agent was queried during a pause, so every agent seems unresponsive until one has replied again.
             context.awaitAgentReply(request, endpoint, () -> decideAgain(outdated.reason()));
         } else {
@@ -233,7 +233,7 @@
 
     /** Whether a connection of this request has come too late before. */
     boolean hadLateConnection() {
-        return attempts.cameLate();
+        return attempts.connectedLate();
     }
 
     private void decideAgain(String reason) {
@@ -250,14 +250,14 @@
     }
 
     /** Retries or concludes the request after an attempt has ended without a response. */
-    void onAttemptFailed(AttemptOutcome end, String reason) {
-        recordAttemptEnd(end);
+    void onAttemptFailed(AttemptOutcome outcome, String reason) {
+        recordAttemptOutcome(outcome);
         retryOrConclude(reason);
     }
 
     /** Records that an attempt has ended without a response; {@link #retryOrConclude} decides what follows. */
-    void recordAttemptEnd(AttemptOutcome end) {
-        attempts.ended(end);
+    void recordAttemptOutcome(AttemptOutcome outcome) {
+        attempts.ended(outcome);
     }
 
     /** Retries the request or concludes it, unless it has finished meanwhile. */
@@ -267,7 +267,7 @@
         }
         boolean truncated = response.started() && !canResume();
         if (!truncated
-                && AttemptPolicy.again(
+                && AttemptPolicy.allowsAnotherAttempt(
                         request.route(), attempts.progress(remainingMillis()), context.budget()::tryRetry)) {
             decideNext(reason);
         } else {
@@ -279,8 +279,8 @@
      * Sends the request to another endpoint after {@link #reserveRetry} has allowed it; the previous endpoint may have
      * run it.
      */
-    void switchEndpoint(AttemptOutcome end, String reason) {
-        attempts.ended(end);
+    void switchEndpoint(AttemptOutcome outcome, String reason) {
+        attempts.ended(outcome);
         decideNext(reason);
     }
 
@@ -292,7 +292,7 @@
         AttemptPolicy.Progress progress = attempts.progressIfRun(remainingMillis());
         return request.route().kind().repeatable()
                 && decide() instanceof Decision.Send
-                && AttemptPolicy.again(request.route(), progress, context.budget()::tryRetry);
+                && AttemptPolicy.allowsAnotherAttempt(request.route(), progress, context.budget()::tryRetry);
     }
 
     /** Whether a response that has started can be resumed at another endpoint. */
--- a/src/main/java/org/micabarrow/serving/ServingContext.java
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -10,10 +10,10 @@
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.RoutingRequest;
 import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
@@ -46,9 +46,9 @@
         this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
         this.versions = new WeightVersions(dependencies);
         this.metrics = new ServingMetrics(dependencies.registry());
-        this.admission = new AdmissionControl(dependencies.choice());
+        this.admission = new AdmissionControl(dependencies.selector());
         this.waitQueue = new EntryWaitQueue(dependencies.monotonicMillis());
-        this.suspects = new SuspectAdmission(dependencies.crashes().book(), dependencies.choice(), admission);
+        this.suspects = new SuspectAdmission(dependencies.crashes().registry(), dependencies.selector(), admission);
         this.crashes = new CrashDetector(dependencies.crashes(), dependencies.monotonicMillis());
     }
 
@@ -113,21 +113,21 @@
     // -- routing
 
     EndpointLoad load(EndpointRegistration endpoint) {
-        return dependencies.choice().load(endpoint.start());
+        return dependencies.selector().load(endpoint.start());
     }
 
     boolean isUnresponsive(EndpointRegistration endpoint) {
-        return dependencies.choice().silent(endpoint, nowMillis());
+        return dependencies.selector().unresponsive(endpoint, nowMillis());
     }
 
     boolean isBackingOff(EndpointRegistration endpoint) {
-        return dependencies.choice().rests(endpoint, nowMillis());
+        return dependencies.selector().inBackoff(endpoint, nowMillis());
     }
 
     /** Whether an endpoint has stated that it is draining, so that its end is no crash. */
     boolean isDraining(EndpointRegistration endpoint) {
         EndpointRegistration now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
-        return now.start().equals(endpoint.start()) && dependencies.choice().leaves(now);
+        return now.start().equals(endpoint.start()) && dependencies.selector().isDraining(now);
     }
 
     /** Whether an endpoint is draining, is no longer listed, or has restarted without the requests sent to it. */
@@ -135,7 +135,7 @@
         EndpointRegistration now = view().endpoints().get(endpoint.id());
         return now == null
                 || !now.start().equals(endpoint.start())
-                || dependencies.choice().leaves(now);
+                || dependencies.selector().isDraining(now);
     }
 
     /**
@@ -143,31 +143,31 @@
      * sources still report it as ready.
      */
     void markDraining(EndpointRegistration endpoint) {
-        if (dependencies.choice().saidThatItLeaves(endpoint.start())) {
+        if (dependencies.selector().markDraining(endpoint.start())) {
             LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
         }
     }
 
     /** Whether an endpoint's rate limit allows this entry a request now. */
     boolean withinRateLimit(EndpointRegistration endpoint) {
-        return dependencies.choice().withinLimit(endpoint, nowMillis());
+        return dependencies.selector().withinRateLimit(endpoint, nowMillis());
     }
 
     /** Counts a request that is refused for lack of a free slot; agents allot their endpoints' slots by this count. */
     void countRefusedForCapacity(ClientRequest request) {
         if (versions.model(request).isPresent()) {
-            dependencies.choice().unmet().turnedAway(nowMillis());
+            dependencies.selector().unmetDemand().refused(nowMillis());
         }
     }
 
     /** Decides how to handle a request, given the time that is left until its objective. */
     Decision decide(ClientRequest request, LazyDigest digest, long millisUntilObjective, Set<String> tried) {
         List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
-        return suspects.decide(endpoints, wanted(request, millisUntilObjective, tried), digest, nowMillis());
+        return suspects.decide(endpoints, routingRequest(request, millisUntilObjective, tried), digest, nowMillis());
     }
 
-    private Wanted wanted(ClientRequest request, long millisUntilObjective, Set<String> tried) {
-        return new Wanted(
+    private RoutingRequest routingRequest(ClientRequest request, long millisUntilObjective, Set<String> tried) {
+        return new RoutingRequest(
                 request.promptTokens(),
                 request.route().objectiveMillis(),
                 millisUntilObjective,
@@ -181,14 +181,14 @@
     /** Whether an endpoint's agent must be queried before the request is sent there. */
     boolean mustQueryAgent(ClientRequest request, EndpointRegistration endpoint) {
         return versions.agentQueryDue(request, endpoint)
-                && dependencies.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
+                && dependencies.selector().mustQueryAgent(endpoint, routingRequest(request, 0, Set.of()));
     }
 
     /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
     void queryAgent(ClientRequest request, EndpointRegistration endpoint, Consumer<Boolean> callback) {
         dependencies.agentQueries().query(endpoint, inTime -> {
             if (!inTime) {
-                load(endpoint).notAnswered();
+                load(endpoint).queryTimedOut();
             }
             callback.accept(inTime && canReceive(request, endpoint));
         });
@@ -205,7 +205,7 @@
 
     /** Whether an endpoint may get the request at all, given current information. */
     boolean canReceive(ClientRequest request, EndpointRegistration endpoint) {
-        return dependencies.choice().able(endpoint, wanted(request, 0, Set.of()), nowMillis());
+        return dependencies.selector().eligible(endpoint, routingRequest(request, 0, Set.of()), nowMillis());
     }
 
     // -- for the client and the log
@@ -217,9 +217,9 @@
     long retryAfterMillis(ClientRequest request) {
         List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return dependencies
-                .choice()
-                .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
-                .orElseGet(() -> AdmissionControl.comeBackMillis(request.deadlineMillis() - nowMillis()));
+                .selector()
+                .untilBackoffEndsMillis(endpoints, routingRequest(request, 0, Set.of()), nowMillis())
+                .orElseGet(() -> AdmissionControl.retryAfterMillis(request.deadlineMillis() - nowMillis()));
     }
 
     /** Records that a client is refused and when it is told to retry; returns the retry delay. */
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
@@ -62,7 +62,7 @@
      * The dependencies of a handler.
      *
      * @param view supplies the current view
-     * @param choice chooses endpoints
+     * @param selector chooses endpoints
      * @param caller sends requests on the traffic thread
      * @param protocol encodes requests to endpoints and decodes their responses
      * @param reader reads client requests
@@ -76,7 +76,7 @@
      */
     public record Dependencies(
             Supplier<View> view,
-            EndpointSelector choice,
+            EndpointSelector selector,
             HttpClient caller,
             EndpointProtocol protocol,
             RequestReader reader,
@@ -91,7 +91,7 @@
         /** Checks that no component is null. */
         public Dependencies {
             Objects.requireNonNull(view, "view is null");
-            Objects.requireNonNull(choice, "choice is null");
+            Objects.requireNonNull(selector, "selector is null");
             Objects.requireNonNull(caller, "caller is null");
             Objects.requireNonNull(protocol, "protocol is null");
             Objects.requireNonNull(reader, "reader is null");
--- a/src/main/java/org/micabarrow/serving/SuspectAdmission.java
+++ b/src/main/java/org/micabarrow/serving/SuspectAdmission.java
@@ -5,11 +5,11 @@
 import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.crashes.SuspectIsolation;
-import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.crashes.SuspicionLevel;
 import org.micabarrow.routing.EndpointRegistration;
-import org.micabarrow.routing.Wanted;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.RoutingRequest;
 
 /**
  * Decides how to handle a request with regard to the endpoint crashes it was involved in: poison requests are refused,
@@ -19,20 +19,20 @@
 
     private static final SuspicionLevel UNSUSPECTED = new SuspicionLevel.Unsuspected();
 
-    private final CrashRegistry book;
-    private final EndpointSelector choice;
+    private final CrashRegistry registry;
+    private final EndpointSelector selector;
     private final AdmissionControl admission;
-    private final SuspectIsolation placement = new SuspectIsolation();
+    private final SuspectIsolation isolation = new SuspectIsolation();
 
-    SuspectAdmission(CrashRegistry book, EndpointSelector choice, AdmissionControl admission) {
-        this.book = book;
-        this.choice = choice;
+    SuspectAdmission(CrashRegistry registry, EndpointSelector selector, AdmissionControl admission) {
+        this.registry = registry;
+        this.selector = selector;
         this.admission = admission;
     }
 
     /** What is known about a request's involvement in crashes. */
     SuspicionLevel suspicion(LazyDigest digest, long nowMillis) {
-        return book.mayKnow(digest) ? book.standing(digest.get(), nowMillis) : UNSUSPECTED;
+        return registry.mayBeSuspect(digest) ? registry.suspicion(digest.get(), nowMillis) : UNSUSPECTED;
     }
 
     /** Records that a request is sent; the returned action must run once the request has left its endpoint. */
@@ -40,30 +40,35 @@
         if (!(suspicion(digest, nowMillis) instanceof SuspicionLevel.Suspected)) {
             return () -> {};
         }
-        placement.began(endpoint.start(), digest.get());
-        return () -> placement.ended(endpoint.start(), digest.get());
+        isolation.started(endpoint.start(), digest.get());
+        return () -> isolation.ended(endpoint.start(), digest.get());
     }
 
     // -- routing
 
     /** Decides how to handle a request. */
-    Decision decide(List<EndpointRegistration> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
+    Decision decide(
+            List<EndpointRegistration> endpoints, RoutingRequest routingRequest, LazyDigest digest, long nowMillis) {
         return switch (suspicion(digest, nowMillis)) {
-            case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
-            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
+            case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, routingRequest, nowMillis);
+            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.PoisonRequest(crashes, forMillis);
             case SuspicionLevel.Suspected suspected -> {
-                List<EndpointRegistration> available = placement.free(endpoints, digest.get(), suspected);
-                yield SuspectIsolation.apart(suspected)
-                        ? decideFirst(available, endpoints, wanted, nowMillis)
-                        : decidePreferring(available, endpoints, wanted, nowMillis);
+                List<EndpointRegistration> available =
+                        isolation.withoutOtherSuspects(endpoints, digest.get(), suspected);
+                yield SuspectIsolation.mustIsolate(suspected)
+                        ? decideFirst(available, endpoints, routingRequest, nowMillis)
+                        : decidePreferring(available, endpoints, routingRequest, nowMillis);
             }
         };
     }
 
     private Decision decidePreferring(
-            List<EndpointRegistration> available, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
-        Decision decision = admission.decide(available, wanted, nowMillis);
-        return decision instanceof Decision.Send ? decision : admission.decide(endpoints, wanted, nowMillis);
+            List<EndpointRegistration> available,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest routingRequest,
+            long nowMillis) {
+        Decision decision = admission.decide(available, routingRequest, nowMillis);
+        return decision instanceof Decision.Send ? decision : admission.decide(endpoints, routingRequest, nowMillis);
     }
 
     /**
@@ -71,14 +76,20 @@
      * endpoints have free slots.
      */
     private Decision decideFirst(
-            List<EndpointRegistration> available, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
+            List<EndpointRegistration> available,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest routingRequest,
+            long nowMillis) {
         for (EndpointRegistration endpoint : available) {
-            boolean healthy = !choice.failing(endpoint, nowMillis);
-            if (healthy && admission.decide(List.of(endpoint), wanted, nowMillis) instanceof Decision.Send send) {
+            boolean healthy = !selector.ejected(endpoint, nowMillis);
+            if (healthy
+                    && admission.decide(List.of(endpoint), routingRequest, nowMillis) instanceof Decision.Send send) {
                 return send;
             }
         }
-        Decision elsewhere = admission.decide(endpoints, wanted, nowMillis);
-        return elsewhere instanceof Decision.Send ? admission.withoutRoom(endpoints.size(), wanted) : elsewhere;
+        Decision elsewhere = admission.decide(endpoints, routingRequest, nowMillis);
+        return elsewhere instanceof Decision.Send
+                ? admission.withoutFreeSlot(endpoints.size(), routingRequest)
+                : elsewhere;
     }
 }
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
@@ -18,7 +18,7 @@
 final class WeightVersions {
 
     private final Supplier<View> view;
-    private final EndpointSelector choice;
+    private final EndpointSelector selector;
     private final VersionTimes times;
     private final LongSupplier monotonicMillis;
 
@@ -29,7 +29,7 @@
      */
     WeightVersions(ServingHandler.Dependencies dependencies) {
         this.view = dependencies.view();
-        this.choice = dependencies.choice();
+        this.selector = dependencies.selector();
         this.times = dependencies.versionTimes();
         this.monotonicMillis = dependencies.monotonicMillis();
     }
@@ -63,9 +63,10 @@
 
     private long minVersion(ClientRequest request, String model) {
         View now = view.get();
-        long due = now.leastVersion(model, times.requireAfterMillis(), monotonicMillis.getAsLong());
-        boolean foundAtStart =
-                now.newestTarget(model).filter(target -> !target.seenNamed()).isPresent();
+        long due = now.minVersion(model, times.requireAfterMillis(), monotonicMillis.getAsLong());
+        boolean foundAtStart = now.newestTarget(model)
+                .filter(target -> !target.namingObserved())
+                .isPresent();
         return foundAtStart ? Math.max(due, newestHeld(now, request, model)) : due;
     }
 
@@ -94,7 +95,7 @@
      */
     boolean agentQueryDue(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
-                .filter(newer -> monotonicMillis.getAsLong() - newer.learnedMillis() >= times.queryAfterMillis())
+                .filter(newer -> monotonicMillis.getAsLong() - newer.learnedAtMillis() >= times.queryAfterMillis())
                 .isPresent();
     }
 
@@ -105,7 +106,7 @@
 
     /** The oldest named version that is newer than an endpoint's; empty if the endpoint holds the newest. */
     Optional<View.Target> newerNamed(ClientRequest request, EndpointRegistration endpoint) {
-        return model(request).flatMap(model -> view.get().newerNamed(model.model(), held(endpoint, model)));
+        return model(request).flatMap(model -> view.get().nextTarget(model.model(), held(endpoint, model)));
     }
 
     /** Whether an endpoint holds an older version than the given one. */
@@ -127,7 +128,7 @@
      * longer.
      */
     long millisUntilStartDeadline(View.Target newer) {
-        return newer.learnedMillis() + times.cancelAfterMillis() - monotonicMillis.getAsLong();
+        return newer.learnedAtMillis() + times.cancelAfterMillis() - monotonicMillis.getAsLong();
     }
 
     /**
@@ -135,6 +136,6 @@
      */
     private long held(EndpointRegistration endpoint, ModelProfile model) {
         long listed = endpoint.models().getOrDefault(model.model(), 0L);
-        return Math.max(listed, choice.load(endpoint.start()).version());
+        return Math.max(listed, selector.load(endpoint.start()).version());
     }
 }
--- a/src/main/java/org/micabarrow/views/PeerFirstReader.java
+++ b/src/main/java/org/micabarrow/views/PeerFirstReader.java
@@ -10,160 +10,163 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads topics only when others tell that there is news, and then from them; the store itself while nobody tells. A process
- * that reads the store by itself makes a call of it every second, and each manifest crosses the link of its region once a process:
- * 30 processes, 40 KB and four changes a second are twice what a link of 18.9 Mbit/s carries, and entries fall behind by more than
- * the time in which a manifest must be in force. So one entry of a region reads the store for the other entries; agents are told by
- * all entries nearby, and of what they act on only.
+ * Reads topics from peers when they announce updates, and from the store itself when no peer announces anything. A
+ * process that reads the store directly calls it every second, and each manifest is transferred over the link of its
+ * region once per process: 30 processes, 40 KB and four changes a second amount to twice the capacity of a link of 18.9
+ * Mbit/s, and entries fall behind by more than the time within which a manifest must be active. So one entry of each
+ * region reads the store on behalf of the others. Agents are notified by all nearby entries, and only of the records
+ * that they use.
  */
 public final class PeerFirstReader implements TopicReader {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerFirstReader.class);
 
-    /** How long an answer to an agent may take, as long as it keeps coming: a large manifest over a narrow link. */
-    private static final Duration WHOLE_ANSWER = Duration.ofSeconds(10);
+    /** How long a response to an agent may take while data keeps arriving: a large manifest over a slow link. */
+    private static final Duration AGENT_RESPONSE_TIMEOUT = Duration.ofSeconds(10);
 
     private final TopicReader store;
-    private final Peers peers;
+    private final PeerSource peers;
     private final Role role;
-    private final LongSupplier steadyMillis;
-    private final ToldNews told;
+    private final LongSupplier monotonicMillis;
+    private final PeerUpdates updates;
 
-    /** Whether what this process knows of operators' records comes from the store itself. */
-    private boolean direct;
+    /** Whether the operator records known to this process come from the store itself. */
+    private boolean readsStore;
 
-    /** Asks peers for records. */
+    /** Requests records from peers. */
     @FunctionalInterface
-    public interface Peers {
+    public interface PeerSource {
 
         /**
-         * Asks a peer for the newest records of a topic at or after an offset.
+         * Requests the latest records of a topic at or after an offset from a peer.
          *
          * @param peer the peer's host and port
          * @param topic the topic
          * @param from the offset
-         * @param within how long the whole answer may take
-         * @return the records, and where to read on
+         * @param timeout how long the whole response may take
+         * @return the records, and the offset to continue from
          */
-        Result<Batch> ask(String peer, Topic topic, long from, Duration within);
+        Result<Batch> read(String peer, Topic topic, long from, Duration timeout);
     }
 
-    /** Whose word a process goes by, and for what. */
+    /** Determines which peers a process relies on, and for which records. */
     public sealed interface Role {
 
-        /** Agents need what they act on alone, and any entry nearby may tell. */
+        /** Agents need only the records that they use, and rely on any nearby entry. */
         record Agent() implements Role {}
 
         /**
-         * Entries need all that operators wrote. One goes by an entry whose address comes before its own, so that no two wait for
-         * each other; by any if the store does not answer it.
+         * Entries need all operator records. An entry relies on an entry whose address sorts before its own, so that no
+         * two entries wait for each other, or on any entry while the store does not respond.
          *
-         * @param self the address at which this entry is asked for records
-         * @param trustMillis how old what a peer knows may be, in milliseconds; the store is read by this process beyond that
+         * @param self the address at which this entry serves records to peers
+         * @param maxAgeMillis the maximum age of a peer's knowledge, in milliseconds; beyond it this process reads the
+         *     store
          */
-        record Entry(String self, long trustMillis) implements Role {
+        record Entry(String self, long maxAgeMillis) implements Role {
 
-            /** Checks that the address is there. */
+            /** Validates the address. */
             public Entry {
                 Objects.requireNonNull(self, "self is null");
             }
         }
     }
 
-    /** What there is to read. */
-    private sealed interface News {
+    /** What is available to read. */
+    private sealed interface Availability {
 
-        /** Nobody tells. */
-        record Unknown() implements News {}
+        /** No peer has sent a recent update. */
+        record NoUpdates() implements Availability {}
 
-        /** Nothing. */
-        record Nothing() implements News {}
+        /** The peers know nothing newer. */
+        record NothingNewer() implements Availability {}
 
-        /** A peer knows more. */
-        record At(String peer) implements News {}
+        /** A peer has newer records. */
+        record AvailableAt(String peer) implements Availability {}
     }
 
     /**
-     * Makes a reader that was told nothing yet.
+     * Creates a reader that has received no updates yet.
      *
      * @param store reads the store
-     * @param peers asks those that tell
-     * @param role whose word counts
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param peers requests records from the peers that sent updates
+     * @param role determines the peers to rely on
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public PeerFirstReader(TopicReader store, Peers peers, Role role, LongSupplier steadyMillis) {
+    public PeerFirstReader(TopicReader store, PeerSource peers, Role role, LongSupplier monotonicMillis) {
         this.store = Objects.requireNonNull(store, "store is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.role = Objects.requireNonNull(role, "role is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        this.told = new ToldNews(role);
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        this.updates = new PeerUpdates(role);
     }
 
-    // -- what others tell
+    // -- updates from peers
 
     /**
-     * Takes note of what a peer in touch with the store tells.
+     * Handles an update from a peer that is connected to the store.
      *
-     * @param peer the host and port at which it can be asked for records
-     * @param changes where the last changes stand that it knows of
-     * @param asOfMillis the moment on the steady clock up to which it knows all that operators wrote
+     * @param peer the host and port at which the peer serves records
+     * @param changes the offsets of the last changes that the peer knows
+     * @param asOfMillis the time on the monotonic clock up to which the peer knows all operator records
      */
-    public synchronized void told(String peer, ChangeOffsets changes, long asOfMillis) {
-        if (told.take(peer, changes, asOfMillis, steadyMillis.getAsLong())) {
+    public synchronized void onUpdate(String peer, ChangeOffsets changes, long asOfMillis) {
+        if (updates.add(peer, changes, asOfMillis, monotonicMillis.getAsLong())) {
             notifyAll();
         }
     }
 
     /**
-     * Whether what this process knows of operators' records comes from the store itself, so that others may go by it.
+     * Whether the operator records known to this process come from the store itself, so that other processes may rely
+     * on it.
      *
-     * @return false before the first read, while it goes by a peer, and while the store does not answer
+     * @return false before the first read, while the process relies on a peer, and while the store does not respond
      */
-    public synchronized boolean direct() {
-        return direct;
+    public synchronized boolean readsStoreDirectly() {
+        return readsStore;
     }
 
     @Override
-    public synchronized boolean peersTell(Topic topic) {
-        return told.peersTell(steadyMillis.getAsLong());
+    public synchronized boolean hasPeerUpdates(Topic topic) {
+        return updates.hasValidUpdate(monotonicMillis.getAsLong());
     }
 
-    private synchronized News await(Topic topic, long from, long untilMillis) throws InterruptedException {
+    private synchronized Availability awaitNewer(Topic topic, long from, long untilMillis) throws InterruptedException {
         while (true) {
-            long now = steadyMillis.getAsLong();
-            if (!told.peersTell(now)) {
-                return new News.Unknown();
+            long now = monotonicMillis.getAsLong();
+            if (!updates.hasValidUpdate(now)) {
+                return new Availability.NoUpdates();
             }
-            Optional<String> ahead = told.ahead(topic, from, now);
-            if (ahead.isPresent()) {
-                return new News.At(ahead.get());
+            Optional<String> newerPeer = updates.newestPeer(topic, from, now);
+            if (newerPeer.isPresent()) {
+                return new Availability.AvailableAt(newerPeer.get());
             }
             if (now >= untilMillis) {
-                return new News.Nothing();
+                return new Availability.NothingNewer();
             }
-            wait(Math.clamp(told.endOfTrust(now) - now, 1, untilMillis - now));
+            wait(Math.clamp(updates.lastExpiryMillis(now) - now, 1, untilMillis - now));
         }
     }
 
-    private synchronized void distrust(String peer) {
-        told.forget(peer);
+    private synchronized void ignore(String peer) {
+        updates.remove(peer);
     }
 
     // -- reading
 
     @Override
-    public Result<Batch> newest(Topic topic) {
-        return fromStore(topic, store.newest(topic));
+    public Result<Batch> readLatest(Topic topic) {
+        return recordStoreResult(topic, store.readLatest(topic));
     }
 
     @Override
     public Result<Read> read(Topic topic, long from, Duration wait) {
         try {
-            return switch (await(topic, from, steadyMillis.getAsLong() + wait.toMillis())) {
-                case News.Unknown ignored -> readStore(topic, from, wait);
-                case News.Nothing ignored ->
-                    byPeer(topic, Result.success(new Read.Records(new Batch(List.of(), from))));
-                case News.At(String peer) -> fromPeer(peer, topic, from);
+            return switch (awaitNewer(topic, from, monotonicMillis.getAsLong() + wait.toMillis())) {
+                case Availability.NoUpdates ignored -> readStore(topic, from, wait);
+                case Availability.NothingNewer ignored ->
+                    recordPeerResult(topic, Result.success(new Read.Records(new Batch(List.of(), from))));
+                case Availability.AvailableAt(String peer) -> readPeer(peer, topic, from);
             };
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -172,72 +175,77 @@
     }
 
     @Override
-    public Result<Read> history(Topic topic, long from) {
+    public Result<Read> readHistory(Topic topic, long from) {
         Optional<String> peer = peerBeyond(topic, from);
-        return peer.isPresent() ? fromPeer(peer.get(), topic, from) : readStore(topic, from, Duration.ZERO);
+        return peer.isPresent() ? readPeer(peer.get(), topic, from) : readStore(topic, from, Duration.ZERO);
     }
 
     private synchronized Optional<String> peerBeyond(Topic topic, long from) {
-        return told.anyBeyond(topic, from, steadyMillis.getAsLong());
+        return updates.anyPeerBeyond(topic, from, monotonicMillis.getAsLong());
     }
 
-    /** A peer that does not give what it told of may have started again, or not know all that came before. */
-    private Result<Read> fromPeer(String peer, Topic topic, long from) {
-        Result<Batch> batch = peers.ask(peer, topic, from, within(peer));
-        if (batch.toOptional().filter(one -> one.end() > from).isPresent()) {
-            return byPeer(topic, batch.map(Read.Records::new));
+    /**
+     * Reads from a peer, or from the store if the peer does not return the records that it announced: it may have
+     * restarted, or lack earlier records.
+     */
+    private Result<Read> readPeer(String peer, Topic topic, long from) {
+        Result<Batch> batch = peers.read(peer, topic, from, responseTimeout(peer));
+        if (batch.toOptional().filter(received -> received.end() > from).isPresent()) {
+            return recordPeerResult(topic, batch.map(Read.Records::new));
         }
         LOG.info("event=news_not_given topic={} from={} peer={} next=store", topic, from, peer);
-        distrust(peer);
+        ignore(peer);
         return readStore(topic, from, Duration.ZERO);
     }
 
     /**
-     * How long a peer's answer may take. To an entry it must come while the peer's word counts: one that gives its answer piece by
-     * piece over a full link would keep the entry from the store for ten seconds.
+     * Returns how long a peer's response may take. For an entry, it must end while the peer's update is valid: a
+     * response that arrives slowly over a saturated link would otherwise keep the entry from reading the store for ten
+     * seconds.
      */
-    private synchronized Duration within(String peer) {
+    private synchronized Duration responseTimeout(String peer) {
         return switch (role) {
-            case Role.Agent ignored -> WHOLE_ANSWER;
-            case Role.Entry ignored -> Duration.ofMillis(Math.max(1, told.trustLeft(peer, steadyMillis.getAsLong())));
+            case Role.Agent ignored -> AGENT_RESPONSE_TIMEOUT;
+            case Role.Entry ignored ->
+                Duration.ofMillis(Math.max(1, updates.remainingMillis(peer, monotonicMillis.getAsLong())));
         };
     }
 
     private Result<Read> readStore(Topic topic, long from, Duration wait) {
-        return fromStore(topic, store.read(topic, from, ownHold(topic, wait)));
+        return recordStoreResult(topic, store.read(topic, from, storeHold(topic, wait)));
     }
 
     /**
-     * How long the store may hold a read. The first one after others told is not held: what they knew is old by then, and with a
-     * hold on top of that the age passes the time in which a manifest must be in force.
+     * Returns how long the store may hold a read. The first read after relying on peers is not held: the peers'
+     * knowledge is old by then, and adding a hold would exceed the time within which a manifest must be active.
      */
-    private synchronized Duration ownHold(Topic topic, Duration wait) {
-        return topic == Topic.OPERATOR && !direct ? Duration.ZERO : wait;
+    private synchronized Duration storeHold(Topic topic, Duration wait) {
+        return topic == Topic.OPERATOR && !readsStore ? Duration.ZERO : wait;
     }
 
-    private synchronized <T> Result<T> fromStore(Topic topic, Result<T> answer) {
+    private synchronized <T> Result<T> recordStoreResult(Topic topic, Result<T> result) {
         if (topic == Topic.OPERATOR) {
-            boolean answers = answer instanceof Result.Success<T>;
-            told.storeAnswers(answers);
-            learnedFrom(answers);
+            boolean responded = result instanceof Result.Success<T>;
+            updates.setStoreResponds(responded);
+            setSource(responded);
         }
-        return answer;
+        return result;
     }
 
-    private synchronized Result<Read> byPeer(Topic topic, Result<Read> answer) {
+    private synchronized Result<Read> recordPeerResult(Topic topic, Result<Read> result) {
         if (topic == Topic.OPERATOR) {
-            learnedFrom(false);
+            setSource(false);
         }
-        return answer;
+        return result;
     }
 
-    private void learnedFrom(boolean store) {
-        if (direct != store) {
+    private void setSource(boolean fromStore) {
+        if (readsStore != fromStore) {
             LOG.info(
                     "event=operator_news_from source={} storeAnswers={}",
-                    store ? "store" : "peers",
-                    told.storeAnswers());
+                    fromStore ? "store" : "peers",
+                    updates.storeResponds());
         }
-        direct = store;
+        readsStore = fromStore;
     }
 }
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -44,7 +44,7 @@
         public static List<Agent> besideEndpoints(
                 List<EndpointRegistration> endpoints, int port, Map<String, String> regions) {
             return endpoints.stream()
-                    .filter(endpoint -> !endpoint.leaving())
+                    .filter(endpoint -> !endpoint.draining())
                     .map(endpoint -> new Agent(
                             endpoint.instanceHost() + ":" + port, regions.getOrDefault(endpoint.dataHall(), "")))
                     .distinct()
--- a/src/test/java/org/micabarrow/attempts/AttemptHistoryTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptHistoryTest.java
@@ -8,24 +8,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is known of a request's sendings after each row of events. */
 class AttemptHistoryTest {
 
-    private final AttemptHistory sendings = new AttemptHistory();
+    private final AttemptHistory attempts = new AttemptHistory();
 
-    /** Plays events: an upper-case letter is a sending to that endpoint. */
-    private void play(String events) {
+    /** Applies events; an upper-case letter is an attempt at that endpoint. */
+    private void apply(String events) {
         for (String event : events.split(" ")) {
             switch (event) {
                 case "-" -> {}
-                case "ask" -> sendings.ask();
-                case "withheld" -> sendings.withheld();
-                case "late-at-A" -> sendings.cameLateAt("A");
-                case "not-run" -> sendings.ended(AttemptOutcome.NOT_RUN);
-                case "misdirected" -> sendings.ended(AttemptOutcome.MISDIRECTED);
-                case "unknown" -> sendings.ended(AttemptOutcome.UNKNOWN);
-                case "failed" -> sendings.ended(AttemptOutcome.FAILED);
-                default -> sendings.sent(event);
+                case "query" -> attempts.countAgentQuery();
+                case "not-sent" -> attempts.notSent();
+                case "late-at-A" -> attempts.connectionLate("A");
+                case "not-run" -> attempts.ended(AttemptOutcome.NOT_RUN);
+                case "misdirected" -> attempts.ended(AttemptOutcome.MISDIRECTED);
+                case "unknown" -> attempts.ended(AttemptOutcome.UNKNOWN);
+                case "failed" -> attempts.ended(AttemptOutcome.FAILED);
+                default -> attempts.sent(event);
             }
         }
     }
@@ -36,33 +35,41 @@
 
     @ParameterizedTest
     @CsvSource({
-        // events,                      tried, count, may have run, came late
-        "-,                             -,     0,     false,        false",
-        "A,                             A,     1,     false,        false",
-        "A not-run B,                   A B,   2,     false,        false",
-        "A misdirected,                 A,     1,     false,        false",
-        "A unknown,                     A,     1,     true,         false",
-        "A failed,                      A,     1,     true,         false",
-        "A unknown B not-run,           A B,   2,     true,         false",
-        "A withheld,                    A,     0,     false,        false",
-        "A withheld late-at-A,          -,     0,     false,        true",
-        "A withheld late-at-A A,        A,     1,     false,        true",
-        "A not-run B withheld late-at-A, B,    1,     false,        true"
+        // events,                         tried, count, may have run, connected late
+        "-,                              -,     0,     false,        false",
+        "A,                              A,     1,     false,        false",
+        "A not-run B,                    A B,   2,     false,        false",
+        "A misdirected,                  A,     1,     false,        false",
+        "A unknown,                      A,     1,     true,         false",
+        "A failed,                       A,     1,     true,         false",
+        "A unknown B not-run,            A B,   2,     true,         false",
+        "A not-sent,                     A,     0,     false,        false",
+        "A not-sent late-at-A,           -,     0,     false,        true",
+        "A not-sent late-at-A A,         A,     1,     false,        true",
+        "A not-run B not-sent late-at-A, B,     1,     false,        true"
     })
-    void shouldKnowWhatHasHappened(String events, String tried, int count, boolean mayHaveRun, boolean cameLate) {
-        play(events);
-        assertEquals(set(tried), sendings.tried());
-        assertEquals(count, sendings.count());
-        assertEquals(mayHaveRun, sendings.mayHaveRun());
-        assertEquals(cameLate, sendings.cameLate());
-        assertEquals(new AttemptPolicy.Progress(count, mayHaveRun, 70), sendings.progress(70));
-        assertEquals(new AttemptPolicy.Progress(count, true, 70), sendings.progressIfRun(70));
+    void shouldTrackAttempts(
+            String events, String triedEndpoints, int count, boolean mayHaveRun, boolean connectedLate) {
+        apply(events);
+        assertEquals(set(triedEndpoints), attempts.triedEndpoints());
+        assertEquals(count, attempts.count());
+        assertEquals(mayHaveRun, attempts.mayHaveRun());
+        assertEquals(connectedLate, attempts.connectedLate());
+        assertEquals(new AttemptPolicy.Progress(count, mayHaveRun, 70), attempts.progress(70));
+        assertEquals(new AttemptPolicy.Progress(count, true, 70), attempts.progressIfRun(70));
     }
 
     @ParameterizedTest
-    @CsvSource({"-, true", "ask, true", "ask ask, false", "ask ask A, true", "ask A ask, true", "A ask ask, false"})
-    void shouldAskTwoAgentsInVainBeforeOneSending(String events, boolean mayAsk) {
-        play(events);
-        assertEquals(mayAsk, sendings.ask());
+    @CsvSource({
+        "-, true",
+        "query, true",
+        "query query, false",
+        "query query A, true",
+        "query A query, true",
+        "A query query, false"
+    })
+    void shouldAllowTwoAgentQueriesBeforeOneAttempt(String events, boolean mayQuery) {
+        apply(events);
+        assertEquals(mayQuery, attempts.countAgentQuery());
     }
 }
--- a/src/test/java/org/micabarrow/crashes/SuspectIsolationTest.java
+++ b/src/test/java/org/micabarrow/crashes/SuspectIsolationTest.java
@@ -20,29 +20,29 @@
     private final List<EndpointRegistration> endpoints = IntStream.range(0, 6)
             .mapToObj(i -> EndpointRegistration.of("e" + i, "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1))
             .toList();
-    private final SuspectIsolation placement = new SuspectIsolation();
+    private final SuspectIsolation isolation = new SuspectIsolation();
 
     @Test
-    void shouldLeaveOutEndpointsWithOtherSuspects() {
-        placement.began(endpoints.getFirst().start(), OTHER);
-        assertEquals(endpoints.subList(1, 6), placement.free(endpoints, ONE, ONCE));
-        placement.ended(endpoints.getFirst().start(), OTHER);
-        assertEquals(endpoints, placement.free(endpoints, ONE, ONCE));
+    void shouldSkipEndpointsWithOtherSuspects() {
+        isolation.started(endpoints.getFirst().start(), OTHER);
+        assertEquals(endpoints.subList(1, 6), isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
+        isolation.ended(endpoints.getFirst().start(), OTHER);
+        assertEquals(endpoints, isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
     }
 
     @Test
-    void shouldRunOneAtATimeWhenAtMoreThanOneCrash() {
-        placement.began(endpoints.getFirst().start(), ONE);
-        assertEquals(endpoints, placement.free(endpoints, ONE, ONCE));
-        assertEquals(List.of(), placement.free(endpoints, ONE, TWICE));
-        placement.ended(endpoints.getFirst().start(), ONE);
-        assertEquals(6, placement.free(endpoints, ONE, TWICE).size());
+    void shouldRunOneAttemptAtATimeWhenInvolvedInMoreThanOneCrash() {
+        isolation.started(endpoints.getFirst().start(), ONE);
+        assertEquals(endpoints, isolation.withoutOtherSuspects(endpoints, ONE, ONCE));
+        assertEquals(List.of(), isolation.withoutOtherSuspects(endpoints, ONE, TWICE));
+        isolation.ended(endpoints.getFirst().start(), ONE);
+        assertEquals(6, isolation.withoutOtherSuspects(endpoints, ONE, TWICE).size());
     }
 
     @Test
-    void shouldTryEndpointsInSameOrderEverywhereWhenAtMoreThanOneCrash() {
-        List<EndpointRegistration> order = placement.free(endpoints, ONE, TWICE);
-        assertEquals(order, new SuspectIsolation().free(endpoints.reversed(), ONE, TWICE));
-        assertNotEquals(order, placement.free(endpoints, OTHER, TWICE));
+    void shouldTryEndpointsInSameOrderEverywhereWhenInvolvedInMoreThanOneCrash() {
+        List<EndpointRegistration> order = isolation.withoutOtherSuspects(endpoints, ONE, TWICE);
+        assertEquals(order, new SuspectIsolation().withoutOtherSuspects(endpoints.reversed(), ONE, TWICE));
+        assertNotEquals(order, isolation.withoutOtherSuspects(endpoints, OTHER, TWICE));
     }
 }
--- a/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
+++ b/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
@@ -28,7 +28,7 @@
         address = Ports.freeAddress();
         listener = HttpListener.start(
                 address,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
                 exchange -> exchange.getResponseSender().send(report, StandardCharsets.UTF_8));
--- a/src/test/java/org/micabarrow/platform/KnownMomentTest.java
+++ b/src/test/java/org/micabarrow/platform/KnownMomentTest.java
@@ -41,7 +41,7 @@
     void start() throws Exception {
         caller = HttpClient.start("test", 1);
         String address = Ports.freeAddress();
-        listener = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::answer);
+        listener = HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), this::answer);
         client = new StoreClient(caller, address, Duration.ofSeconds(30), clock::get);
     }
 
@@ -125,7 +125,7 @@
         store.append(OPERATOR, "b", "1");
         store.append(OPERATOR, "c", "1");
         answerMillis = 10;
-        Batch batch = client.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        Batch batch = client.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
         assertEquals(3, batch.records().size());
         assertEquals(OptionalLong.of(SENT), batch.asOfMillis());
     }
--- a/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashDetectorTest.java
@@ -25,11 +25,11 @@
 
     private final List<Consumer<Boolean>> probes = new ArrayList<>();
     private final List<CrashUpdate> published = new ArrayList<>();
-    private final CrashRegistry book = new CrashRegistry(600_000, 100, () -> 8);
+    private final CrashRegistry registry = new CrashRegistry(600_000, 100, () -> 8);
     private long clockMillis = 1_000;
     private int continued;
     private final CrashDetector detector = new CrashDetector(
-            new CrashTracking(book, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
+            new CrashTracking(registry, (endpoint, then) -> probes.add(then), published::add), () -> clockMillis);
 
     private static CrashUpdate crash(Set<RequestDigest> notBegun, Set<RequestDigest> begun) {
         return new CrashUpdate.Crashed(new EndpointCrash("e", notBegun, begun));
@@ -44,7 +44,7 @@
         probes.getFirst().accept(true);
         assertEquals(2, continued);
         assertEquals(List.of(crash(Set.of(ONE), Set.of(OTHER))), published);
-        assertEquals(1, book.known());
+        assertEquals(1, registry.crashCount());
     }
 
     @Test
@@ -53,7 +53,7 @@
         probes.getFirst().accept(false);
         assertEquals(1, continued);
         assertEquals(List.of(), published);
-        assertEquals(0, book.known());
+        assertEquals(0, registry.crashCount());
         detector.connectionBroke(ENDPOINT, ONE, false, () -> continued++);
         assertEquals(2, probes.size(), "the next broken connection is probed again");
     }
@@ -98,7 +98,7 @@
 
     @Test
     void shouldPublishResponseOnlyWhenRequestWasSuspected() {
-        book.crashed(new EndpointCrash("a", Set.of(ONE), Set.of()), 0);
+        registry.crashed(new EndpointCrash("a", Set.of(ONE), Set.of()), 0);
         detector.onResponse(LazyDigest.of(OTHER), true);
         assertEquals(List.of(), published);
         detector.onResponse(LazyDigest.of(ONE), true);
--- a/src/test/java/org/micabarrow/serving/DrainingEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/DrainingEndpointTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Guards against requests to an endpoint that states in its responses that it is draining.
@@ -60,7 +60,7 @@
         String clients = entry.listen().clients().orElseThrow();
         return client.call(HostedSystem.request(clients, path, "attempt-1"), TIMEOUT)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]))
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]))
                 .status();
     }
 
--- a/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
+++ b/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
@@ -8,7 +8,7 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.IgnoringListener;
 
 /**
@@ -37,7 +37,7 @@
         assertEquals(503, sendRequest("/again/x").status());
         for (long elapsed = 100; elapsed < BACKOFF_MILLIS; elapsed += 100) {
             clockMillis.addAndGet(100);
-            HttpAnswer refused = sendRequest("/again/x");
+            HttpResponse refused = sendRequest("/again/x");
             assertEquals(503, refused.status());
             double remaining = (BACKOFF_MILLIS - elapsed) / 1_000.0;
             assertEquals(remaining, Double.parseDouble(refused.headers().get("Retry-After")), 0.001);
@@ -51,7 +51,7 @@
     void shouldSendRetryDelayWhenOnlyEndpointBacksOff() throws IOException {
         serveWithoutVersions();
         platform.next(Behaviour.REFUSE_AND_REST);
-        HttpAnswer refused = sendRequest("/once/x");
+        HttpResponse refused = sendRequest("/once/x");
         assertEquals(503, refused.status());
         assertEquals("3.000", refused.headers().get("Retry-After"));
     }
@@ -84,7 +84,8 @@
         sendRequest("/again/x");
         clockMillis.addAndGet(BACKOFF_MILLIS);
         platform.next(Behaviour.HANG);
-        Runnable cancel = client.send(HostedSystem.request(clientAddress(), "/again/x", "attempt-2"), new IgnoringListener());
+        Runnable cancel =
+                client.send(HostedSystem.request(clientAddress(), "/again/x", "attempt-2"), new IgnoringListener());
         Await.until("the first request", () -> platform.endpoint("plain-1").hanging() == 1);
         assertEquals(503, sendRequest("/again/x").status(), "no other request before the endpoint has responded");
         cancel.run();
--- a/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
+++ b/src/test/java/org/micabarrow/serving/EntryWaitQueueTest.java
@@ -24,7 +24,7 @@
         }
 
         @Override
-        public void tooLate() {
+        public void expired() {
             timedOut.complete(null);
         }
     }
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -39,7 +39,7 @@
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Tests an entry end to end on the users' platform, against stand-ins over real sockets. */
 class HostedEntryTest {
@@ -97,7 +97,7 @@
         platform.add("plain-2", "plain", 0);
         startEntry(2);
         platform.next(first);
-        HttpAnswer response = sendRequest(path, Map.of());
+        HttpResponse response = sendRequest(path, Map.of());
         assertEquals(status, response.status(), () -> "received: " + received());
         assertEquals(attempts, received().size());
     }
@@ -108,8 +108,8 @@
         platform.add("plain-2", "plain", 0);
         startEntry(2);
         platform.next(Behaviour.MISDIRECT);
-        HttpAnswer first = sendRequest("/once/x", Map.of());
-        HttpAnswer second = sendRequest("/once/x", Map.of());
+        HttpResponse first = sendRequest("/once/x", Map.of());
+        HttpResponse second = sendRequest("/once/x", Map.of());
         assertEquals(200, first.status());
         assertEquals(
                 first.headers().get("Instance-Id"),
@@ -159,7 +159,7 @@
         platform.add("model-2", "models", 1);
         startEntry(2);
         platform.next(Behaviour.CUT);
-        HttpAnswer response = sendRequest("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
+        HttpResponse response = sendRequest("/stream/x", Map.of("Model", "model-a", "Token-Count", "100,20"));
         String body = new String(response.body(), StandardCharsets.UTF_8);
         assertEquals(
                 List.of("id: 1", "id: 2", "id: 3"),
@@ -189,7 +189,7 @@
             startEntry(1);
             replyWithLoad(agent);
             Map<String, String> headers = Map.of("Model", "model-a", "Token-Count", "100,20", "Deadline-Ms", "9000");
-            CompletableFuture<HttpAnswer> response =
+            CompletableFuture<HttpResponse> response =
                     CompletableFuture.supplyAsync(() -> sendRequest("/stream/x", headers));
             waitUntil(() -> platform.endpoint("model-1").hanging() == 1);
             platform.add("model-2", "models", 1);
@@ -375,7 +375,7 @@
         platform.enter("plain-1", "plain", 0, "draining");
         waitUntil(() -> sendRequest("/once/x", Map.of()).status() == 503);
         int before = received().size();
-        HttpAnswer refused = sendRequest("/once/x", Map.of());
+        HttpResponse refused = sendRequest("/once/x", Map.of());
         assertEquals(503, refused.status());
         assertTrue(Optional.ofNullable(refused.headers().get("Retry-After")).isPresent());
         assertEquals(before, received().size());
@@ -441,14 +441,14 @@
         return new HttpCall(Step.READ, "POST", uri, Optional.of(path), headers, body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer sendRequest(String path, Map<String, String> more) {
+    private HttpResponse sendRequest(String path, Map<String, String> more) {
         return sendRequest(path, more, "a body");
     }
 
-    private HttpAnswer sendRequest(String path, Map<String, String> more, String body) {
+    private HttpResponse sendRequest(String path, Map<String, String> more, String body) {
         return caller.call(call(path, more, body), TIMEOUT)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
     }
 
     private static void waitUntil(BooleanSupplier condition) {
--- a/src/test/java/org/micabarrow/serving/InvalidHeaderValuesTest.java
+++ b/src/test/java/org/micabarrow/serving/InvalidHeaderValuesTest.java
@@ -16,7 +16,7 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Guards against clients that send impossible numbers in headers: they get a response, and other clients are served as
@@ -51,7 +51,7 @@
         for (Map.Entry<String, String> header : headers.entrySet()) {
             call = call.withHeader(header.getKey(), header.getValue());
         }
-        return caller.call(call, TIMEOUT).toOptional().map(HttpAnswer::status).orElse(0);
+        return caller.call(call, TIMEOUT).toOptional().map(HttpResponse::status).orElse(0);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -28,7 +28,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
@@ -63,14 +63,14 @@
     void start() throws IOException {
         worker = HttpClient.worker("traffic", 1);
         caller = HttpClient.start("test", 1);
-        listener = HttpListener.on(
+        listener = HttpListener.startOnWorker(
                 clients,
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 worker,
                 ServingHandler.of(new ServingHandler.Dependencies(
                         views::view,
                         new EndpointSelector("region-a", Map.of()),
-                        HttpClient.on(worker, 0),
+                        HttpClient.onWorker(worker, 0),
                         new EndpointHeaders(),
                         new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                         new RetryBudget(0, 0),
@@ -99,7 +99,7 @@
         return new StoredRecord("config", offset, json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private HttpAnswer sendRequest(String path, String key, Optional<String> id, String body) {
+    private HttpResponse sendRequest(String path, String key, Optional<String> id, String body) {
         Map<String, String> headers = new HashMap<>(Map.of("Host", "h.example", "Key", key, "Deadline-Ms", "3000"));
         id.ifPresent(value -> headers.put("Attempt-Id", value));
         HttpCall call = new HttpCall(
@@ -112,11 +112,11 @@
         return caller.call(call, TIMEOUT).toOptional().orElseThrow();
     }
 
-    private HttpAnswer sendRequest(String path, String key) {
+    private HttpResponse sendRequest(String path, String key) {
         return sendRequest(path, key, Optional.of("id-1"), "a body");
     }
 
-    private HttpAnswer sendLargeBody() {
+    private HttpResponse sendLargeBody() {
         return sendRequest("/once/x", "key-a", Optional.of("id-1"), "a body of 20 bytes..");
     }
 
@@ -128,7 +128,7 @@
     }
 
     private void assertToldToRetry() {
-        for (HttpAnswer response :
+        for (HttpResponse response :
                 List.of(sendRequest("/once/x", "key-b"), sendRequest("/new/x", "key-a"), sendLargeBody())) {
             assertEquals(UNAVAILABLE, response.status());
             assertEquals("0.300", response.headers().get("Retry-After"));
@@ -219,7 +219,7 @@
     /** There is no endpoint here; the response shows that the request was accepted. */
     @Test
     void shouldAcceptAllowedRequestAtAnyAge() {
-        HttpAnswer response = sendRequest("/once/x", "key-a");
+        HttpResponse response = sendRequest("/once/x", "key-a");
         assertEquals(UNAVAILABLE, response.status());
         assertEquals("no endpoint can serve\n", new String(response.body(), StandardCharsets.UTF_8));
     }
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.serving.ServingHandler.AgentQueries;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Checks which requests are sent to an endpoint that still holds an older weight version than the named one. */
 class OlderVersionTest extends ServingFixture {
@@ -54,7 +54,7 @@
                 new VersionTimes(queryAfterMillis, NEVER_MILLIS, cancelAfterMillis));
     }
 
-    private HttpAnswer sendRequest() {
+    private HttpResponse sendRequest() {
         return sendRequest("/stream/x");
     }
 
@@ -68,7 +68,7 @@
     @Test
     void shouldQueryNoAgentWhenNamingIsTooRecent() throws IOException {
         serve(1, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         agentRepliesInTime.set(false);
         assertEquals(200, sendRequest().status());
         assertEquals(0, queries.get());
@@ -77,7 +77,7 @@
     @Test
     void shouldSendWhenAgentReplies() throws IOException {
         serve(0, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         assertEquals(200, sendRequest().status());
         assertEquals(1, queries.get());
     }
@@ -85,9 +85,9 @@
     @Test
     void shouldSendNothingWhenAgentDoesNotReply() throws IOException {
         serve(0, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         agentRepliesInTime.set(false);
-        HttpAnswer refused = sendRequest();
+        HttpResponse refused = sendRequest();
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, platform.endpoint("model-1").received().size());
@@ -97,9 +97,9 @@
     void shouldSwitchEndpointWhenRequestHasNotBegunInTime() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT.toMillis());
         serve(0, 400);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         platform.next(Behaviour.HANG);
-        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(this::sendRequest);
+        CompletableFuture<HttpResponse> response = CompletableFuture.supplyAsync(this::sendRequest);
         Await.until("the request", () -> platform.endpoint("model-1").hanging() == 1);
         platform.add("model-2", "models", 2);
         assertEquals(200, response.join().status());
@@ -115,11 +115,11 @@
         serve(0, NEVER_MILLIS);
         Await.until("both", () -> views.view().endpoints().size() == 2);
         reportIdle("model-2", 2);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         // The endpoint with the newest version refuses, and the query about the other endpoint gets no reply.
         queryCompletes.set(false);
         for (int i = 0; i < FEW_REQUESTS; i++) {
-            choice.load("model-1").began(0);
+            selector.load("model-1").requestSent(0);
         }
         platform.next(Behaviour.REFUSE);
         assertEquals(503, sendRequest().status());
--- a/src/test/java/org/micabarrow/serving/OverdueResponseTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueResponseTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Checks when a request is retried elsewhere if its endpoint never responds although its agent reports no problem. */
 class OverdueResponseTest extends ServingFixture {
@@ -63,8 +63,8 @@
     }
 
     /** Sends a request, waits until the unresponsive endpoint has received it, and then lists another endpoint. */
-    private CompletableFuture<HttpAnswer> sendToUnresponsive(String path) {
-        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> sendRequest(path));
+    private CompletableFuture<HttpResponse> sendToUnresponsive(String path) {
+        CompletableFuture<HttpResponse> response = CompletableFuture.supplyAsync(() -> sendRequest(path));
         Await.until("the request", () -> unresponsive.pendingRequests() == 1);
         platform.add("model-2", "models", 1);
         Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
@@ -76,20 +76,20 @@
         clockMillis.addAndGet(millis);
         checkRequests(() -> {
             reportIdle("model-1", 1);
-            choice.load("model-2").told(new LoadReport(requestsAtOther, 0, false, 1), 0, clockMillis.get());
+            selector.load("model-2").reported(new LoadReport(requestsAtOther, 0, false, 1), 0, clockMillis.get());
         });
     }
 
     @Test
     void shouldSwitchEndpointWhenFirstPartIsOverdue() throws Exception {
-        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        CompletableFuture<HttpResponse> response = sendToUnresponsive("/stream/x");
         advance(OVERDUE_MILLIS, 0);
         assertEquals(OK, response.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS).status());
     }
 
     @Test
     void shouldWaitWhenResponseIsOnlyLate() throws Exception {
-        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        CompletableFuture<HttpResponse> response = sendToUnresponsive("/stream/x");
         advance(LATE_MILLIS, 0);
         assertFalse(response.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
@@ -97,7 +97,7 @@
 
     @Test
     void shouldWaitWhenOtherEndpointsHaveNoFreeSlot() throws Exception {
-        CompletableFuture<HttpAnswer> response = sendToUnresponsive("/stream/x");
+        CompletableFuture<HttpResponse> response = sendToUnresponsive("/stream/x");
         advance(OVERDUE_MILLIS, 14);
         assertFalse(response.isDone());
         assertEquals(0, platform.endpoint("model-2").received().size());
@@ -114,11 +114,11 @@
             HttpCall call = HostedSystem.request(clientAddress(), "/stream/x", "attempt-1")
                     .withHeader("Model", MODEL)
                     .withHeader("Token-Count", "100,20");
-            CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(
+            CompletableFuture<HttpResponse> response = CompletableFuture.supplyAsync(
                     () -> client.call(call, TIMEOUT).toOptional().orElseThrow());
             try (Socket stalled = server.accept()) {
                 stalled.getOutputStream().write(FIRST_EVENT.getBytes(StandardCharsets.US_ASCII));
-                Await.until("the first event", () -> choice.load("model-1").ownPromptTokens() == 0);
+                Await.until("the first event", () -> selector.load("model-1").ownPendingPromptTokens() == 0);
                 platform.add("model-2", "models", 1);
                 Await.until("the other endpoint", () -> views.view().endpoints().containsKey("model-2"));
                 advance(LATE_MILLIS, 0);
--- a/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedEndpointTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.IgnoringListener;
 
 /**
@@ -81,8 +81,8 @@
     // -- steps
 
     /** Sends a request, and waits until the paused instance has received it. */
-    private CompletableFuture<HttpAnswer> sendToPaused() {
-        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> sendRequest("/stream/x"));
+    private CompletableFuture<HttpResponse> sendToPaused() {
+        CompletableFuture<HttpResponse> response = CompletableFuture.supplyAsync(() -> sendRequest("/stream/x"));
         Await.until("the request", () -> paused.pendingRequests() == 1);
         return response;
     }
@@ -103,8 +103,8 @@
     void shouldCancelWaitingRequestWhenClientDisconnects() throws Exception {
         serve(NEVER_MILLIS);
         try (HttpClient disconnecting = HttpClient.start("disconnecting", 1)) {
-            Runnable cancel =
-                    disconnecting.send(HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new IgnoringListener());
+            Runnable cancel = disconnecting.send(
+                    HostedSystem.request(clientAddress(), "/stream/x", "attempt-1"), new IgnoringListener());
             Await.until("the request", () -> paused.pendingRequests() == 1);
             cancel.run();
             Await.until("the end of the request", () -> handler.connections().inFlightCount() == 0);
@@ -115,8 +115,8 @@
     @Test
     void shouldCancelWaitingRequestWhenVersionIsNamedAfterSending() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
-        views.want(MODEL, 2);
+        CompletableFuture<HttpResponse> response = sendToPaused();
+        views.addPeerTarget(MODEL, 2);
         passWithoutReports(UNRESPONSIVE_MILLIS);
         assertEquals(BAD_GATEWAY, response.join().status());
         assertEquals(List.of(), paused.resume());
@@ -125,11 +125,11 @@
     @Test
     void shouldCancelWaitingRequestWhenEndpointDrains() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        CompletableFuture<HttpResponse> response = sendToPaused();
         platform.enter("model-1", "models", 1, "draining");
         Await.until(
                 "its draining state",
-                () -> views.view().endpoints().get("model-1").leaving());
+                () -> views.view().endpoints().get("model-1").draining());
         passWithoutReports(UNRESPONSIVE_MILLIS);
         assertEquals(BAD_GATEWAY, response.join().status());
         assertEquals(List.of(), paused.resume());
@@ -138,10 +138,10 @@
     @Test
     void shouldCancelWaitingRequestWhenEndpointIsNoLongerListed() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        CompletableFuture<HttpResponse> response = sendToPaused();
         platform.store().append("keyed.servers", "model-1", "");
         Await.until("the removal of its record", () -> views.view().endpoints().isEmpty());
-        choice.keepOnly(views.view().endpoints().values());
+        selector.retainOnly(views.view().endpoints().values());
         passWithoutReports(UNRESPONSIVE_MILLIS);
         assertEquals(BAD_GATEWAY, response.join().status());
         assertEquals(List.of(), paused.resume());
@@ -150,7 +150,7 @@
     @Test
     void shouldCancelWaitingRequestWhenEndpointRestarts() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        CompletableFuture<HttpResponse> response = sendToPaused();
         platform.startedAt("model-1", 1_764_718_674_123L);
         platform.enter("model-1", "models", 1, "ready");
         Await.until(
@@ -164,7 +164,7 @@
     @Test
     void shouldCancelWaitingRequestWhenObjectiveHasPassed() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        CompletableFuture<HttpResponse> response = sendToPaused();
         passWithoutReports(LATE_MILLIS);
         assertEquals(BAD_GATEWAY, response.join().status());
         assertEquals(List.of(), paused.resume());
@@ -173,10 +173,10 @@
     @Test
     void shouldKeepWaitingRequestWhenAgentResponds() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
-        views.want(MODEL, 2);
+        CompletableFuture<HttpResponse> response = sendToPaused();
+        views.addPeerTarget(MODEL, 2);
         clockMillis.addAndGet(UNRESPONSIVE_MILLIS);
-        choice.load("model-1").told(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
+        selector.load("model-1").reported(new LoadReport(1, 0, false, 1), 0, clockMillis.get());
         checkRequests();
         assertEquals(1, paused.resume().size());
         response.cancel(true);
@@ -185,8 +185,8 @@
     @Test
     void shouldCancelRequestNotBegunInTimeWhenVersionIsNamedAfterSending() throws Exception {
         serve(CANCEL_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
-        views.want(MODEL, 2);
+        CompletableFuture<HttpResponse> response = sendToPaused();
+        views.addPeerTarget(MODEL, 2);
         // The agent keeps reporting, so only the deadline can trigger the cancellation.
         checkRequests();
         assertEquals(BAD_GATEWAY, response.join().status());
@@ -196,7 +196,7 @@
     @Test
     void shouldKeepWaitingRequestWhenItMayStillBegin() throws Exception {
         serve(NEVER_MILLIS);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        CompletableFuture<HttpResponse> response = sendToPaused();
         passWithoutReports(UNRESPONSIVE_MILLIS);
         assertEquals(1, paused.resume().size());
         response.cancel(true);
@@ -205,14 +205,14 @@
     @Test
     void shouldCancelWaitingRequestWhenSecondVersionIsNamedAfterFirstWasLoaded() throws Exception {
         serve(CANCEL_MILLIS);
-        views.want(MODEL, 2);
-        CompletableFuture<HttpAnswer> response = sendToPaused();
+        views.addPeerTarget(MODEL, 2);
+        CompletableFuture<HttpResponse> response = sendToPaused();
         // The deadline of the first version passes while the endpoint already holds it; then another version is named.
-        choice.load("model-1").told(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
+        selector.load("model-1").reported(new LoadReport(1, 0, false, 2), 0, clockMillis.get());
         CompletableFuture<Void> elapsed = new CompletableFuture<>();
         worker.getIoThread().executeAfter(() -> elapsed.complete(null), 2 * CANCEL_MILLIS, TimeUnit.MILLISECONDS);
         elapsed.get(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
-        views.want(MODEL, 3);
+        views.addPeerTarget(MODEL, 3);
         checkRequests();
         assertEquals(BAD_GATEWAY, response.join().status());
         assertEquals(List.of(), paused.resume());
--- a/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/PausedInstanceTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Guards against an entry that acts on outdated information after its instance was suspended for seconds.
@@ -45,8 +45,8 @@
         serve(new EndpointHeaders(), new RetryBudget(0, 0), (endpoint, then) -> then.accept(true), times);
     }
 
-    private CompletableFuture<HttpAnswer> sendHangingRequest() {
-        CompletableFuture<HttpAnswer> response = CompletableFuture.supplyAsync(() -> client.call(
+    private CompletableFuture<HttpResponse> sendHangingRequest() {
+        CompletableFuture<HttpResponse> response = CompletableFuture.supplyAsync(() -> client.call(
                         HostedSystem.request(clientAddress(), "/stream/x", "attempt-1")
                                 .withHeader("Deadline-Ms", String.valueOf(LONG_TIMEOUT_MILLIS)),
                         TIMEOUT)
@@ -66,7 +66,7 @@
     @Test
     void shouldRespondImmediatelyWhenDeadlinePassedDuringPause() throws Exception {
         serve();
-        CompletableFuture<HttpAnswer> response = sendHangingRequest();
+        CompletableFuture<HttpResponse> response = sendHangingRequest();
         resumeAfter(LONG_TIMEOUT_MILLIS + 1);
         assertEquals(504, response.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).status());
         Await.until(
@@ -77,8 +77,8 @@
     @Test
     void shouldCancelImmediatelyWhenOlderVersionMayNoLongerBegin() throws Exception {
         serve();
-        views.want(MODEL, 2);
-        CompletableFuture<HttpAnswer> response = sendHangingRequest();
+        views.addPeerTarget(MODEL, 2);
+        CompletableFuture<HttpResponse> response = sendHangingRequest();
         resumeAfter(CANCEL_MILLIS + 1);
         Await.until(
                 "the cancellation at the endpoint",
--- a/src/test/java/org/micabarrow/serving/PoisonRequestTest.java
+++ b/src/test/java/org/micabarrow/serving/PoisonRequestTest.java
@@ -23,7 +23,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Guards against a poison request that crashes every endpoint that begins to run it.
@@ -76,11 +76,11 @@
     }
 
     /** Sends a request as a retrying client does: the same request under a new id. */
-    private HttpAnswer sendRequest(HostedSettings entry, String path, String body) {
+    private HttpResponse sendRequest(HostedSettings entry, String path, String body) {
         attempts++;
         String clients = entry.listen().clients().orElseThrow();
         HttpCall call = HostedSystem.request(clients, path, "try-" + attempts, body);
-        return client.call(call, TIMEOUT).toOptional().orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+        return client.call(call, TIMEOUT).toOptional().orElse(new HttpResponse(0, Map.of(), new byte[0]));
     }
 
     private void sendInTurn(List<HostedSettings> entries, String path) {
--- a/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
+++ b/src/test/java/org/micabarrow/serving/PreSendCheckTest.java
@@ -26,7 +26,7 @@
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Checks which requests an entry sends after a pause between its routing decision and the first byte of the request.
@@ -140,7 +140,7 @@
         Await.until("the endpoints", () -> views.view().endpoints().size() == 3);
         afterDecision.set(() -> {
             clockMillis.addAndGet(PAUSE_MILLIS);
-            fill(choice.load("plain-1").idle() ? "plain-2" : "plain-1");
+            fill(selector.load("plain-1").idle() ? "plain-2" : "plain-1");
         });
         // The retry budget is empty, and a request that may not be repeated continues as well, since none of its bytes
         // has been sent.
@@ -148,7 +148,7 @@
         List<String> filled =
                 Stream.of("plain-1", "plain-2").filter(id -> received(id) == 0).toList();
         assertEquals(1, filled.size());
-        assertFalse(choice.load(filled.getFirst()).idle(), "the endpoint that was chosen first");
+        assertFalse(selector.load(filled.getFirst()).idle(), "the endpoint that was chosen first");
     }
 
     @Test
@@ -164,14 +164,14 @@
     /** Starts more requests at an endpoint than it has slots. */
     private void fill(String endpoint) {
         for (int i = 0; i < MANY_REQUESTS; i++) {
-            choice.load(endpoint).began(0);
+            selector.load(endpoint).requestSent(0);
         }
     }
 
     @Test
     void shouldSendNothingWhenOlderVersionMayNoLongerServe() throws IOException {
         serve(PAUSE_MILLIS / 2, NEVER_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         pauseAfterDecision(PAUSE_MILLIS);
         assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
@@ -180,7 +180,7 @@
     @Test
     void shouldSendNothingWhenOlderVersionMayNoLongerBegin() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         pauseAfterDecision(SHORT_MILLIS);
         assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
@@ -189,7 +189,7 @@
     @Test
     void shouldSwitchEndpointWhenOlderVersionMayNoLongerBegin() throws IOException {
         serve(NEVER_MILLIS, SHORT_MILLIS);
-        views.want(MODEL, 2);
+        views.addPeerTarget(MODEL, 2);
         afterDecision.set(() -> {
             clockMillis.addAndGet(SHORT_MILLIS);
             platform.add("model-2", "models", 2);
@@ -207,7 +207,7 @@
             platform.enter("model-1", "models", 1, "draining");
             Await.until(
                     "its draining state",
-                    () -> views.view().endpoints().get("model-1").leaving());
+                    () -> views.view().endpoints().get("model-1").draining());
         });
         assertEquals(503, sendRequest("/stream/x").status());
         assertEquals(0, received("model-1"));
@@ -229,7 +229,7 @@
     void shouldSendNothingWhenDeadlineHasPassed() throws IOException {
         serve(NEVER_MILLIS, NEVER_MILLIS);
         pauseAfterDecision(CLIENT_MILLIS);
-        HttpAnswer refused = sendRequest("/stream/x");
+        HttpResponse refused = sendRequest("/stream/x");
         assertEquals(503, refused.status());
         assertTrue(refused.headers().containsKey("Retry-After"));
         assertEquals(0, received("model-1"));
--- a/src/test/java/org/micabarrow/serving/RawResponsesTest.java
+++ b/src/test/java/org/micabarrow/serving/RawResponsesTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Checks how an entry handles the bytes of endpoint responses, including malformed ones. */
 class RawResponsesTest {
@@ -111,11 +111,11 @@
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         Await.until("a manifest and the endpoint", () -> entry.takesRequests() && entry.endpoints() == 1);
         respondOnce(bytes(form), reset);
-        HttpAnswer response = caller.call(
+        HttpResponse response = caller.call(
                         HostedSystem.request(settings.listen().clients().orElseThrow(), "/once/x", "attempt-1"),
                         Duration.ofSeconds(5))
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
         assertEquals(status, response.status());
         if (status == 200) {
             assertEquals("whole", new String(response.body(), StandardCharsets.US_ASCII));
--- a/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
@@ -17,7 +17,7 @@
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** Tests how an entry and an agent handle a model endpoint that restarts under the same id, over real sockets. */
 class RestartedEndpointTest {
@@ -57,7 +57,7 @@
         String clients = settings.listen().clients().orElseThrow();
         return caller.call(HostedSystem.request(clients, "/stream/x", "attempt-1"), TIMEOUT)
                 .toOptional()
-                .map(HttpAnswer::status)
+                .map(HttpResponse::status)
                 .orElse(0);
     }
 
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -20,7 +20,7 @@
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
@@ -36,7 +36,7 @@
     static final long NEVER_MILLIS = 1_000_000;
 
     final AtomicLong clockMillis = new AtomicLong(1_000_000);
-    final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+    final EndpointSelector selector = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
     final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clockMillis::get);
 
     HostedSystem platform;
@@ -62,7 +62,7 @@
 
     /** Reports to the entry that an endpoint is idle and holds the given weight version. */
     final void reportIdle(String endpoint, long version) {
-        choice.load(endpoint).told(new LoadReport(0, 0, false, version), 0, clockMillis.get());
+        selector.load(endpoint).reported(new LoadReport(0, 0, false, version), 0, clockMillis.get());
     }
 
     /** Starts the handler, and waits until a manifest and an endpoint are known. */
@@ -74,8 +74,8 @@
             throws IOException {
         handler = ServingHandler.of(new ServingHandler.Dependencies(
                 views::view,
-                choice,
-                HttpClient.on(worker, 0),
+                selector,
+                HttpClient.onWorker(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 budget,
@@ -85,7 +85,7 @@
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
                 CrashTracking.disabled()));
-        HttpListener.on(clientAddress(), HttpListener.Bounds.usual(), worker, handler);
+        HttpListener.startOnWorker(clientAddress(), HttpListener.Limits.defaults(), worker, handler);
         TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
     }
 
@@ -123,9 +123,9 @@
     }
 
     /** Sends a request and waits for the response; status 0 if there is none. */
-    final HttpAnswer sendRequest(String path) {
+    final HttpResponse sendRequest(String path) {
         return client.call(HostedSystem.request(clientAddress(), path, "attempt-1"), TIMEOUT)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]));
     }
 }
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -238,7 +238,7 @@
         ServingHandler handler = ServingHandler.of(new ServingHandler.Dependencies(
                 views::view,
                 new EndpointSelector("region-a", Map.of("hall-a", "region-a")),
-                HttpClient.on(worker, 0),
+                HttpClient.onWorker(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 new RetryBudget(0, 0),
@@ -250,7 +250,7 @@
                 CrashTracking.disabled()));
         protocol.onFirstResponse.set(handler.connections()::startDraining);
         String clients = settings.listen().clients().orElseThrow();
-        HttpListener.on(clients, HttpListener.Bounds.usual(), worker, handler);
+        HttpListener.startOnWorker(clients, HttpListener.Limits.defaults(), worker, handler);
         TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
         try (Socket connection = connect()) {
             send(connection, requests);
--- a/src/test/java/org/micabarrow/serving/TopicFollowers.java
+++ b/src/test/java/org/micabarrow/serving/TopicFollowers.java
@@ -17,9 +17,9 @@
     /** Follows both topics, and waits until a manifest and an endpoint are known. */
     static void startAndAwaitView(HttpClient caller, HostedSettings settings, Duration timeout, ViewMaintainer views) {
         StoreClient store = new StoreClient(caller, settings.store(), timeout);
-        StoreFollower.Pace pace = new StoreFollower.Pace(Duration.ofMillis(200), Duration.ZERO);
-        new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, pace).start();
-        new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, pace).start();
+        StoreFollower.PollTiming timing = new StoreFollower.PollTiming(Duration.ofMillis(200), Duration.ZERO);
+        new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, timing).start();
+        new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, timing).start();
         Await.until(
                 "the view",
                 () -> views.view().manifest().isPresent()
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -54,7 +54,7 @@
     void shouldNotSayThatTokenIsUnknownWhenNoConfigurationIsKnown() throws Exception {
         String address = Ports.freeAddress();
         try (HttpListener listener =
-                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callers());
+                        HttpListener.start(address, HttpListener.Limits.defaults(), 1, Optional.empty(), callers());
                 HttpClient caller = HttpClient.start("test", 1)) {
             HttpCall call = new HttpCall(
                     Step.READ,
