--- a/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
+++ b/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
@@ -20,33 +20,34 @@
 import org.micabarrow.views.TopicReader.Read;
 
 /**
- * A fleet of 18 entries and 120 agents made 200 calls of the store a second, most of them agents' reads that found nothing. What
- * agents are told must neither cost them news nor keep them from the store when nobody tells.
+ * Tests when topics are read from peers and when from the store. Before agents received updates, 18 entries and 120
+ * agents sent 200 requests a second to the store, most of them reads by agents that found nothing. Relying on updates
+ * must neither make agents miss records nor keep them from reading the store when no updates arrive.
  */
 @Timeout(30)
 class PeerFirstReaderTest {
 
     private static final Duration HOLD = Duration.ofMillis(50);
     private static final String PEER = "10.0.0.1:8000";
-    private static final String OTHER = "10.0.0.2:8000";
+    private static final String OTHER_PEER = "10.0.0.2:8000";
     private static final StoredRecord RECORD = new StoredRecord("config", 7, "{}".getBytes(StandardCharsets.UTF_8));
 
     private final AtomicLong now = new AtomicLong(1_000);
-    private final List<String> asked = new ArrayList<>();
-    private Result<Batch> told = Result.success(new Batch(List.of(RECORD), 8));
+    private final List<String> requests = new ArrayList<>();
+    private Result<Batch> peerResponse = Result.success(new Batch(List.of(RECORD), 8));
 
     private boolean storeDown;
 
     private final TopicReader store = new TopicReader() {
         @Override
-        public Result<Batch> newest(Topic topic) {
-            asked.add("newest");
+        public Result<Batch> readLatest(Topic topic) {
+            requests.add("newest");
             return Result.success(new Batch(List.of(), 7));
         }
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
-            asked.add("store");
+            requests.add("store");
             if (storeDown) {
                 return Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.TIMEOUT, "no answer"));
             }
@@ -56,9 +57,9 @@
 
     private final PeerFirstReader reader = new PeerFirstReader(
             store,
-            (peer, topic, from, within) -> {
-                asked.add(peer);
-                return told;
+            (peer, topic, from, timeout) -> {
+                requests.add(peer);
+                return peerResponse;
             },
             new PeerFirstReader.Role.Agent(),
             now::get);
@@ -73,203 +74,216 @@
     }
 
     @Test
-    void shouldReadStoreWhenNobodyTells() {
+    void shouldReadStoreWhenNoUpdatesArrive() {
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldAskNobodyWhenThereIsNoNews() {
-        reader.told(PEER, new ChangeOffsets(7, 90), now.get());
+    void shouldSendNoRequestWhenNothingIsNewer() {
+        reader.onUpdate(PEER, new ChangeOffsets(7, 90), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void shouldAskPeerThatKnowsMost() {
-        reader.told(OTHER, new ChangeOffsets(8, 0), now.get());
-        reader.told(PEER, new ChangeOffsets(9, 0), now.get());
+    void shouldReadFromPeerWithNewestRecords() {
+        reader.onUpdate(OTHER_PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0), now.get());
         assertEquals(new Batch(List.of(RECORD), 8), read(7));
-        assertEquals(List.of(PEER), asked);
+        assertEquals(List.of(PEER), requests);
     }
 
     @Test
-    void shouldReadStoreWhenPeersFellSilent() {
-        reader.told(PEER, new ChangeOffsets(7, 0), now.get());
+    void shouldReadStoreWhenUpdatesHaveExpired() {
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         now.addAndGet(1_000);
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldReadStoreWhenPeerDoesNotAnswer() {
-        told = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
-        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
+    void shouldReadStoreWhenPeerDoesNotRespond() {
+        peerResponse = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
-    /** It has not read all that came before, and says that the asker is to read on from where it is. */
+    /** The peer has not read all earlier records and returns the requested offset as the offset to continue from. */
     @Test
-    void shouldReadStoreWhenPeerKnowsOnlyPart() {
-        told = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
+    void shouldReadStoreWhenPeerLacksEarlierRecords() {
+        peerResponse = Result.success(new Batch(List.of(), 7));
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
     @Test
-    void shouldNotAskPeerAgainWhenItDidNotGiveWhatItTold() {
-        told = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
-        reader.told(OTHER, new ChangeOffsets(7, 0), now.get());
+    void shouldNotRequestAgainWhenPeerDidNotReturnAnnouncedRecords() {
+        peerResponse = Result.success(new Batch(List.of(), 7));
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(OTHER_PEER, new ChangeOffsets(7, 0), now.get());
         read(7);
         read(7);
-        assertEquals(List.of(PEER, "store"), asked);
+        assertEquals(List.of(PEER, "store"), requests);
     }
 
-    /** The last a peer told counts, also if it is less: a peer that started again knows less at first. */
+    /**
+     * The last update of a peer is the one that counts, even if its offsets are lower: a restarted peer knows less at
+     * first.
+     */
     @Test
-    void shouldGoByWhatPeerToldLast() {
-        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
-        reader.told(PEER, new ChangeOffsets(0, 0), now.get());
+    void shouldUseLastUpdateOfPeer() {
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(0, 0), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
     @Test
-    void shouldTellTopicsApart() {
-        told = Result.success(new Batch(List.of(), 90));
-        reader.told(PEER, new ChangeOffsets(7, 90), now.get());
+    void shouldTrackTopicsSeparately() {
+        peerResponse = Result.success(new Batch(List.of(), 90));
+        reader.onUpdate(PEER, new ChangeOffsets(7, 90), now.get());
         reader.read(Topic.ENDPOINTS, 80, Duration.ZERO);
-        assertEquals(List.of(PEER), asked);
+        assertEquals(List.of(PEER), requests);
     }
 
     @Test
-    void shouldReadStoreAtStartAndForVersionsThatAreKept() {
-        reader.told(PEER, new ChangeOffsets(8, 8), now.get());
-        reader.newest(Topic.OPERATOR);
-        reader.newest(Topic.NAMED);
-        assertEquals(List.of("newest", "newest"), asked);
+    void shouldReadLatestRecordsFromStore() {
+        reader.onUpdate(PEER, new ChangeOffsets(8, 8), now.get());
+        reader.readLatest(Topic.OPERATOR);
+        reader.readLatest(Topic.NAMED);
+        assertEquals(List.of("newest", "newest"), requests);
     }
 
     @Test
-    void shouldReadAtOnceWhenNewsIsToldWhileItWaits() throws Exception {
-        reader.told(PEER, new ChangeOffsets(7, 0), now.get());
+    void shouldReadAtOnceWhenUpdateArrivesDuringWait() throws Exception {
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         CompletableFuture<Read> waiting = CompletableFuture.supplyAsync(() ->
                 reader.read(Topic.OPERATOR, 7, Duration.ofDays(1)).toOptional().orElseThrow());
-        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.onUpdate(PEER, new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), waiting.get(20, TimeUnit.SECONDS));
     }
 
     @Test
-    void shouldEndWaitWhenItsTimeIsOver() {
-        PeerFirstReader onRealTime = new PeerFirstReader(
+    void shouldEndWaitWhenItTimesOut() {
+        PeerFirstReader realTimeReader = new PeerFirstReader(
                 store,
-                (peer, topic, from, within) -> told,
+                (peer, topic, from, timeout) -> peerResponse,
                 new PeerFirstReader.Role.Agent(),
                 () -> System.nanoTime() / 1_000_000);
-        onRealTime.told(PEER, new ChangeOffsets(7, 0), now.get());
+        realTimeReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         assertEquals(
                 new Read.Records(new Batch(List.of(), 7)),
-                onRealTime.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
+                realTimeReader.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
     }
 
     // -- agents
 
-    /** A change of routes or keys is no news to an agent; each was a copy of the manifest for each of 30 agents of a region. */
+    /**
+     * Agents do not use changes of routes or keys; each such manifest was otherwise copied to each of 30 agents of a
+     * region.
+     */
     @Test
-    void shouldNotReadManifestWhenItChangesNothingThatAgentsActOn() {
-        reader.told(PEER, new ChangeOffsets(9, 0, 7), now.get());
+    void shouldNotReadManifestWhenItChangesNothingThatAgentsUse() {
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0, 7), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
-        assertEquals(List.of(), asked);
+        assertEquals(List.of(), requests);
     }
 
-    /** The newest record of a model alone may name an older version, which was written late. */
+    /** The latest record of a model alone may name an older version that was written late. */
     @Test
-    void shouldReadAllThatWasPassedOverWhenNobodyTells() {
-        reader.told(PEER, new ChangeOffsets(9, 0, 7), now.get());
+    void shouldReadSkippedRecordsWhenUpdatesHaveExpired() {
+        reader.onUpdate(PEER, new ChangeOffsets(9, 0, 7), now.get());
         now.addAndGet(1_000);
         read(7);
         read(9);
-        assertEquals(List.of("store", "store"), asked);
+        assertEquals(List.of("store", "store"), requests);
     }
 
     // -- entries
 
     private static final String SELF = "10.0.0.1:9000";
-    private static final long TRUST_MILLIS = 1_500;
+    private static final long MAX_AGE_MILLIS = 1_500;
 
-    private final PeerFirstReader entry = new PeerFirstReader(
+    private final PeerFirstReader entryReader = new PeerFirstReader(
             store,
-            (peer, topic, from, within) -> {
-                asked.add(peer);
-                return told;
+            (peer, topic, from, timeout) -> {
+                requests.add(peer);
+                return peerResponse;
             },
-            new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS),
+            new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS),
             now::get);
 
     private Read readByEntry(long from) {
-        return entry.read(Topic.OPERATOR, from, Duration.ZERO).toOptional().orElseThrow();
+        return entryReader
+                .read(Topic.OPERATOR, from, Duration.ZERO)
+                .toOptional()
+                .orElseThrow();
     }
 
     @Test
-    void shouldGoByReaderOfRegionWhenItComesBefore() {
-        entry.told(PEER, new ChangeOffsets(8, 0, 0), now.get());
+    void shouldReadFromReaderOfRegionWhenItsAddressSortsFirst() {
+        entryReader.onUpdate(PEER, new ChangeOffsets(8, 0, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
-        assertEquals(List.of(PEER), asked);
-        assertFalse(entry.direct());
+        assertEquals(List.of(PEER), requests);
+        assertFalse(entryReader.readsStoreDirectly());
     }
 
-    /** Two entries that went by each other would both learn nothing. */
+    /** Two entries that relied on each other would both learn nothing. */
     @Test
-    void shouldReadStoreWhenReaderOfRegionComesAfter() {
-        entry.told("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
+    void shouldReadStoreWhenAddressOfReaderSortsLater() {
+        entryReader.onUpdate("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
-        assertTrue(entry.direct());
+        assertEquals(List.of("store"), requests);
+        assertTrue(entryReader.readsStoreDirectly());
     }
 
-    /** The reader still tells, but has not heard of the store for long: its connection may have fallen silent. */
+    /**
+     * The reader still sends updates but has not read the store for a long time: its connection may have stopped
+     * responding.
+     */
     @Test
-    void shouldReadStoreWhenWhatReaderKnowsIsOld() {
-        entry.told(PEER, new ChangeOffsets(7, 0), now.get() - TRUST_MILLIS);
+    void shouldReadStoreWhenKnowledgeOfReaderIsTooOld() {
+        entryReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get() - MAX_AGE_MILLIS);
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     @Test
-    void shouldReadStoreWhenReaderTellsNoMore() {
-        entry.told(PEER, new ChangeOffsets(7, 0), now.get());
+    void shouldReadStoreWhenReaderStopsSendingUpdates() {
+        entryReader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get());
         readByEntry(7);
         now.addAndGet(1_000);
         readByEntry(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
-    /** An entry that the store turns away hears of changes from any entry that it does not. */
+    /** An entry that the store refuses learns of changes from any entry that the store accepts. */
     @Test
-    void shouldGoByAnyReaderWhenStoreDoesNotAnswer() {
+    void shouldReadFromAnyReaderWhenStoreDoesNotRespond() {
         storeDown = true;
-        entry.read(Topic.OPERATOR, 7, Duration.ZERO);
-        entry.told("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
+        entryReader.read(Topic.OPERATOR, 7, Duration.ZERO);
+        entryReader.onUpdate("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
-        assertEquals(List.of("store", "10.0.0.2:8000"), asked);
-        assertFalse(entry.direct());
+        assertEquals(List.of("store", "10.0.0.2:8000"), requests);
+        assertFalse(entryReader.readsStoreDirectly());
     }
 
     /**
-     * What the reader of the region knew last was a whole trust ago when nobody's word counts any more. Held for a whole hold then,
-     * the read ends when that is older than a manifest may be, though the store answers all the time.
+     * When the last update expires, the knowledge of the region's reader is as old as the maximum age. If the next read
+     * were held for a whole hold, that knowledge would be older than a manifest may be when the read ends, although the
+     * store responds all the time.
      */
     @Test
-    void shouldKnowWithinBoundWhenReaderOfRegionFellSilentInQuietTimes() {
+    void shouldReadWithinBoundWhenReaderOfRegionStopsResponding() {
         long boundMillis = 2_000;
         Duration hold = Duration.ofMillis(1_000);
         AtomicLong waited = new AtomicLong();
         TopicReader quiet = new TopicReader() {
             @Override
-            public Result<Batch> newest(Topic topic) {
+            public Result<Batch> readLatest(Topic topic) {
                 return Result.success(new Batch(List.of(), 7));
             }
 
@@ -279,53 +293,61 @@
                 return Result.success(new Read.Records(new Batch(List.of(), from)));
             }
         };
-        PeerFirstReader led = new PeerFirstReader(
-                quiet, (peer, topic, from, within) -> told, new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
+        PeerFirstReader follower = new PeerFirstReader(
+                quiet,
+                (peer, topic, from, timeout) -> peerResponse,
+                new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS),
+                now::get);
         long asOf = now.get();
-        led.told(PEER, new ChangeOffsets(7, 0), asOf);
-        now.addAndGet(TRUST_MILLIS);
-        led.read(Topic.OPERATOR, 7, hold);
+        follower.onUpdate(PEER, new ChangeOffsets(7, 0), asOf);
+        now.addAndGet(MAX_AGE_MILLIS);
+        follower.read(Topic.OPERATOR, 7, hold);
         long age = now.get() + waited.get() - asOf;
-        assertTrue(age <= boundMillis, "all was known " + age + " ms ago when the store answers");
+        assertTrue(age <= boundMillis, "the state was known " + age + " ms before the store responds");
     }
 
     /**
-     * A reader whose link is full gives its answer piece by piece, for as long as an answer may take: ten seconds. It gets no longer
-     * than its word counts, and then the store is read.
+     * A reader with a saturated link sends its response slowly, for up to the ten seconds that a response may take. The
+     * response is limited to the time for which the reader's update is valid; then the store is read.
      */
     @Test
-    void shouldReadStoreWhenReaderOfRegionDoesNotEndItsAnswerWhileItsWordCounts() {
-        List<Duration> allowed = new ArrayList<>();
-        PeerFirstReader.Peers slow = (peer, topic, from, within) -> {
-            allowed.add(within);
-            return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the answer stopped"));
+    void shouldReadStoreWhenResponseOfReaderOutlastsItsUpdate() {
+        List<Duration> timeouts = new ArrayList<>();
+        PeerFirstReader.PeerSource slow = (peer, topic, from, timeout) -> {
+            timeouts.add(timeout);
+            return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the response stopped"));
         };
-        PeerFirstReader led = new PeerFirstReader(store, slow, new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
-        led.told(PEER, new ChangeOffsets(8, 0), now.get() - 1_000);
-        led.read(Topic.OPERATOR, 7, HOLD);
-        assertEquals(List.of(Duration.ofMillis(TRUST_MILLIS - 1_000)), allowed);
-        assertEquals(List.of("store"), asked);
+        PeerFirstReader follower =
+                new PeerFirstReader(store, slow, new PeerFirstReader.Role.Entry(SELF, MAX_AGE_MILLIS), now::get);
+        follower.onUpdate(PEER, new ChangeOffsets(8, 0), now.get() - 1_000);
+        follower.read(Topic.OPERATOR, 7, HOLD);
+        assertEquals(List.of(Duration.ofMillis(MAX_AGE_MILLIS - 1_000)), timeouts);
+        assertEquals(List.of("store"), requests);
     }
 
-    /** Entries whose own reads trickle are in touch and tell on, of what was known long ago, without a weight version named since. */
+    /**
+     * Entries whose own reads are slow remain connected and continue to send updates that reflect an old state, without
+     * a weight version named since.
+     */
     @Test
-    void shouldReadStoreByAgentWhenWhatEntriesKnowIsOld() {
-        reader.told(PEER, new ChangeOffsets(7, 0), now.get() - 10_000);
+    void shouldReadStoreAsAgentWhenKnowledgeOfEntriesIsTooOld() {
+        reader.onUpdate(PEER, new ChangeOffsets(7, 0), now.get() - 10_000);
         read(7);
-        assertEquals(List.of("store"), asked);
+        assertEquals(List.of("store"), requests);
     }
 
     /**
-     * Manifests 1 (other services), 2 and 3 stand at 0 to 2, and 1 was written once more, late, at 3. Entries tell that services
-     * changed at 1; an agent that starts knows from what is kept that 3 stands at 2, and that is no news by what they tell.
+     * Manifests 1 (with other services), 2 and 3 have offsets 0 to 2, and manifest 1 was written again, late, at offset
+     * 3. Updates from entries say that services last changed at offset 1. An agent that starts reads from the saved
+     * positions that manifest 3 is at offset 2, which is not a change according to these updates.
      */
     @Test
-    void shouldFindHiddenManifestByAgentWhenEntriesTellThatServicesChangedBeforeIt() {
-        ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), now::get);
+    void shouldReadReplacedManifestAsAgentWhenServicesChangedBeforeIt() {
+        ViewMaintainer views = new ViewMaintainer(new StoreRecords(), now::get);
         StoredRecord third = new StoredRecord("config", 2, manifest(3));
         TopicReader history = new TopicReader() {
             @Override
-            public Result<Batch> newest(Topic topic) {
+            public Result<Batch> readLatest(Topic topic) {
                 byte[] place = "{\"version\":3,\"offset\":2}".getBytes(StandardCharsets.UTF_8);
                 return Result.success(
                         topic == Topic.NAMED
@@ -340,13 +362,13 @@
         };
         PeerFirstReader agent = new PeerFirstReader(
                 history,
-                (peer, topic, from, within) -> Result.success(new Batch(List.of(third), 4)),
+                (peer, topic, from, timeout) -> Result.success(new Batch(List.of(third), 4)),
                 new PeerFirstReader.Role.Agent(),
                 now::get);
-        VersionPersistence versions = new VersionPersistence(
-                agent, unkept -> Result.success(List.of()), keeper, () -> VersionPersistence.Duty.NONE, () -> {});
-        agent.told(PEER, new ChangeOffsets(4, 0, 2), now.get());
-        Batch newest = versions.newest(Topic.OPERATOR).toOptional().orElseThrow();
+        VersionPersistence persistence = new VersionPersistence(
+                agent, item -> Result.success(List.of()), views, () -> VersionPersistence.WriteRole.NONE, () -> {});
+        agent.onUpdate(PEER, new ChangeOffsets(4, 0, 2), now.get());
+        Batch newest = persistence.readLatest(Topic.OPERATOR).toOptional().orElseThrow();
         assertTrue(newest.records().contains(third), "found: " + newest.records());
     }
 
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -103,10 +103,10 @@
 
     @BeforeEach
     void nameTwoVersionsAndStopOrigin() {
-        views.want("m", 2);
+        views.addPeerTarget("m", 2);
         putFirst(2, 3);
         now.addAndGet(2_000);
-        views.want("m", 3);
+        views.addPeerTarget("m", 3);
         origin.maxServedVersion = 1;
         peer.heldChunks.put(2L, FakeOrigin.CHUNKS);
     }
@@ -147,7 +147,7 @@
 
     @Test
     void shouldReturnToAbandonedVersionWhenNewestIsStalled() throws Exception {
-        views.want("m", 4);
+        views.addPeerTarget("m", 4);
         now.addAndGet(MAX_STALENESS_MILLIS - 500);
         peer.chunkMillis = 400;
         peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
@@ -155,7 +155,7 @@
         AtomicInteger servedChunks = new AtomicInteger();
         peer.onServed = version -> {
             if (version == 4 && servedChunks.incrementAndGet() == 3) {
-                views.want("m", 5);
+                views.addPeerTarget("m", 5);
             }
         };
         fetches.fetchNewerThan("m", 3);
@@ -172,7 +172,7 @@
         peer.heldChunks.put(4L, FakeOrigin.CHUNKS);
         peer.onRequest = version -> {
             if (version == 3) {
-                views.want("m", 4);
+                views.addPeerTarget("m", 4);
             }
         };
         fetches.fetchNewerThan("m", 1);
--- a/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -60,12 +60,12 @@
         }
 
         @Override
-        public Result<OperatorRecord> operator(StoredRecord record) {
-            return Result.success(new OperatorRecord.Unused());
+        public Result<OperatorRecord> decodeOperatorRecord(StoredRecord record) {
+            return Result.success(new OperatorRecord.UnusedRecord());
         }
 
         @Override
-        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+        public Result<EndpointRegistration> decodeEndpointRegistration(StoredRecord record) {
             return Result.success(EndpointRegistration.of(
                     record.key(), "s", "10.0.0.1:80", "h", 1, false, Map.of("m", record.offset()), record.value()[0]));
         }
