--- a/src/main/java/org/micabarrow/platform/EndpointHeaders.java
+++ b/src/main/java/org/micabarrow/platform/EndpointHeaders.java
@@ -42,16 +42,16 @@
             Set.of("connection", "keep-alive", "transfer-encoding", "content-length", "trailer", "upgrade");
 
     @Override
-    public HttpCall call(ClientRequest request, Sending sending) {
+    public HttpCall encode(ClientRequest request, AttemptParameters sending) {
         Map<String, String> headers = new LinkedHashMap<>(request.headers());
         headers.put("Host", request.host());
-        headers.put(WireNames.DEADLINE, Long.toString(sending.millisLeft()));
+        headers.put(WireNames.DEADLINE, Long.toString(sending.remainingMillis()));
         headers.put(WireNames.EXPECTED_ENDPOINT, sending.endpoint().id());
         request.organisation().ifPresent(name -> headers.put(WireNames.ORGANISATION, name));
-        sending.version().ifPresent(version -> headers.put(WireNames.EXPECTED_VERSION, Long.toString(version)));
-        sending.lastEvent().ifPresent(id -> headers.put(WireNames.LAST_EVENT, id));
+        sending.requiredVersion().ifPresent(version -> headers.put(WireNames.EXPECTED_VERSION, Long.toString(version)));
+        sending.lastEventId().ifPresent(id -> headers.put(WireNames.LAST_EVENT, id));
         if (request.promptTokens() > 0) {
-            int rank = sending.late() ? MOST_PRIORITY : Math.clamp(request.priority(), 0, MOST_PRIORITY);
+            int rank = sending.objectiveMissed() ? MOST_PRIORITY : Math.clamp(request.priority(), 0, MOST_PRIORITY);
             headers.put(WireNames.PRIORITY, Integer.toString(rank));
         }
         URI uri = URI.create("http://" + sending.endpoint().address());
@@ -59,14 +59,14 @@
     }
 
     @Override
-    public AnswerHead head(ClientRequest request, int status, Map<String, String> headers) {
+    public ResponseHead decodeHead(ClientRequest request, int status, Map<String, String> headers) {
         Map<String, String> passedOn = new HashMap<>();
         headers.forEach((name, value) -> {
             if (!NOT_PASSED_ON.contains(name.toLowerCase(Locale.ROOT))) {
                 passedOn.put(name, value);
             }
         });
-        return new AnswerHead(
+        return new ResponseHead(
                 status,
                 request.id().equals(headers.get(WireNames.ATTEMPT)),
                 headers.containsKey(WireNames.SIGNATURE),
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -14,7 +14,7 @@
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.process.HostedNode.Paces;
 import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.serving.Crashes;
+import org.micabarrow.serving.CrashTracking;
 import org.micabarrow.serving.ManifestAge;
 import org.micabarrow.serving.ServingHandler;
 import org.micabarrow.settings.HostedSettings;
@@ -116,7 +116,7 @@
                 System::currentTimeMillis);
         node.metrics().registerGauge("crashes.known", book::crashCount);
         node.metrics().registerGauge("crashes.culprits", () -> book.refused().size());
-        this.handler = ServingHandler.of(new ServingHandler.Parts(
+        this.handler = ServingHandler.of(new ServingHandler.Dependencies(
                 node.views()::view,
                 choice,
                 node.fresh(),
@@ -131,7 +131,7 @@
                         Math.round(bounds.versionMillis() * DEMAND_PART),
                         Math.round(bounds.versionMillis() * CANCEL_PART)),
                 new ManifestAge(node.views()::operatorAsOfMillis, bounds.configurationMillis()),
-                new Crashes(book, new ListenerProbe(node.worker()), crashes::tell)));
+                new CrashTracking(book, new ListenerProbe(node.worker()), crashes::tell)));
     }
 
     /**
@@ -165,7 +165,7 @@
         node.views().onCrashRecords(crashes::take);
         crashNews = Optional.of(node.followCrashes(CRASHES_PACE, this::peers));
         crashes.start();
-        loadFeed.start(handler::lookAfterRequests);
+        loadFeed.start(handler::checkRequests);
         LOG.info(
                 "event=started role=entry instance={} countsSuspensions={}",
                 settings.instance().id(),
@@ -214,7 +214,7 @@
      * @return their number
      */
     public int open() {
-        return handler.connections().busy();
+        return handler.connections().inFlightCount();
     }
 
     /**
