--- a/src/main/java/org/micabarrow/transport/callers/CallerAnswer.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerResponse.java
@@ -25,26 +25,26 @@
 import org.xnio.IoUtils;
 
 /**
- * Writes one answer to a caller. Its headers say where the request was handled; an answer that breaks off ends in a
- * closed connection and never in what looks like a whole answer.
+ * Writes the response to one caller request. Its headers state where the request was handled. A response that fails after
+ * its head was sent closes the connection, so that the caller cannot take it for a complete response.
  */
-final class CallerAnswer implements AnswerListener {
+final class CallerResponse implements AnswerListener {
 
     private static final Logger AUDIT = LoggerFactory.getLogger("org.micabarrow.audit");
-    private static final String PREFIX = "X-Micabarrow-";
-    private static final String EVENTS = "text/event-stream";
+    private static final String HEADER_PREFIX = "X-Micabarrow-";
+    private static final String EVENT_STREAM = "text/event-stream";
 
     private final HttpServerExchange exchange;
     private final String requestId;
     private volatile Optional<CallerRequest> request = Optional.empty();
     private volatile Optional<AnswerHead> head = Optional.empty();
     private volatile boolean ended;
-    private volatile boolean closed;
-    private volatile Runnable cancel = () -> {};
-    private volatile Runnable afterwards = () -> {};
-    private final AtomicBoolean over = new AtomicBoolean();
+    private volatile boolean connectionClosed;
+    private volatile Runnable cancelAction = () -> {};
+    private volatile Runnable finishAction = () -> {};
+    private final AtomicBoolean finished = new AtomicBoolean();
 
-    CallerAnswer(HttpServerExchange exchange, String requestId) {
+    CallerResponse(HttpServerExchange exchange, String requestId) {
         this.exchange = Objects.requireNonNull(exchange, "exchange is null");
         this.requestId = Objects.requireNonNull(requestId, "requestId is null");
     }
@@ -53,70 +53,70 @@
         return requestId;
     }
 
-    void about(CallerRequest understood) {
-        request = Optional.of(understood);
+    void setRequest(CallerRequest parsedRequest) {
+        request = Optional.of(parsedRequest);
     }
 
-    /** Registers what is to be done once the answer is over, however it ended. */
-    void whenOver(Runnable work) {
-        afterwards = work;
+    /** Registers an action that runs once when the response is finished, whether it succeeded or not. */
+    void onFinish(Runnable action) {
+        finishAction = action;
     }
 
-    /** The answer has been written, or can no longer be. */
-    void over() {
-        if (over.compareAndSet(false, true)) {
-            afterwards.run();
+    /** Marks the response as finished: it has been written, or can no longer be written. */
+    void finish() {
+        if (finished.compareAndSet(false, true)) {
+            finishAction.run();
         }
     }
 
-    /** Registers how to cancel the request. */
-    void cancelWith(Runnable runnable) {
-        cancel = runnable;
-        if (closed) {
-            connectionClosed();
+    /** Registers the action that cancels the request, and runs it if the connection has already closed. */
+    void setCancelAction(Runnable action) {
+        cancelAction = action;
+        if (connectionClosed) {
+            onConnectionClosed();
         }
     }
 
-    /** Cancels the request if the caller went before its end. */
-    void connectionClosed() {
-        closed = true;
+    /** Cancels the request if its outcome is not known when the caller's connection closes. */
+    void onConnectionClosed() {
+        connectionClosed = true;
         if (!ended) {
-            cancel.run();
+            cancelAction.run();
         }
-        over();
+        finish();
     }
 
-    // -- parts of the answer
+    // -- parts of the response
 
     @Override
-    public void onHead(AnswerHead begun) {
-        head = Optional.of(begun);
-        exchange.setStatusCode(begun.status());
-        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, begun.contentType());
-        header("Request", requestId);
-        header("Attempt", begun.attempt());
-        header("Region", begun.region());
-        header("Hall", begun.hall());
-        header("Instance", begun.instance());
-        header("Version", begun.version());
-        header("Generation", Long.toString(begun.generation()));
+    public void onHead(AnswerHead newHead) {
+        head = Optional.of(newHead);
+        exchange.setStatusCode(newHead.status());
+        exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, newHead.contentType());
+        setHeader("Request", requestId);
+        setHeader("Attempt", newHead.attempt());
+        setHeader("Region", newHead.region());
+        setHeader("Hall", newHead.hall());
+        setHeader("Instance", newHead.instance());
+        setHeader("Version", newHead.version());
+        setHeader("Generation", Long.toString(newHead.generation()));
     }
 
-    private void header(String name, String value) {
-        exchange.getResponseHeaders().put(new HttpString(PREFIX + name), value);
+    private void setHeader(String name, String value) {
+        exchange.getResponseHeaders().put(new HttpString(HEADER_PREFIX + name), value);
     }
 
     @Override
     public void onData(byte[] data, Runnable more) {
         exchange.getResponseSender().send(ByteBuffer.wrap(data), new IoCallback() {
             @Override
-            public void onComplete(HttpServerExchange same, Sender sender) {
+            public void onComplete(HttpServerExchange current, Sender sender) {
                 more.run();
             }
 
             @Override
-            public void onException(HttpServerExchange same, Sender sender, IOException e) {
-                IoUtils.safeClose(same.getConnection());
+            public void onException(HttpServerExchange current, Sender sender, IOException e) {
+                IoUtils.safeClose(current.getConnection());
                 more.run();
             }
         });
@@ -125,24 +125,24 @@
     @Override
     public void onEnd(Outcome outcome) {
         ended = true;
-        audit(outcome);
+        logAudit(outcome);
         switch (outcome) {
             case Outcome.Answered ignored -> exchange.endExchange();
-            case Outcome.NotRun(Fault fault, Duration retryAfter) -> notRun(fault, retryAfter);
-            case Outcome.Unknown(Fault fault) -> unknown(fault);
+            case Outcome.NotRun(Fault fault, Duration retryAfter) -> sendNotRun(fault, retryAfter);
+            case Outcome.Unknown(Fault fault) -> sendUnknown(fault);
         }
     }
 
     // -- errors
 
-    private void notRun(Fault fault, Duration retryAfter) {
+    private void sendNotRun(Fault fault, Duration retryAfter) {
         long millis = Math.max(1, retryAfter.toMillis());
         exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Long.toString((millis + 999) / 1000));
-        header("Retry-After-Millis", Long.toString(millis));
-        error("not_run", status(fault), fault);
+        setHeader("Retry-After-Millis", Long.toString(millis));
+        sendError("not_run", statusOf(fault), fault);
     }
 
-    private static int status(Fault fault) {
+    private static int statusOf(Fault fault) {
         return switch (fault.reason()) {
             case INVALID -> 400;
             case UNAUTHORISED -> 401;
@@ -156,14 +156,14 @@
         };
     }
 
-    private void unknown(Fault fault) {
+    private void sendUnknown(Fault fault) {
         if (head.isEmpty()) {
-            error("unknown", fault.reason() == Fault.Reason.CONFLICT ? 409 : 502, fault);
+            sendError("unknown", fault.reason() == Fault.Reason.CONFLICT ? 409 : 502, fault);
             return;
         }
-        if (head.get().contentType().startsWith(EVENTS)
+        if (head.get().contentType().startsWith(EVENT_STREAM)
                 && exchange.getConnection().isOpen()) {
-            byte[] event = ("data: " + new String(body("unknown", fault), StandardCharsets.UTF_8) + "\n\n")
+            byte[] event = ("data: " + new String(errorBody("unknown", fault), StandardCharsets.UTF_8) + "\n\n")
                     .getBytes(StandardCharsets.UTF_8);
             onData(event, () -> IoUtils.safeClose(exchange.getConnection()));
         } else {
@@ -171,15 +171,15 @@
         }
     }
 
-    private void error(String outcome, int status, Fault fault) {
+    private void sendError(String outcome, int status, Fault fault) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        header("Request", requestId);
-        header("Outcome", outcome);
-        exchange.getResponseSender().send(ByteBuffer.wrap(body(outcome, fault)), IoCallback.END_EXCHANGE);
+        setHeader("Request", requestId);
+        setHeader("Outcome", outcome);
+        exchange.getResponseSender().send(ByteBuffer.wrap(errorBody(outcome, fault)), IoCallback.END_EXCHANGE);
     }
 
-    private static byte[] body(String outcome, Fault fault) {
+    private static byte[] errorBody(String outcome, Fault fault) {
         return CanonicalJson.write(Map.of(
                 "error",
                 Map.of(
@@ -192,12 +192,12 @@
 
     // -- audit
 
-    private void audit(Outcome outcome) {
+    private void logAudit(Outcome outcome) {
         AUDIT.info(
                 "request={} organisation={} workload={} outcome={} instance={} hall={} region={} version={} "
                         + "generation={} attempt={}{}",
                 requestId,
-                request.map(one -> one.organisation().name()).orElse("-"),
+                request.map(parsed -> parsed.organisation().name()).orElse("-"),
                 request.map(CallerRequest::workload).orElse("-"),
                 outcome.getClass().getSimpleName(),
                 head.map(AnswerHead::instance).orElse("-"),
@@ -206,10 +206,10 @@
                 head.map(AnswerHead::version).orElse("-"),
                 head.map(AnswerHead::generation).orElse(-1L),
                 head.map(AnswerHead::attempt).orElse("-"),
-                why(outcome));
+                reasonSuffix(outcome));
     }
 
-    private static String why(Outcome outcome) {
+    private static String reasonSuffix(Outcome outcome) {
         return switch (outcome) {
             case Outcome.Answered ignored -> "";
             case Outcome.NotRun(Fault fault, Duration ignored) -> " why=\"" + fault + "\"";
--- a/src/main/java/org/micabarrow/transport/callers/CallerServer.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerServer.java
@@ -32,66 +32,66 @@
 import org.micabarrow.state.Result;
 
 /**
- * Takes callers' requests: chat completions for models under {@code /v1/chat/completions}, and plain HTTP for services
- * under {@code /services/NAME/}.
+ * Handles callers' HTTP requests: chat completions for models under {@code /v1/chat/completions}, and plain HTTP for
+ * services under {@code /services/NAME/}.
  */
 public final class CallerServer implements HttpHandler {
 
-    private static final String CHAT = "/v1/chat/completions";
-    private static final String SERVICES = "/services/";
-    private static final String BEARER = "Bearer ";
+    private static final String CHAT_PATH = "/v1/chat/completions";
+    private static final String SERVICES_PREFIX = "/services/";
+    private static final String BEARER_PREFIX = "Bearer ";
     private static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
     private static final HttpString AT_MOST_ONCE = new HttpString("X-At-Most-Once");
     private static final HttpString DEADLINE = new HttpString("X-Deadline-Millis");
     private static final HttpString PRIORITY = new HttpString("X-Priority");
-    private static final AttachmentKey<CallerAnswer> PRESENT = AttachmentKey.create(CallerAnswer.class);
+    private static final AttachmentKey<CallerResponse> CURRENT_RESPONSE = AttachmentKey.create(CallerResponse.class);
 
-    /** Up to how many tokens an answer counts as short. */
-    private static final int SHORT_TOKENS = 64;
+    /** The highest {@code max_tokens} with which a chat request without {@code X-Priority} counts as short. */
+    private static final int MAX_SHORT_REQUEST_TOKENS = 64;
 
-    /** The longest key, in characters; longer ones are refused. */
-    private static final int MOST_KEY_CHARACTERS = 256;
+    /** The maximum length of an idempotency key, in characters; longer keys are refused. */
+    private static final int MAX_KEY_CHARACTERS = 256;
 
-    /** When a refused request may be tried again. */
+    /** The delay after which a refused request may be retried. */
     private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
     private final Supplier<FoldedState> state;
     private final RequestFlow flow;
-    private final Supplier<String> ids;
+    private final Supplier<String> requestIds;
     private final InstantSource clock;
-    private final long deadlineMillis;
+    private final long defaultDeadlineMillis;
     private final AtomicInteger open = new AtomicInteger();
     private volatile boolean leaving;
 
     /**
-     * Makes a server's handler.
+     * Creates a handler.
      *
-     * @param state the configuration in force
-     * @param flow takes the requests
-     * @param ids gives ids to requests
-     * @param clock tells the time
-     * @param deadlineMillis the deadline of a request that states none
+     * @param state supplies the active configuration
+     * @param flow processes the requests
+     * @param requestIds generates request ids
+     * @param clock the time source
+     * @param defaultDeadlineMillis the deadline of a request that states none, in milliseconds
      */
     public CallerServer(
             Supplier<FoldedState> state,
             RequestFlow flow,
-            Supplier<String> ids,
+            Supplier<String> requestIds,
             InstantSource clock,
-            long deadlineMillis) {
+            long defaultDeadlineMillis) {
         this.state = Objects.requireNonNull(state, "state is null");
         this.flow = Objects.requireNonNull(flow, "flow is null");
-        this.ids = Objects.requireNonNull(ids, "ids is null");
+        this.requestIds = Objects.requireNonNull(requestIds, "requestIds is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.deadlineMillis = deadlineMillis;
+        this.defaultDeadlineMillis = defaultDeadlineMillis;
     }
 
-    /** Takes no new requests from now on; those that are open go on. */
+    /** Starts draining: new requests are refused, open requests continue. */
     public void leave() {
         leaving = true;
     }
 
     /**
-     * Whether new requests are refused.
+     * Returns whether new requests are refused.
      *
      * @return true after {@link #leave}
      */
@@ -100,9 +100,9 @@
     }
 
     /**
-     * The requests that are open.
+     * Returns the number of open requests.
      *
-     * @return their number
+     * @return the number of requests whose response is not finished
      */
     public int open() {
         return open.get();
@@ -110,85 +110,92 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        CallerAnswer answer = new CallerAnswer(exchange, ids.get());
+        CallerResponse response = new CallerResponse(exchange, requestIds.get());
         open.incrementAndGet();
-        answer.whenOver(open::decrementAndGet);
-        watch(exchange, answer);
+        response.onFinish(open::decrementAndGet);
+        observeConnection(exchange, response);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (same, body) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> begin(exchange, body, answer)),
-                        (same, error) ->
-                                same.dispatch(SameThreadExecutor.INSTANCE, () -> answer.onEnd(notRead(error))));
+                        (current, body) -> current.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> startRequest(exchange, body, response)),
+                        (current, error) -> current.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> response.onEnd(bodyReadFailure(error))));
     }
 
-    /** Tells the connection's present answer when the connection closes; connections serve one request at a time. */
-    private static void watch(HttpServerExchange exchange, CallerAnswer answer) {
+    /**
+     * Notifies the current response when its connection closes. A connection serves one request at a time, so one close
+     * listener for each connection suffices.
+     */
+    private static void observeConnection(HttpServerExchange exchange, CallerResponse response) {
         ServerConnection connection = exchange.getConnection();
-        boolean first = connection.getAttachment(PRESENT) == null;
-        connection.putAttachment(PRESENT, answer);
-        if (first) {
-            connection.addCloseListener(closed -> closed.getAttachment(PRESENT).connectionClosed());
+        boolean firstRequest = connection.getAttachment(CURRENT_RESPONSE) == null;
+        connection.putAttachment(CURRENT_RESPONSE, response);
+        if (firstRequest) {
+            connection.addCloseListener(
+                    closed -> closed.getAttachment(CURRENT_RESPONSE).onConnectionClosed());
         }
-        exchange.addExchangeCompleteListener((same, next) -> {
-            answer.over();
+        exchange.addExchangeCompleteListener((current, next) -> {
+            response.finish();
             next.proceed();
         });
     }
 
-    private static Outcome notRead(IOException error) {
+    private static Outcome bodyReadFailure(IOException error) {
         return error instanceof RequestTooBigException
                 ? refused(Step.READ, Reason.TOO_LARGE, "the body is larger than the limit")
-                : refused(Step.READ, Reason.INVALID, "the body broke off: " + error.getMessage());
+                : refused(Step.READ, Reason.INVALID, "the body is incomplete: " + error.getMessage());
     }
 
-    private void begin(HttpServerExchange exchange, byte[] body, CallerAnswer answer) {
+    private void startRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
         if (leaving) {
-            answer.onEnd(
-                    Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is leaving"), RETRY_AFTER));
+            response.onEnd(
+                    Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is draining"), RETRY_AFTER));
             return;
         }
-        switch (request(exchange, body, answer)) {
-            case Result.Failure<CallerRequest>(Fault fault) -> answer.onEnd(Outcome.notRun(fault, RETRY_AFTER));
+        switch (parseRequest(exchange, body, response)) {
+            case Result.Failure<CallerRequest>(Fault fault) -> response.onEnd(Outcome.notRun(fault, RETRY_AFTER));
             case Result.Success<CallerRequest>(CallerRequest request) -> {
-                answer.about(request);
-                answer.cancelWith(flow.begin(request, answer));
+                response.setRequest(request);
+                response.setCancelAction(flow.begin(request, response));
             }
         }
     }
 
-    // -- reading requests
+    // -- parsing of requests
 
-    private Result<CallerRequest> request(HttpServerExchange exchange, byte[] body, CallerAnswer answer) {
-        return organisation(exchange).flatMap(organisation -> {
+    private Result<CallerRequest> parseRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
+        return authenticate(exchange).flatMap(organisation -> {
             String path = exchange.getRequestPath();
-            if (path.equals(CHAT)) {
-                return chat(exchange, body, answer, organisation);
+            if (path.equals(CHAT_PATH)) {
+                return parseChatRequest(exchange, body, response, organisation);
             }
-            if (path.startsWith(SERVICES) && path.length() > SERVICES.length()) {
-                return service(exchange, body, answer, organisation, path.substring(SERVICES.length()));
+            if (path.startsWith(SERVICES_PREFIX) && path.length() > SERVICES_PREFIX.length()) {
+                return parseServiceRequest(
+                        exchange, body, response, organisation, path.substring(SERVICES_PREFIX.length()));
             }
-            return fail(Step.READ, Reason.NOT_FOUND, "nothing is at " + path);
+            return fail(Step.READ, Reason.NOT_FOUND, "unknown path " + path);
         });
     }
 
-    private Result<Organisation> organisation(HttpServerExchange exchange) {
+    private Result<Organisation> authenticate(HttpServerExchange exchange) {
         String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-        if (header == null || !header.startsWith(BEARER)) {
+        if (header == null || !header.startsWith(BEARER_PREFIX)) {
             return fail(Step.AUTHENTICATE, Reason.UNAUTHORISED, "the request has no bearer token");
         }
-        FoldedState now = state.get();
-        if (now.offset() < 0) {
+        FoldedState current = state.get();
+        if (current.offset() < 0) {
             return fail(Step.AUTHENTICATE, Reason.NOT_READY, "the entry has read no configuration yet");
         }
-        return now.organisationOf(Digest.of(header.substring(BEARER.length()).trim()))
+        return current.organisationOf(
+                        Digest.of(header.substring(BEARER_PREFIX.length()).trim()))
                 .map(Result::success)
                 .orElseGet(() -> fail(Step.AUTHENTICATE, Reason.UNAUTHORISED, "no organisation has this token"));
     }
 
-    private Result<CallerRequest> chat(
-            HttpServerExchange exchange, byte[] body, CallerAnswer answer, Organisation organisation) {
+    private Result<CallerRequest> parseChatRequest(
+            HttpServerExchange exchange, byte[] body, CallerResponse response, Organisation organisation) {
         if (!exchange.getRequestMethod().toString().equals("POST")) {
-            return fail(Step.READ, Reason.INVALID, CHAT + " takes POST");
+            return fail(Step.READ, Reason.INVALID, CHAT_PATH + " only accepts POST");
         }
         JsonNode json;
         try {
@@ -197,39 +204,45 @@
             return fail(Step.READ, Reason.INVALID, "the body is not JSON");
         }
         if (!json.path("model").isTextual() || !json.path("messages").isArray()) {
-            return fail(Step.READ, Reason.INVALID, "the body needs a text \"model\" and a list \"messages\"");
+            return fail(Step.READ, Reason.INVALID, "the body needs a string \"model\" and an array \"messages\"");
         }
-        boolean few = json.path("max_tokens").asInt(Integer.MAX_VALUE) <= SHORT_TOKENS;
+        boolean shortRequest = json.path("max_tokens").asInt(Integer.MAX_VALUE) <= MAX_SHORT_REQUEST_TOKENS;
         StringBuilder prompt = new StringBuilder();
         json.path("messages")
                 .forEach(message -> prompt.append(message.path("role").asText())
                         .append(message.path("content").asText()));
-        return common(
+        return buildRequest(
                 exchange,
-                answer,
-                new Body(
+                response,
+                new ParsedBody(
                         organisation,
                         json.path("model").asText(),
                         true,
-                        CHAT,
+                        CHAT_PATH,
                         body,
                         json.path("stream").asBoolean(false),
-                        few,
+                        shortRequest,
                         PrefixIndex.blocks(prompt.toString())));
     }
 
-    private Result<CallerRequest> service(
-            HttpServerExchange exchange, byte[] body, CallerAnswer answer, Organisation organisation, String rest) {
-        int slash = rest.indexOf('/');
-        String name = slash < 0 ? rest : rest.substring(0, slash);
-        String path = slash < 0 ? "/" : rest.substring(slash);
+    private Result<CallerRequest> parseServiceRequest(
+            HttpServerExchange exchange,
+            byte[] body,
+            CallerResponse response,
+            Organisation organisation,
+            String target) {
+        int slash = target.indexOf('/');
+        String name = slash < 0 ? target : target.substring(0, slash);
+        String path = slash < 0 ? "/" : target.substring(slash);
         String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
-        return common(
-                exchange, answer, new Body(organisation, name, false, path + query, body, false, true, List.of()));
+        return buildRequest(
+                exchange,
+                response,
+                new ParsedBody(organisation, name, false, path + query, body, false, true, List.of()));
     }
 
-    /** What differs between models and services. */
-    private record Body(
+    /** The parts of a request that are read differently for models and services. */
+    private record ParsedBody(
             Organisation organisation,
             String workload,
             boolean model,
@@ -237,17 +250,18 @@
             byte[] bytes,
             boolean stream,
             boolean shortRequest,
-            List<Long> prefix) {}
+            List<Long> prefixBlocks) {}
 
-    private Result<CallerRequest> common(HttpServerExchange exchange, CallerAnswer answer, Body body) {
+    private Result<CallerRequest> buildRequest(HttpServerExchange exchange, CallerResponse response, ParsedBody body) {
         HeaderMap headers = exchange.getRequestHeaders();
         Optional<String> key = Optional.ofNullable(headers.getFirst(IDEMPOTENCY_KEY));
-        if (key.isPresent() && (key.get().isBlank() || key.get().length() > MOST_KEY_CHARACTERS)) {
-            return fail(Step.READ, Reason.INVALID, "Idempotency-Key takes 1 to " + MOST_KEY_CHARACTERS + " characters");
+        if (key.isPresent() && (key.get().isBlank() || key.get().length() > MAX_KEY_CHARACTERS)) {
+            return fail(
+                    Step.READ, Reason.INVALID, "Idempotency-Key must have 1 to " + MAX_KEY_CHARACTERS + " characters");
         }
-        Optional<Long> deadline = deadline(headers.getFirst(DEADLINE));
-        if (deadline.isEmpty()) {
-            return fail(Step.READ, Reason.INVALID, DEADLINE + " takes a whole number of milliseconds above 0");
+        Optional<Long> deadlineAfterMillis = parseDeadline(headers.getFirst(DEADLINE));
+        if (deadlineAfterMillis.isEmpty()) {
+            return fail(Step.READ, Reason.INVALID, DEADLINE + " must be a positive whole number of milliseconds");
         }
         String contentType = Optional.ofNullable(headers.getFirst(Headers.CONTENT_TYPE))
                 .orElse(body.model() ? "application/json" : "application/octet-stream");
@@ -255,7 +269,7 @@
                 .map("short"::equals)
                 .orElse(body.shortRequest());
         return Result.success(new CallerRequest(
-                answer.requestId(),
+                response.requestId(),
                 body.organisation(),
                 body.workload(),
                 body.model(),
@@ -266,14 +280,14 @@
                 body.stream(),
                 "true".equals(headers.getFirst(AT_MOST_ONCE)),
                 key,
-                clock.millis() + deadline.get(),
+                clock.millis() + deadlineAfterMillis.get(),
                 shortRequest ? 0 : 1,
-                body.prefix()));
+                body.prefixBlocks()));
     }
 
-    private Optional<Long> deadline(String header) {
+    private Optional<Long> parseDeadline(String header) {
         if (header == null) {
-            return Optional.of(deadlineMillis);
+            return Optional.of(defaultDeadlineMillis);
         }
         try {
             long millis = Long.parseLong(header.trim());
--- a/src/main/java/org/micabarrow/transport/callers/package-info.java
+++ b/src/main/java/org/micabarrow/transport/callers/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the requests of an organisation's callers over HTTP and writes their answers. */
+/** The HTTP interface for callers: reads the requests of an organisation's callers and writes their responses. */
 package org.micabarrow.transport.callers;
--- a/src/main/java/org/micabarrow/transport/grpc/CallFaults.java
+++ b/src/main/java/org/micabarrow/transport/grpc/CallFaults.java
@@ -8,22 +8,22 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 
-/** What failed calls between processes mean. */
+/** Maps errors of gRPC calls between processes to faults and outcomes. */
 final class CallFaults {
 
-    /** When a request that never left may be tried again: another instance may take it at once. */
+    /** The retry delay of a request that was never sent; it is short because another instance may accept the request at once. */
     private static final Duration RETRY_AFTER = Duration.ofMillis(200);
 
     private CallFaults() {}
 
-    /** Only a connection that could not be opened proves that nothing was sent. */
+    /** Returns the outcome of a failed call. Only a connection that could not be opened proves that nothing was sent. */
     static Outcome outcomeOf(String peer, Throwable error) {
         Fault fault = of(Step.DISPATCH, peer, error);
         boolean neverSent = Status.fromThrowable(error).getCause() instanceof ConnectException;
         return neverSent ? Outcome.notRun(fault, RETRY_AFTER) : Outcome.unknown(fault);
     }
 
-    /** The fault that a call's error stands for, with the server's own description where it gave one. */
+    /** Returns the fault for a call's error, with the server's description as message if it gave one. */
     static Fault of(Step step, String peer, Throwable error) {
         Status status = Status.fromThrowable(error);
         Reason reason = switch (status.getCode()) {
--- a/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
@@ -15,72 +15,75 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.LinkPacer;
 
-/** Sends an artifact's chunks to one receiver, each as soon as it is here and the receiver asks for it. */
+/** Streams an artifact's chunks to one receiver, each as soon as it is available here and the receiver is ready for it. */
 final class ChunkSender {
 
-    /** How long a stream waits for a chunk or for its receiver before it looks again. */
-    private static final Duration POLL = Duration.ofMillis(50);
+    /** How long a stream waits for a chunk or for its receiver before it checks again. */
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
-    /** How often it looks whether a transfer that is about to begin has begun, in milliseconds. */
-    private static final long COMING_POLL_MILLIS = 20;
+    /** How often a stream checks whether an imminent transfer to this instance has begun, in milliseconds. */
+    private static final long PENDING_POLL_MILLIS = 20;
 
-    private static final AtomicLong STREAMS = new AtomicLong();
+    private static final AtomicLong STREAM_COUNTER = new AtomicLong();
 
     private final ChunksRequest request;
     private final ServerCallStreamObserver<Chunk> replies;
     private final LinkPacer link;
-    private final Object ready = new Object();
-    private final String reader;
+    private final Object readyMonitor = new Object();
+    private final String readerId;
 
     ChunkSender(ChunksRequest request, ServerCallStreamObserver<Chunk> replies, LinkPacer link) {
         this.request = request;
         this.replies = replies;
         this.link = link;
-        this.reader = request.getReceiver() + "#" + STREAMS.incrementAndGet();
-        replies.setOnReadyHandler(this::wake);
-        replies.setOnCancelHandler(this::wake);
+        this.readerId = request.getReceiver() + "#" + STREAM_COUNTER.incrementAndGet();
+        replies.setOnReadyHandler(this::notifyReady);
+        replies.setOnCancelHandler(this::notifyReady);
     }
 
-    private void wake() {
-        synchronized (ready) {
-            ready.notifyAll();
+    private void notifyReady() {
+        synchronized (readyMonitor) {
+            readyMonitor.notifyAll();
         }
     }
 
-    /** Ends the stream before it has begun. */
+    /** Ends the stream with an error. */
     void refuse(Status status) {
         replies.onError(status.asRuntimeException());
     }
 
-    /** Sends until the receiver has all, or leaves, or falls out of the window. */
-    void run(Function<String, Holding> windows) {
+    /** Sends until the receiver has all chunks, cancels the stream, or needs a chunk that has left the window. */
+    void run(Function<String, Holding> holdings) {
         try {
-            Optional<ChunkWindow> window = awaitWindow(windows);
+            Optional<ChunkWindow> window = awaitWindow(holdings);
             if (window.isPresent()) {
                 sendAll(window.get());
             } else if (!replies.isCancelled()) {
-                refuse(Status.NOT_FOUND.withDescription("nothing of " + request.getVersion() + " is held here"));
+                refuse(Status.NOT_FOUND.withDescription("this instance holds no chunks of " + request.getVersion()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A receiver may be quicker than this instance to hear of a plan; it waits here and not at the origin. */
-    private Optional<ChunkWindow> awaitWindow(Function<String, Holding> windows) throws InterruptedException {
-        Holding holding = windows.apply(request.getVersion());
+    /**
+     * Waits for a transfer that is about to begin. A receiver may learn of a plan before this instance does; letting it wait
+     * here keeps it from fetching from the origin.
+     */
+    private Optional<ChunkWindow> awaitWindow(Function<String, Holding> holdings) throws InterruptedException {
+        Holding holding = holdings.apply(request.getVersion());
         while (holding instanceof Holding.Coming && !replies.isCancelled()) {
-            pauseUntilItMayHaveCome();
-            holding = windows.apply(request.getVersion());
+            pauseWhilePending();
+            holding = holdings.apply(request.getVersion());
         }
         return holding instanceof Holding.Held(ChunkWindow window) ? Optional.of(window) : Optional.empty();
     }
 
-    private void pauseUntilItMayHaveCome() throws InterruptedException {
-        synchronized (ready) {
-            ready.wait(COMING_POLL_MILLIS);
+    private void pauseWhilePending() throws InterruptedException {
+        synchronized (readyMonitor) {
+            readyMonitor.wait(PENDING_POLL_MILLIS);
         }
-        tellWaiting(request.getFrom());
+        sendWaiting(request.getFrom());
     }
 
     private void sendAll(ChunkWindow window) throws InterruptedException {
@@ -88,7 +91,7 @@
         try {
             sendFrom(window, request.getFrom());
         } finally {
-            window.leave(reader);
+            window.leave(readerId);
         }
     }
 
@@ -99,7 +102,7 @@
             if (replies.isCancelled()) {
                 return;
             }
-            Result<Optional<byte[]>> chunk = window.read(reader, index, POLL);
+            Result<Optional<byte[]>> chunk = window.read(readerId, index, POLL_INTERVAL);
             if (chunk instanceof Result.Failure<Optional<byte[]>>(Fault fault)) {
                 refuse(Status.OUT_OF_RANGE.withDescription(fault.message()));
                 return;
@@ -109,7 +112,7 @@
                 send(index, data.get());
                 index++;
             } else {
-                tellWaiting(index);
+                sendWaiting(index);
             }
         }
         if (!replies.isCancelled()) {
@@ -118,15 +121,15 @@
     }
 
     private void awaitReady() throws InterruptedException {
-        synchronized (ready) {
+        synchronized (readyMonitor) {
             while (!replies.isReady() && !replies.isCancelled()) {
-                ready.wait(POLL.toMillis());
+                readyMonitor.wait(POLL_INTERVAL.toMillis());
             }
         }
     }
 
-    /** Keeps a receiver from leaving a sender that is only waiting itself. */
-    private void tellWaiting(int index) {
+    /** Reports that this sender waits for its own source, so that the receiver does not treat it as stalled. */
+    private void sendWaiting(int index) {
         if (!replies.isCancelled() && replies.isReady()) {
             replies.onNext(Chunk.newBuilder().setIndex(index).setWaiting(true).build());
         }
--- a/src/main/java/org/micabarrow/transport/grpc/PeerChannels.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerChannels.java
@@ -25,38 +25,38 @@
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.TlsFiles;
 
-/** The gRPC server of a process and its channels to others, on one small set of threads. */
+/** The gRPC server of a process and its channels to other processes, which share one small set of threads. */
 public final class PeerChannels implements AutoCloseable {
 
-    /** The threads that read and write sockets. */
+    /** The number of threads that read and write sockets. */
     private static final int IO_THREADS = 2;
 
-    /** The threads that answer calls and receive replies. */
-    private static final int WORK_THREADS = 4;
+    /** The number of threads that handle calls and receive replies. */
+    private static final int WORKER_THREADS = 4;
 
-    /** The greatest message, in bytes: above the 64 MiB that a body may have by the settings. */
-    private static final int MOST_MESSAGE_BYTES = 72 << 20;
+    /** The maximum message size, in bytes; it exceeds the 64 MiB that the settings allow for a body. */
+    private static final int MAX_MESSAGE_BYTES = 72 << 20;
 
     /** The flow-control window of a stream, in bytes. */
-    private static final int WINDOW_BYTES = 1 << 20;
+    private static final int FLOW_CONTROL_WINDOW_BYTES = 1 << 20;
 
-    /** How often an idle connection is probed, in seconds, so that one that is gone is noticed. */
+    /** The keep-alive interval of idle connections, in seconds; the probes detect dead connections. */
     private static final long KEEP_ALIVE_SECONDS = 20;
 
     private final WireMeter meter;
     private final Optional<TlsFiles> tls;
-    private final EventLoopGroup events = new NioEventLoopGroup(IO_THREADS);
-    private final ExecutorService work = Executors.newFixedThreadPool(WORK_THREADS, runnable -> {
+    private final EventLoopGroup eventLoops = new NioEventLoopGroup(IO_THREADS);
+    private final ExecutorService executor = Executors.newFixedThreadPool(WORKER_THREADS, runnable -> {
         Thread thread = new Thread(runnable, "peer-work");
         thread.setDaemon(true);
         return thread;
     });
 
     /**
-     * Makes the threads.
+     * Creates the threads.
      *
-     * @param metrics counts what goes over the wire
-     * @param tls the certificates, empty for plain connections
+     * @param metrics receives the counters of calls and bytes on the wire
+     * @param tls the certificates, empty for connections without TLS
      */
     public PeerChannels(MetricRegistry metrics, Optional<TlsFiles> tls) {
         this.tls = Objects.requireNonNull(tls, "tls is null");
@@ -67,18 +67,18 @@
      * Starts the server.
      *
      * @param address the host and port
-     * @param service answers
+     * @param service handles the calls
      * @return the running server
      * @throws IOException if the address cannot be used
      */
     public Server serve(String address, BindableService service) throws IOException {
         return NettyServerBuilder.forAddress(Addresses.parse(address), TlsFiles.server(tls))
                 .channelType(NioServerSocketChannel.class)
-                .bossEventLoopGroup(events)
-                .workerEventLoopGroup(events)
-                .executor(work)
-                .flowControlWindow(WINDOW_BYTES)
-                .maxInboundMessageSize(MOST_MESSAGE_BYTES)
+                .bossEventLoopGroup(eventLoops)
+                .workerEventLoopGroup(eventLoops)
+                .executor(executor)
+                .flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                 .permitKeepAliveTime(KEEP_ALIVE_SECONDS / 2, TimeUnit.SECONDS)
                 .addStreamTracerFactory(meter.server())
                 .addService(service)
@@ -90,23 +90,23 @@
      * Opens a channel.
      *
      * @param address the host and port
-     * @return the channel, which connects when it is first used
+     * @return the channel, which connects on first use
      */
     public ManagedChannel connect(String address) {
-        InetSocketAddress at = Addresses.parse(address);
-        return NettyChannelBuilder.forAddress(at, TlsFiles.client(tls))
+        InetSocketAddress socketAddress = Addresses.parse(address);
+        return NettyChannelBuilder.forAddress(socketAddress, TlsFiles.client(tls))
                 .channelType(NioSocketChannel.class)
-                .eventLoopGroup(events)
-                .executor(work)
-                .flowControlWindow(WINDOW_BYTES)
-                .maxInboundMessageSize(MOST_MESSAGE_BYTES)
+                .eventLoopGroup(eventLoops)
+                .executor(executor)
+                .flowControlWindow(FLOW_CONTROL_WINDOW_BYTES)
+                .maxInboundMessageSize(MAX_MESSAGE_BYTES)
                 .keepAliveTime(KEEP_ALIVE_SECONDS, TimeUnit.SECONDS)
-                .intercept(new Metered())
+                .intercept(new MeteringInterceptor())
                 .build();
     }
 
-    /** Counts every call of a channel. */
-    private final class Metered implements ClientInterceptor {
+    /** Attaches byte counters to every call of a channel. */
+    private final class MeteringInterceptor implements ClientInterceptor {
 
         @Override
         public <A, B> ClientCall<A, B> interceptCall(MethodDescriptor<A, B> method, CallOptions options, Channel next) {
@@ -116,7 +116,7 @@
 
     @Override
     public void close() {
-        events.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        work.shutdownNow();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/org/micabarrow/transport/grpc/PeerFeed.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerChunkStream.java
@@ -13,65 +13,65 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
 
-/** Chunks from another agent, asked for a few at a time so that little waits in memory. */
-final class PeerFeed implements Weights.Feed, ClientResponseObserver<ChunksRequest, Chunk> {
+/** A stream of chunks from another agent, which requests only a few chunks ahead to bound memory use. */
+final class PeerChunkStream implements Weights.Feed, ClientResponseObserver<ChunksRequest, Chunk> {
 
-    /** How many chunks are asked for before they are read, which bounds the memory. */
-    private static final int AHEAD = 2;
+    /** How many chunks are requested ahead of the reader; bounds memory use. */
+    private static final int PREFETCHED_CHUNKS = 2;
 
-    private static final Chunk END = Chunk.newBuilder().setIndex(-1).build();
+    private static final Chunk END_MARKER = Chunk.newBuilder().setIndex(-1).build();
 
     private final String address;
-    private final LinkedBlockingQueue<Chunk> arrived = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Chunk> received = new LinkedBlockingQueue<>();
     private volatile ClientCallStreamObserver<ChunksRequest> call;
-    private volatile Fault failure;
+    private volatile Fault endFault;
 
-    PeerFeed(String address) {
+    PeerChunkStream(String address) {
         this.address = address;
     }
 
     // -- reading
 
     /**
-     * Waits for the next chunk. A sender that reports that it waits for its own source is given more time, since
-     * it will change to another source itself.
+     * Waits for the next chunk. A sender that reports that it waits for its own source is given more time, because
+     * it switches to another source itself.
      */
     @Override
     public Result<byte[]> next(Weights.Patience patience) {
-        long end = System.nanoTime() + patience.waiting().toNanos();
+        long deadlineNanos = System.nanoTime() + patience.waiting().toNanos();
         try {
             while (true) {
                 Optional<Chunk> next =
-                        Optional.ofNullable(arrived.poll(patience.silence().toMillis(), TimeUnit.MILLISECONDS));
+                        Optional.ofNullable(received.poll(patience.silence().toMillis(), TimeUnit.MILLISECONDS));
                 if (next.isEmpty()) {
-                    return failed(
+                    return failure(
                             Reason.STALLED,
-                            "nothing within " + patience.silence().toMillis() + " ms");
+                            "no chunk received within " + patience.silence().toMillis() + " ms");
                 }
-                if (next.get() == END) {
-                    return Result.failure(failure);
+                if (next.get() == END_MARKER) {
+                    return Result.failure(endFault);
                 }
                 call.request(1);
                 if (!next.get().getWaiting()) {
                     return Result.success(next.get().getData().toByteArray());
                 }
-                if (System.nanoTime() > end) {
-                    return failed(Reason.NOT_READY, "it waits for its own source");
+                if (System.nanoTime() > deadlineNanos) {
+                    return failure(Reason.NOT_READY, "the sender still waits for its own source");
                 }
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return failed(Reason.CANCELLED, "interrupted");
+            return failure(Reason.CANCELLED, "interrupted");
         }
     }
 
-    private Result<byte[]> failed(Reason reason, String message) {
+    private Result<byte[]> failure(Reason reason, String message) {
         return Result.failure(Fault.of(Step.FETCH, address, reason, message));
     }
 
     @Override
     public void close() {
-        call.cancel("no further chunks wanted", null);
+        call.cancel("no more chunks needed", null);
     }
 
     // -- receiving
@@ -79,26 +79,26 @@
     @Override
     public void beforeStart(ClientCallStreamObserver<ChunksRequest> stream) {
         call = stream;
-        stream.disableAutoRequestWithInitial(AHEAD);
+        stream.disableAutoRequestWithInitial(PREFETCHED_CHUNKS);
     }
 
     @Override
     public void onNext(Chunk chunk) {
-        arrived.add(chunk);
+        received.add(chunk);
     }
 
     @Override
     public void onError(Throwable error) {
-        end(CallFaults.of(Step.FETCH, address, error));
+        finish(CallFaults.of(Step.FETCH, address, error));
     }
 
     @Override
     public void onCompleted() {
-        end(Fault.of(Step.FETCH, address, Reason.GONE, "the peer has no further chunks"));
+        finish(Fault.of(Step.FETCH, address, Reason.GONE, "the peer has no more chunks"));
     }
 
-    private void end(Fault fault) {
-        failure = fault;
-        arrived.add(END);
+    private void finish(Fault fault) {
+        endFault = fault;
+        received.add(END_MARKER);
     }
 }
--- a/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
@@ -38,102 +38,108 @@
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
-/** Calls other processes of the system over gRPC, and keeps one connection to each. */
+/** Calls other processes of the system over gRPC and keeps one channel to each. */
 public final class PeerClient implements AgentCalls, ConfigurationReader.Peers, AutoCloseable {
 
-    /** How long a peer may take for a call that it answers from memory. */
-    private static final Duration CALL_WITHIN = Duration.ofSeconds(1);
+    /** The timeout of a call that a peer answers from memory. */
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
-    /** How much longer than the request's deadline an attempt may take, so that the agent's own answer arrives. */
-    private static final Duration ANSWER_SLACK = Duration.ofSeconds(1);
+    /** How far the call's deadline exceeds the request's, so that the agent's own outcome still arrives. */
+    private static final Duration RESPONSE_MARGIN = Duration.ofSeconds(1);
 
     private final String self;
     private final InstantSource clock;
-    private final Function<String, ManagedChannel> connect;
-    private final Supplier<List<String>> known;
+    private final Function<String, ManagedChannel> channelFactory;
+    private final Supplier<List<String>> knownPeers;
     private final MetricRegistry metrics;
     private final Map<String, ManagedChannel> channels = new ConcurrentHashMap<>();
-    private volatile BiConsumer<String, PeerView.Load> loads = (instance, load) -> {};
+    private volatile BiConsumer<String, PeerView.Load> loadListener = (instance, load) -> {};
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param self this instance's name
-     * @param clock tells when a load was heard
-     * @param connect opens a channel to an address
-     * @param known the peers to ask for a folded state
-     * @param metrics counts parts of answers that belong to another attempt
+     * @param self the id of this instance
+     * @param clock timestamps received loads
+     * @param channelFactory opens a channel to an address
+     * @param knownPeers supplies the addresses of the peers from which a folded state can be read
+     * @param metrics counts response parts that belong to another attempt
      */
     public PeerClient(
             String self,
             InstantSource clock,
-            Function<String, ManagedChannel> connect,
-            Supplier<List<String>> known,
+            Function<String, ManagedChannel> channelFactory,
+            Supplier<List<String>> knownPeers,
             MetricRegistry metrics) {
         this.self = Objects.requireNonNull(self, "self is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.connect = Objects.requireNonNull(connect, "connect is null");
-        this.known = Objects.requireNonNull(known, "known is null");
+        this.channelFactory = Objects.requireNonNull(channelFactory, "channelFactory is null");
+        this.knownPeers = Objects.requireNonNull(knownPeers, "knownPeers is null");
         this.metrics = Objects.requireNonNull(metrics, "metrics is null");
     }
 
     private PeerGrpc.PeerStub stub(String address) {
-        ManagedChannel channel = channels.computeIfAbsent(address, connect);
+        ManagedChannel channel = channels.computeIfAbsent(address, channelFactory);
         if (channel.getState(false) == ConnectivityState.TRANSIENT_FAILURE) {
-            // An instance that comes back at its old address is not to wait until a long back-off has passed.
+            // An instance that restarts at its old address becomes reachable without waiting for a long reconnect
+            // backoff.
             channel.resetConnectBackoff();
         }
         return PeerGrpc.newStub(channel);
     }
 
     /**
-     * Registers a listener for the loads that agents tell with their answers.
+     * Sets the listener for the loads that agents report with their responses.
      *
-     * @param listener receives the instance and its load
+     * @param listener receives the instance id and its load
      */
     public void onLoad(BiConsumer<String, PeerView.Load> listener) {
-        loads = Objects.requireNonNull(listener, "listener is null");
+        loadListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     // -- requests
 
     @Override
-    public Runnable handle(Replica to, AgentRequest request, AnswerListener listener) {
-        AnswerReceiver receiver = new AnswerReceiver(
-                to, request.attempt(), listener, load -> loads.accept(to.instance(), load), clock, metrics);
-        long millis = Math.max(1, request.remainingMillis()) + ANSWER_SLACK.toMillis();
-        stub(to.address())
-                .withDeadlineAfter(millis, TimeUnit.MILLISECONDS)
+    public Runnable handle(Replica replica, AgentRequest request, AnswerListener listener) {
+        ResponseReceiver receiver = new ResponseReceiver(
+                replica,
+                request.attempt(),
+                listener,
+                load -> loadListener.accept(replica.instance(), load),
+                clock,
+                metrics);
+        long timeoutMillis = Math.max(1, request.remainingMillis()) + RESPONSE_MARGIN.toMillis();
+        stub(replica.address())
+                .withDeadlineAfter(timeoutMillis, TimeUnit.MILLISECONDS)
                 .handle(RequestMessages.toWire(request), receiver);
         return receiver::cancel;
     }
 
     @Override
-    public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim) {
+    public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica replica, Claim claim) {
         SettleRequest request = SettleRequest.newBuilder()
                 .setClaim(RequestMessages.toWire(claim))
                 .build();
-        SingleReply<SettleRequest, SettleReply> reply = new SingleReply<>(Step.CLAIM, to.instance());
-        within(to.address(), CALL_WITHIN).settle(request, reply);
+        UnaryReplyObserver<SettleRequest, SettleReply> reply = new UnaryReplyObserver<>(Step.CLAIM, replica.instance());
+        stubWithTimeout(replica.address(), CALL_TIMEOUT).settle(request, reply);
         return reply.result().thenApply(result -> result.map(AnswerMessages::fromWire));
     }
 
     // -- status and records
 
     /**
-     * Asks a process for its status.
+     * Requests the status of a process.
      *
-     * @param address the process
-     * @param generation this process's generation
-     * @return its status
+     * @param address the address of the process
+     * @param generation the configuration generation of this process
+     * @return its status, or a failure if it cannot be read
      */
     public CompletableFuture<Result<StatusReply>> status(String address, long generation) {
         StatusRequest request = StatusRequest.newBuilder()
                 .setGeneration(generation)
                 .setSender(self)
                 .build();
-        SingleReply<StatusRequest, StatusReply> reply = new SingleReply<>(Step.STATUS, address);
-        within(address, CALL_WITHIN).status(request, reply);
+        UnaryReplyObserver<StatusRequest, StatusReply> reply = new UnaryReplyObserver<>(Step.STATUS, address);
+        stubWithTimeout(address, CALL_TIMEOUT).status(request, reply);
         return reply.result();
     }
 
@@ -144,29 +150,30 @@
                 .setSender(self)
                 .setWaitMillis(wait.toMillis())
                 .build();
-        return askRecords(address, request, wait.plus(CALL_WITHIN)).map(RecordReplies::page);
+        return requestRecords(address, request, wait.plus(CALL_TIMEOUT)).map(RecordsReplyParser::page);
     }
 
     @Override
     public Result<ConfigurationReader.StateCopy> state(String address) {
         RecordsRequest request =
                 RecordsRequest.newBuilder().setState(true).setSender(self).build();
-        return askRecords(address, request, CALL_WITHIN).flatMap(reply -> RecordReplies.stateCopy(address, reply));
+        return requestRecords(address, request, CALL_TIMEOUT)
+                .flatMap(reply -> RecordsReplyParser.stateCopy(address, reply));
     }
 
-    private Result<RecordsReply> askRecords(String address, RecordsRequest request, Duration within) {
-        SingleReply<RecordsRequest, RecordsReply> reply = new SingleReply<>(Step.LOG, address);
-        within(address, within).records(request, reply);
+    private Result<RecordsReply> requestRecords(String address, RecordsRequest request, Duration timeout) {
+        UnaryReplyObserver<RecordsRequest, RecordsReply> reply = new UnaryReplyObserver<>(Step.LOG, address);
+        stubWithTimeout(address, timeout).records(request, reply);
         return reply.await();
     }
 
     @Override
     public List<String> known() {
-        return known.get();
+        return knownPeers.get();
     }
 
-    private PeerGrpc.PeerStub within(String address, Duration limit) {
-        return stub(address).withDeadlineAfter(limit.toMillis(), TimeUnit.MILLISECONDS);
+    private PeerGrpc.PeerStub stubWithTimeout(String address, Duration timeout) {
+        return stub(address).withDeadlineAfter(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     // -- weights
@@ -174,15 +181,15 @@
     /**
      * Opens a stream of chunks from another agent.
      *
-     * @param address the agent
-     * @param artifact the manifest's digest
-     * @param from the first chunk wanted
-     * @param to the index after the last chunk wanted
-     * @param generation this process's generation
+     * @param address the agent's address
+     * @param artifact the digest of the artifact's manifest
+     * @param from the index of the first chunk
+     * @param to the index after the last chunk
+     * @param generation the configuration generation of this process
      * @return the stream
      */
     public Weights.Feed chunks(String address, String artifact, int from, int to, long generation) {
-        PeerFeed feed = new PeerFeed(address);
+        PeerChunkStream stream = new PeerChunkStream(address);
         ChunksRequest request = ChunksRequest.newBuilder()
                 .setVersion(artifact)
                 .setFrom(from)
@@ -190,8 +197,8 @@
                 .setReceiver(self)
                 .setGeneration(generation)
                 .build();
-        stub(address).chunks(request, feed);
-        return feed;
+        stub(address).chunks(request, stream);
+        return stream;
     }
 
     @Override
--- a/src/main/java/org/micabarrow/transport/grpc/PeerService.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerService.java
@@ -38,25 +38,28 @@
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.transport.LinkPacer;
 
-/** Answers other processes of the system. An entry runs no requests and holds no chunks, and answers such calls so. */
+/**
+ * Handles gRPC calls from other processes of the system. An entry runs no requests and holds no chunks, and replies to calls
+ * for them accordingly.
+ */
 public final class PeerService extends PeerGrpc.PeerImplBase {
 
-    /** The most records in one reply, which bounds its size. */
-    private static final int MOST_RECORDS = 256;
+    /** The maximum number of records in one reply; bounds its size. */
+    private static final int MAX_RECORDS = 256;
 
-    /** How long a call waits for its sender's configuration, before it is decided on the one in force. */
-    private static final Duration CATCH_UP = Duration.ofSeconds(1);
+    /** How long a call waits for this process to reach its sender's configuration before it uses the active one. */
+    private static final Duration CATCH_UP_TIMEOUT = Duration.ofSeconds(1);
 
     private final Configuration configuration;
     private final Supplier<StatusReply> status;
     private final Optional<AgentParts> agent;
 
     /**
-     * Makes the service.
+     * Creates the service.
      *
-     * @param configuration the configuration in force here
-     * @param status gives the present status
-     * @param agent what only agents have
+     * @param configuration the configuration of this process
+     * @param status supplies the current status
+     * @param agent the components of an agent, empty on an entry
      */
     public PeerService(Configuration configuration, Supplier<StatusReply> status, Optional<AgentParts> agent) {
         this.configuration = Objects.requireNonNull(configuration, "configuration is null");
@@ -65,20 +68,20 @@
     }
 
     /**
-     * What only agents have.
+     * The components that only agents have.
      *
      * @param flow runs requests
-     * @param windows the chunks of an artifact that can be passed on, now or soon
-     * @param load the present load
-     * @param link holds what is sent to the link's rate
-     * @param senders runs the streams of chunks
+     * @param holdings returns what this instance holds of an artifact for other instances, now or soon
+     * @param load supplies the current load
+     * @param link limits outgoing chunks to the link's rate
+     * @param senderExecutor runs the chunk streams
      */
     public record AgentParts(
             AgentFlow flow,
-            Function<String, Holding> windows,
+            Function<String, Holding> holdings,
             Supplier<Load> load,
             LinkPacer link,
-            ExecutorService senders) {}
+            ExecutorService senderExecutor) {}
 
     // -- requests
 
@@ -90,42 +93,43 @@
                     .asRuntimeException());
             return;
         }
-        Answering answering = new Answering(request.getAttempt(), (ServerCallStreamObserver<HandleReply>) replies);
-        Runnable cancel = agent.get().flow().begin(RequestMessages.fromWire(request), answering);
-        answering.cancelWith(cancel);
+        ResponseWriter writer =
+                new ResponseWriter(request.getAttempt(), (ServerCallStreamObserver<HandleReply>) replies);
+        Runnable cancel = agent.get().flow().begin(RequestMessages.fromWire(request), writer);
+        writer.setCancelAction(cancel);
     }
 
-    /** Writes one answer, no faster than the entry takes it. */
-    private final class Answering implements AnswerListener {
+    /** Writes the response to one attempt, applying the backpressure of the calling entry. */
+    private final class ResponseWriter implements AnswerListener {
 
         private final String attempt;
         private final ServerCallStreamObserver<HandleReply> replies;
-        private final AtomicReference<Runnable> waiting = new AtomicReference<>();
-        private final AtomicReference<Runnable> cancel = new AtomicReference<>(() -> {});
-        private volatile boolean gone;
+        private final AtomicReference<Runnable> pendingMore = new AtomicReference<>();
+        private final AtomicReference<Runnable> cancelAction = new AtomicReference<>(() -> {});
+        private volatile boolean cancelled;
 
-        private Answering(String attempt, ServerCallStreamObserver<HandleReply> replies) {
+        private ResponseWriter(String attempt, ServerCallStreamObserver<HandleReply> replies) {
             this.attempt = attempt;
             this.replies = replies;
-            replies.setOnReadyHandler(this::goOn);
-            replies.setOnCancelHandler(this::cancelled);
+            replies.setOnReadyHandler(this::resume);
+            replies.setOnCancelHandler(this::onCancelled);
         }
 
-        private void cancelWith(Runnable runnable) {
-            cancel.set(runnable);
-            if (gone) {
-                runnable.run();
+        private void setCancelAction(Runnable action) {
+            cancelAction.set(action);
+            if (cancelled) {
+                action.run();
             }
         }
 
-        private void cancelled() {
-            gone = true;
-            cancel.get().run();
-            goOn();
+        private void onCancelled() {
+            cancelled = true;
+            cancelAction.get().run();
+            resume();
         }
 
-        private void goOn() {
-            Runnable more = waiting.getAndSet(null);
+        private void resume() {
+            Runnable more = pendingMore.getAndSet(null);
             if (more != null) {
                 more.run();
             }
@@ -142,13 +146,13 @@
                     .setAttempt(attempt)
                     .setData(ByteString.copyFrom(data))
                     .build());
-            if (gone || replies.isReady()) {
+            if (cancelled || replies.isReady()) {
                 more.run();
                 return;
             }
-            waiting.set(more);
-            if (gone || replies.isReady()) {
-                goOn();
+            pendingMore.set(more);
+            if (cancelled || replies.isReady()) {
+                resume();
             }
         }
 
@@ -159,13 +163,13 @@
                     .setEnd(AnswerMessages.toWire(outcome))
                     .setLoad(agent.orElseThrow().load().get())
                     .build());
-            if (!gone) {
+            if (!cancelled) {
                 replies.onCompleted();
             }
         }
 
         private void send(HandleReply reply) {
-            if (!gone) {
+            if (!cancelled) {
                 replies.onNext(reply);
             }
         }
@@ -173,30 +177,30 @@
 
     @Override
     public void settle(SettleRequest request, StreamObserver<SettleReply> replies) {
-        SettleReply reply = agent.map(parts ->
-                        AnswerMessages.toWire(parts.flow().settle(RequestMessages.fromWire(request.getClaim()))))
+        SettleReply reply = agent.map(components ->
+                        AnswerMessages.toWire(components.flow().settle(RequestMessages.fromWire(request.getClaim()))))
                 .orElse(SettleReply.newBuilder()
                         .setState(SettleReply.State.LOST)
                         .build());
-        answer(replies, reply);
+        sendReply(replies, reply);
     }
 
     // -- status and records
 
     @Override
     public void status(StatusRequest request, StreamObserver<StatusReply> replies) {
-        answer(replies, status.get());
+        sendReply(replies, status.get());
     }
 
     @Override
     public void records(RecordsRequest request, StreamObserver<RecordsReply> replies) {
         if (request.getState()) {
-            answer(replies, stateReply());
+            sendReply(replies, stateReply());
             return;
         }
         configuration
                 .reach(request.getFrom(), Duration.ofMillis(Math.max(1, request.getWaitMillis())))
-                .whenCompleteAsync((state, late) -> answer(replies, recordsReply(request.getFrom())));
+                .whenCompleteAsync((state, error) -> sendReply(replies, recordsReply(request.getFrom())));
     }
 
     private RecordsReply stateReply() {
@@ -204,27 +208,31 @@
             return RecordsReply.getDefaultInstance();
         }
         FoldedState state = configuration.current();
-        return aged().setCheckpoint(ByteString.copyFrom(CanonicalJson.write(state)))
+        return replyWithAge()
+                .setCheckpoint(ByteString.copyFrom(CanonicalJson.write(state)))
                 .setCheckpointOffset(state.offset())
                 .setCheckpointDigest(state.digest())
                 .build();
     }
 
-    private RecordsReply.Builder aged() {
+    private RecordsReply.Builder replyWithAge() {
         RecordsReply.Builder reply = RecordsReply.newBuilder();
         return configuration.known() ? reply.setHeardMillisAgo(configuration.silentMillis()) : reply;
     }
 
-    /** The records from an offset on; {@code first} tells a reader that asks for older ones to take the state. */
+    /**
+     * Returns the records from an offset onwards. A reader that needs records before {@code first} has to read the folded
+     * state instead.
+     */
     private RecordsReply recordsReply(long from) {
         Configuration.View view = configuration.view();
         List<PlatformLog.Entry> tail = view.tail();
         long first =
                 tail.isEmpty() ? view.state().offset() + 1 : tail.getFirst().offset();
-        RecordsReply.Builder reply = aged().setFirst(first);
+        RecordsReply.Builder reply = replyWithAge().setFirst(first);
         tail.stream()
                 .filter(entry -> entry.offset() >= from)
-                .limit(MOST_RECORDS)
+                .limit(MAX_RECORDS)
                 .map(entry -> LogRecord.newBuilder()
                         .setOffset(entry.offset())
                         .setAtMillis(entry.atMillis())
@@ -234,7 +242,7 @@
         return reply.build();
     }
 
-    private static <T> void answer(StreamObserver<T> replies, T reply) {
+    private static <T> void sendReply(StreamObserver<T> replies, T reply) {
         replies.onNext(reply);
         replies.onCompleted();
     }
@@ -249,21 +257,22 @@
                     .asRuntimeException());
             return;
         }
-        AgentParts parts = agent.get();
-        ChunkSender sender = new ChunkSender(request, (ServerCallStreamObserver<Chunk>) replies, parts.link());
+        AgentParts components = agent.get();
+        ChunkSender sender = new ChunkSender(request, (ServerCallStreamObserver<Chunk>) replies, components.link());
         configuration
-                .reach(request.getGeneration(), CATCH_UP)
-                .whenCompleteAsync((state, late) -> send(request, sender, parts), parts.senders());
+                .reach(request.getGeneration(), CATCH_UP_TIMEOUT)
+                .whenCompleteAsync(
+                        (state, error) -> sendChunks(request, sender, components), components.senderExecutor());
     }
 
-    /** Weights pass only between instances that carry a replica of a placement that uses them. */
-    private void send(ChunksRequest request, ChunkSender sender, AgentParts parts) {
-        boolean placed = configuration.current().placements().values().stream()
-                .filter(one -> one.placement().workload().artifacts().stream()
+    /** Sends weights only to an instance that has a replica of a placement that uses them. */
+    private void sendChunks(ChunksRequest request, ChunkSender sender, AgentParts components) {
+        boolean permitted = configuration.current().placements().values().stream()
+                .filter(placed -> placed.placement().workload().artifacts().stream()
                         .anyMatch(artifact -> artifact.digest().equals(request.getVersion())))
-                .anyMatch(one -> one.replicaOn(request.getReceiver()).isPresent());
-        if (placed) {
-            sender.run(parts.windows());
+                .anyMatch(placed -> placed.replicaOn(request.getReceiver()).isPresent());
+        if (permitted) {
+            sender.run(components.holdings());
         } else {
             sender.refuse(Status.PERMISSION_DENIED.withDescription(
                     "no placement has " + request.getVersion() + " on " + request.getReceiver()));
--- a/src/main/java/org/micabarrow/transport/grpc/RecordReplies.java
+++ b/src/main/java/org/micabarrow/transport/grpc/RecordsReplyParser.java
@@ -11,33 +11,36 @@
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.state.Result;
 
-/** Reads what other processes tell of the configuration: its records, or a copy of its folded state. */
-final class RecordReplies {
+/** Parses other processes' replies to reads of the configuration: its records, or a copy of its folded state. */
+final class RecordsReplyParser {
 
-    private RecordReplies() {}
+    private RecordsReplyParser() {}
 
-    /** The records of a reply. */
+    /** Returns the records of a reply. */
     static PlatformLog.Page page(RecordsReply reply) {
         return new PlatformLog.Page(
                 reply.getFirst(),
                 reply.getRecordsList().stream()
-                        .map(one -> new PlatformLog.Entry(
-                                one.getOffset(),
-                                one.getAtMillis(),
-                                one.getBody().toByteArray()))
+                        .map(logRecord -> new PlatformLog.Entry(
+                                logRecord.getOffset(),
+                                logRecord.getAtMillis(),
+                                logRecord.getBody().toByteArray()))
                         .toList(),
                 ageMillis(reply));
     }
 
-    /** A relay that is cut off still answers, so its answer is as old as what it heard of the log. */
+    /**
+     * Returns the age of a reply. A relay that is cut off from the log still replies, so the age of its reply is the time since
+     * its own last contact with the log.
+     */
     private static long ageMillis(RecordsReply reply) {
         return reply.hasHeardMillisAgo() ? Math.max(0, reply.getHeardMillisAgo()) : PlatformLog.Page.UNKNOWN_AGE;
     }
 
-    /** The folded state of a reply, with its digest as the peer told it. */
+    /** Returns the folded state of a reply, with the digest that the peer reported. */
     static Result<ConfigurationReader.StateCopy> stateCopy(String address, RecordsReply reply) {
         if (reply.getCheckpoint().isEmpty()) {
-            return Result.failure(Fault.of(Step.LOG, address, Reason.NOT_READY, "the peer knows no configuration"));
+            return Result.failure(Fault.of(Step.LOG, address, Reason.NOT_READY, "the peer has no configuration"));
         }
         try {
             FoldedState state = CanonicalJson.read(reply.getCheckpoint().toByteArray(), FoldedState.class);
--- a/src/main/java/org/micabarrow/transport/grpc/AnswerReceiver.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
@@ -18,29 +18,29 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Replica;
 
-/** Receives one attempt's answer, one part at a time. */
-final class AnswerReceiver implements ClientResponseObserver<HandleRequest, HandleReply> {
+/** Receives the response to one attempt, requesting one part at a time from the sender. */
+final class ResponseReceiver implements ClientResponseObserver<HandleRequest, HandleReply> {
 
-    private final Replica to;
+    private final Replica replica;
     private final String attempt;
     private final AnswerListener listener;
-    private final Consumer<PeerView.Load> loads;
+    private final Consumer<PeerView.Load> loadListener;
     private final InstantSource clock;
     private final MetricRegistry metrics;
-    private final AtomicBoolean ended = new AtomicBoolean();
+    private final AtomicBoolean finished = new AtomicBoolean();
     private volatile ClientCallStreamObserver<HandleRequest> call;
 
-    AnswerReceiver(
-            Replica to,
+    ResponseReceiver(
+            Replica replica,
             String attempt,
             AnswerListener listener,
-            Consumer<PeerView.Load> loads,
+            Consumer<PeerView.Load> loadListener,
             InstantSource clock,
             MetricRegistry metrics) {
-        this.to = to;
+        this.replica = replica;
         this.attempt = attempt;
         this.listener = listener;
-        this.loads = loads;
+        this.loadListener = loadListener;
         this.clock = clock;
         this.metrics = metrics;
     }
@@ -65,8 +65,8 @@
             }
             case DATA -> listener.onData(reply.getData().toByteArray(), () -> call.request(1));
             case END -> {
-                loads.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
-                end(AnswerMessages.fromWire(to.instance(), reply.getEnd()));
+                loadListener.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
+                finish(AnswerMessages.fromWire(replica.instance(), reply.getEnd()));
                 call.request(1);
             }
             default -> call.request(1);
@@ -75,23 +75,26 @@
 
     @Override
     public void onError(Throwable error) {
-        end(CallFaults.outcomeOf(to.instance(), error));
+        finish(CallFaults.outcomeOf(replica.instance(), error));
     }
 
     @Override
     public void onCompleted() {
-        end(Outcome.unknown(
-                Fault.of(Step.ANSWER, to.instance(), Reason.UNREACHABLE, "the answer ended without its end")));
+        finish(Outcome.unknown(Fault.of(
+                Step.ANSWER,
+                replica.instance(),
+                Reason.UNREACHABLE,
+                "the response stream completed without an outcome")));
     }
 
-    private void end(Outcome outcome) {
-        if (ended.compareAndSet(false, true)) {
+    private void finish(Outcome outcome) {
+        if (finished.compareAndSet(false, true)) {
             listener.onEnd(outcome);
         }
     }
 
-    /** Cancels the call; its listener still receives one end. */
+    /** Cancels the call; the listener still receives exactly one outcome. */
     void cancel() {
-        call.cancel("the caller has gone", null);
+        call.cancel("the caller disconnected", null);
     }
 }
--- a/src/main/java/org/micabarrow/transport/grpc/SingleReply.java
+++ b/src/main/java/org/micabarrow/transport/grpc/UnaryReplyObserver.java
@@ -15,24 +15,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives the only answer to a call.
+ * Receives the reply of a unary call.
  *
- * @param <Q> what was asked
- * @param <T> the answer
+ * @param <Q> the type of the request
+ * @param <T> the type of the reply
  */
-final class SingleReply<Q, T> implements ClientResponseObserver<Q, T> {
+final class UnaryReplyObserver<Q, T> implements ClientResponseObserver<Q, T> {
 
-    private static final Logger LOG = LoggerFactory.getLogger(SingleReply.class);
+    private static final Logger LOG = LoggerFactory.getLogger(UnaryReplyObserver.class);
 
-    /** How long the end of a cancelled call is waited for. It takes one task of the threads for calls. */
-    private static final Duration LONGEST_END = Duration.ofSeconds(1);
+    /** How long to wait for a cancelled call to end, which takes a single task on the executor for calls. */
+    private static final Duration CANCELLATION_TIMEOUT = Duration.ofSeconds(1);
 
     private final Step step;
     private final String peer;
     private final CompletableFuture<Result<T>> result = new CompletableFuture<>();
     private volatile ClientCallStreamObserver<Q> call;
 
-    SingleReply(Step step, String peer) {
+    UnaryReplyObserver(Step step, String peer) {
         this.step = step;
         this.peer = peer;
     }
@@ -54,24 +54,24 @@
 
     @Override
     public void onCompleted() {
-        result.complete(Result.failure(Fault.of(step, peer, Reason.UNREACHABLE, "the call ended without an answer")));
+        result.complete(Result.failure(Fault.of(step, peer, Reason.UNREACHABLE, "the call completed without a reply")));
     }
 
-    /** The answer, or why there is none. */
+    /** Returns the reply, or the reason why there is none. */
     CompletableFuture<Result<T>> result() {
         return result;
     }
 
     /**
-     * Waits for the answer. An interrupt cancels the call, so that a thread that is to end does not wait for what its peer may
-     * hold back for seconds.
+     * Waits for the reply. An interrupt cancels the call, so that a thread that is to stop does not wait for a reply that its
+     * peer may delay for seconds.
      */
     Result<T> await() {
         try {
             return result.get();
         } catch (InterruptedException e) {
             call.cancel("interrupted", null);
-            awaitEnd();
+            awaitCancellation();
             Thread.currentThread().interrupt();
             return Result.failure(Fault.of(step, peer, Reason.CANCELLED, "interrupted"));
         } catch (ExecutionException e) {
@@ -79,10 +79,10 @@
         }
     }
 
-    /** A cancelled call ends on the threads for calls, which may be closed as soon as nobody waits for it any more. */
-    private void awaitEnd() {
+    /** Waits for a cancelled call to end: it ends on the executor for calls, which may be shut down after this returns. */
+    private void awaitCancellation() {
         try {
-            result.get(LONGEST_END.toMillis(), TimeUnit.MILLISECONDS);
+            result.get(CANCELLATION_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             LOG.debug("event=call_end_not_seen peer={} why=\"{}\"", peer, e.toString());
         }
--- a/src/main/java/org/micabarrow/transport/grpc/WireMeter.java
+++ b/src/main/java/org/micabarrow/transport/grpc/WireMeter.java
@@ -8,29 +8,29 @@
 import java.util.Objects;
 
 /**
- * Counts what goes over connections between processes: metrics {@code peers.METHOD.sent}, {@code .received} and
- * {@code .calls}, in bytes as they are on the wire.
+ * Counts the traffic between processes in the metrics {@code peers.METHOD.sent} and {@code .received}, in bytes on the
+ * wire, and the calls that a server handles in {@code peers.METHOD.calls}.
  */
 public final class WireMeter {
 
     private final MetricRegistry registry;
 
     /**
-     * Makes a meter.
+     * Creates a meter.
      *
-     * @param registry holds the counters
+     * @param registry receives the counters
      */
     public WireMeter(MetricRegistry registry) {
         this.registry = Objects.requireNonNull(registry, "registry is null");
     }
 
-    private Counter counter(String method, String what) {
-        String shortName = method.substring(method.lastIndexOf('/') + 1);
-        return registry.counter(MetricRegistry.name("peers", shortName, what));
+    private Counter counter(String method, String metric) {
+        String methodName = method.substring(method.lastIndexOf('/') + 1);
+        return registry.counter(MetricRegistry.name("peers", methodName, metric));
     }
 
     /**
-     * Counts the calls that a server answers.
+     * Returns the tracer factory for a server; it counts calls and bytes.
      *
      * @return the factory for a server
      */
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Counts one call that a client makes.
+     * Returns the tracer factory for one client call; it counts bytes.
      *
-     * @param method the method's full name
+     * @param method the full name of the gRPC method
      * @return the factory for the call
      */
     public ClientStreamTracer.Factory client(String method) {
--- a/src/main/java/org/micabarrow/transport/grpc/package-info.java
+++ b/src/main/java/org/micabarrow/transport/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** Calls between the system's own processes over gRPC: channels and their server, requests, records and chunks. */
+/** gRPC between the system's own processes: the server and its channels, and calls for requests, records and chunks. */
 package org.micabarrow.transport.grpc;
--- a/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
@@ -16,103 +16,103 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.grpc.PeerClient;
 
-/** What operators ask of an entry: plans, confirmations, the state of things, and why a request goes where it goes. */
+/** The operations that an entry offers to operators: plans, confirmations, replica status and explanations of routing. */
 public final class OperatorApi {
 
-    /** How soon an accepted configuration must be in force everywhere. */
-    public static final Duration IN_FORCE_WITHIN = Duration.ofSeconds(9);
+    /** How long a confirmation waits for the accepted configuration to become active on every instance. */
+    public static final Duration ACTIVATION_TIMEOUT = Duration.ofSeconds(9);
 
-    /** How long the log may take for an operator's record. */
-    static final Duration WRITE_WITHIN = Duration.ofSeconds(9);
+    /** The timeout of writing an operator's record to the log. */
+    static final Duration WRITE_TIMEOUT = Duration.ofSeconds(9);
 
-    private final PlanProposals proposals;
-    private final PlanConfirmations confirmations;
-    private final ReplicaStatuses statuses;
-    private final RouteExplanations explanations;
+    private final PlanProposer planProposer;
+    private final PlanConfirmer planConfirmer;
+    private final ReplicaStatusCollector statusCollector;
+    private final RouteExplainer routeExplainer;
 
     /**
-     * Makes the API.
+     * Creates the API.
      *
-     * @param parts what it works with
-     * @param ids gives ids to records
-     * @param clock tells the time
+     * @param dependencies the components that it uses
+     * @param recordIds generates record ids
+     * @param clock the time source
      */
-    public OperatorApi(Parts parts, Supplier<String> ids, InstantSource clock) {
-        Objects.requireNonNull(parts, "parts is null");
-        Objects.requireNonNull(ids, "ids is null");
+    public OperatorApi(Parts dependencies, Supplier<String> recordIds, InstantSource clock) {
+        Objects.requireNonNull(dependencies, "dependencies is null");
+        Objects.requireNonNull(recordIds, "recordIds is null");
         Objects.requireNonNull(clock, "clock is null");
-        this.proposals = new PlanProposals(parts, ids);
-        this.confirmations = new PlanConfirmations(parts, ids, clock);
-        this.statuses = new ReplicaStatuses(parts);
-        this.explanations = new RouteExplanations(parts, clock);
+        this.planProposer = new PlanProposer(dependencies, recordIds);
+        this.planConfirmer = new PlanConfirmer(dependencies, recordIds, clock);
+        this.statusCollector = new ReplicaStatusCollector(dependencies);
+        this.routeExplainer = new RouteExplainer(dependencies, clock);
     }
 
     /**
-     * What the API works with.
+     * The components that the API uses.
      *
-     * @param entry this entry's name
-     * @param links what the links carry
-     * @param configuration the configuration in force here
-     * @param writer writes records
-     * @param list the platform's list of instances
-     * @param table what is known of the agents
+     * @param entry the id of this entry
+     * @param links the bandwidth of the links
+     * @param configuration the configuration of this process
+     * @param writer writes records to the log
+     * @param instanceList the platform's list of instances
+     * @param agentTable the known agents and their state
      * @param weights reads manifests
-     * @param peers asks other processes
-     * @param router explains its decisions
-     * @param waiting how many requests wait for room
+     * @param peers calls other processes
+     * @param router makes the routing decisions to explain
+     * @param waitingRequests supplies the number of requests that wait for a free slot
      */
     public record Parts(
             String entry,
             Links links,
             Configuration configuration,
             RecordWriter writer,
-            InstanceList list,
-            PeerTable table,
+            InstanceList instanceList,
+            PeerTable agentTable,
             Weights weights,
             PeerClient peers,
             Router router,
-            IntSupplier waiting) {}
+            IntSupplier waitingRequests) {}
 
     /**
-     * Works out the plan for an intent and proposes it on the log, where any entry can confirm it.
+     * Computes the plan for an intent and proposes it on the log, where any entry can confirm it.
      *
-     * @param file the intent's file name, for errors
-     * @param bytes the intent
-     * @return the plan
+     * @param file the file name of the intent, for error messages
+     * @param bytes the content of the intent
+     * @return the plan, or a failure if there is none
      */
     public Result<OperatorMessages.Planned> plan(String file, byte[] bytes) {
-        return proposals.plan(file, bytes);
+        return planProposer.plan(file, bytes);
     }
 
     /**
-     * Confirms a plan and waits until it is in force.
+     * Confirms a plan and waits until it is active on every instance, or until a timeout.
      *
-     * @param planId the plan
-     * @param operator who confirms it
-     * @return what became of it
+     * @param planId the id of the plan
+     * @param operator the name of the operator who confirms it
+     * @return where the plan is active, or why it was not accepted
      */
     public Result<OperatorMessages.Confirmed> confirm(String planId, String operator) {
-        return confirmations.confirm(planId, operator);
+        return planConfirmer.confirm(planId, operator);
     }
 
     /**
-     * Asks every replica for its state.
+     * Queries the state of every replica.
      *
-     * @return the state of things
+     * @return the state of this entry and of all replicas
      */
     public OperatorMessages.Status status() {
-        return statuses.status();
+        return statusCollector.status();
     }
 
     /**
-     * Tells for a request why each replica may or may not take it.
+     * Explains for each replica why it is or is not eligible for a request.
      *
-     * @param organisationName who would ask
-     * @param workload the model or service
-     * @param model whether it is a model
-     * @return what speaks for or against each replica
+     * @param organisationName the organisation that would send the request
+     * @param workload the name of the model or service
+     * @param model whether the workload is a model
+     * @return the eligibility of each replica, or a failure if the organisation is unknown
      */
     public Result<OperatorMessages.Explained> explain(String organisationName, String workload, boolean model) {
-        return explanations.explain(organisationName, workload, model);
+        return routeExplainer.explain(organisationName, workload, model);
     }
 }
--- a/src/main/java/org/micabarrow/transport/operators/OperatorServer.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorServer.java
@@ -27,21 +27,21 @@
 import org.micabarrow.transport.Metrics;
 
 /**
- * Answers operators over HTTP: {@code POST /plan}, {@code POST /confirm}, {@code GET /status}, {@code GET /explain}; and
- * whoever watches, without a token: {@code GET /metrics} and {@code GET /health}.
+ * The HTTP handlers for operators: {@code POST /plan}, {@code POST /confirm}, {@code GET /status}, {@code GET /explain}; and
+ * for monitoring, without a token: {@code GET /metrics} and {@code GET /health}.
  */
 public final class OperatorServer {
 
-    private static final String BEARER = "Bearer ";
-    private static final HttpString FILE = new HttpString("X-File");
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final HttpString FILE_HEADER = new HttpString("X-File");
 
     private OperatorServer() {}
 
     /**
-     * What every process shows to whoever watches.
+     * Creates the monitoring handler that every process has.
      *
-     * @param metrics the metrics
-     * @param healthy whether the process can do its work
+     * @param metrics the metrics to report
+     * @param healthy returns whether the process can do its work
      * @return the handler
      */
     public static HttpHandler watching(MetricRegistry metrics, BooleanSupplier healthy) {
@@ -55,38 +55,45 @@
     }
 
     /**
-     * What an entry shows besides.
+     * Creates the handler for the operators of an entry.
      *
-     * @param api answers operators
-     * @param operators who may ask
-     * @param otherwise answers everything else
+     * @param api performs the operations
+     * @param operators the operators that have access
+     * @param otherwise handles all other paths
      * @return the handler
      */
     public static HttpHandler api(OperatorApi api, List<EntrySettings.Operator> operators, HttpHandler otherwise) {
         Objects.requireNonNull(api, "api is null");
         return Handlers.path(otherwise)
                 .addExactPath(
-                        "/plan", new Asked(operators, (operator, exchange) -> api.plan(file(exchange), body(exchange))))
+                        "/plan",
+                        new AuthenticatedHandler(
+                                operators, (operator, exchange) -> api.plan(fileName(exchange), readBody(exchange))))
                 .addExactPath(
                         "/confirm",
-                        new Asked(
+                        new AuthenticatedHandler(
                                 operators,
-                                (operator, exchange) -> confirmId(exchange).flatMap(id -> api.confirm(id, operator))))
-                .addExactPath("/status", new Asked(operators, (operator, exchange) -> Result.success(api.status())))
-                .addExactPath("/explain", new Asked(operators, (operator, exchange) -> explain(api, exchange)));
+                                (operator, exchange) -> readPlanId(exchange).flatMap(id -> api.confirm(id, operator))))
+                .addExactPath(
+                        "/status",
+                        new AuthenticatedHandler(operators, (operator, exchange) -> Result.success(api.status())))
+                .addExactPath(
+                        "/explain",
+                        new AuthenticatedHandler(operators, (operator, exchange) -> explain(api, exchange)));
     }
 
-    private static String file(HttpServerExchange exchange) {
-        return Optional.ofNullable(exchange.getRequestHeaders().getFirst(FILE)).orElse("intent");
+    private static String fileName(HttpServerExchange exchange) {
+        return Optional.ofNullable(exchange.getRequestHeaders().getFirst(FILE_HEADER))
+                .orElse("intent");
     }
 
-    private static byte[] body(HttpServerExchange exchange) throws IOException {
+    private static byte[] readBody(HttpServerExchange exchange) throws IOException {
         return exchange.getInputStream().readAllBytes();
     }
 
-    private static Result<String> confirmId(HttpServerExchange exchange) throws IOException {
+    private static Result<String> readPlanId(HttpServerExchange exchange) throws IOException {
         try {
-            return Result.success(CanonicalJson.read(body(exchange), OperatorMessages.Confirm.class)
+            return Result.success(CanonicalJson.read(readBody(exchange), OperatorMessages.Confirm.class)
                     .id());
         } catch (JsonProcessingException e) {
             return Result.failure(
@@ -95,9 +102,9 @@
     }
 
     private static Result<OperatorMessages.Explained> explain(OperatorApi api, HttpServerExchange exchange) {
-        Optional<String> model = query(exchange, "model");
-        Optional<String> workload = model.or(() -> query(exchange, "service"));
-        Optional<String> organisation = query(exchange, "organisation");
+        Optional<String> model = queryParameter(exchange, "model");
+        Optional<String> workload = model.or(() -> queryParameter(exchange, "service"));
+        Optional<String> organisation = queryParameter(exchange, "organisation");
         if (workload.isEmpty() || organisation.isEmpty()) {
             return Result.failure(Fault.of(
                     Step.READ, "operator", Reason.INVALID, "explain needs an organisation and a model or service"));
@@ -105,52 +112,52 @@
         return api.explain(organisation.get(), workload.get(), model.isPresent());
     }
 
-    private static Optional<String> query(HttpServerExchange exchange, String name) {
+    private static Optional<String> queryParameter(HttpServerExchange exchange, String name) {
         return Optional.ofNullable(exchange.getQueryParameters().get(name)).map(Deque::getFirst);
     }
 
-    /** An operator's question. */
-    private interface Question {
+    /** An operation that an authenticated operator requests. */
+    private interface Operation {
 
-        Result<?> ask(String operator, HttpServerExchange exchange) throws IOException;
+        Result<?> execute(String operator, HttpServerExchange exchange) throws IOException;
     }
 
-    /** Lets in whoever has an operator's token, and answers in JSON. */
-    private static final class Asked implements HttpHandler {
+    /** Performs an operation for requests that carry an operator's token, and responds in JSON. */
+    private static final class AuthenticatedHandler implements HttpHandler {
 
         private final List<EntrySettings.Operator> operators;
-        private final HttpHandler blocking;
+        private final HttpHandler handler;
 
-        private Asked(List<EntrySettings.Operator> operators, Question question) {
+        private AuthenticatedHandler(List<EntrySettings.Operator> operators, Operation operation) {
             this.operators = List.copyOf(operators);
-            this.blocking = new BlockingHandler(exchange -> answer(question, exchange));
+            this.handler = new BlockingHandler(exchange -> respond(operation, exchange));
         }
 
         @Override
         public void handleRequest(HttpServerExchange exchange) throws Exception {
-            blocking.handleRequest(exchange);
+            handler.handleRequest(exchange);
         }
 
-        private void answer(Question question, HttpServerExchange exchange) throws IOException {
-            Optional<String> operator = operator(exchange);
+        private void respond(Operation operation, HttpServerExchange exchange) throws IOException {
+            Optional<String> operator = authenticate(exchange);
             if (operator.isEmpty()) {
                 fail(
                         exchange,
                         Fault.of(Step.AUTHENTICATE, "operator", Reason.UNAUTHORISED, "no operator has this token"));
                 return;
             }
-            switch (question.ask(operator.get(), exchange)) {
+            switch (operation.execute(operator.get(), exchange)) {
                 case Result.Success<?>(Object value) -> send(exchange, 200, CanonicalJson.write(value));
                 case Result.Failure<?>(Fault fault) -> fail(exchange, fault);
             }
         }
 
-        private Optional<String> operator(HttpServerExchange exchange) {
+        private Optional<String> authenticate(HttpServerExchange exchange) {
             String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
-            if (header == null || !header.startsWith(BEARER)) {
+            if (header == null || !header.startsWith(BEARER_PREFIX)) {
                 return Optional.empty();
             }
-            String digest = Digest.of(header.substring(BEARER.length()).trim());
+            String digest = Digest.of(header.substring(BEARER_PREFIX.length()).trim());
             return operators.stream()
                     .filter(operator -> operator.tokenDigest().equals(digest))
                     .map(EntrySettings.Operator::name)
--- a/src/main/java/org/micabarrow/transport/operators/PlanProposals.java
+++ b/src/main/java/org/micabarrow/transport/operators/PlanProposer.java
@@ -17,44 +17,45 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Works out plans for operators' intents and proposes them on the log. */
-final class PlanProposals {
+/** Computes plans for operators' intents and proposes them on the log. */
+final class PlanProposer {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.plan");
 
-    private final OperatorApi.Parts parts;
-    private final Supplier<String> ids;
+    private final OperatorApi.Parts dependencies;
+    private final Supplier<String> recordIds;
 
-    PlanProposals(OperatorApi.Parts parts, Supplier<String> ids) {
-        this.parts = parts;
-        this.ids = ids;
+    PlanProposer(OperatorApi.Parts dependencies, Supplier<String> recordIds) {
+        this.dependencies = dependencies;
+        this.recordIds = recordIds;
     }
 
     /**
-     * Works out the plan for an intent and proposes it on the log, where any entry can confirm it.
+     * Computes the plan for an intent and proposes it on the log, where any entry can confirm it.
      *
-     * @param file the intent's file name, for errors
-     * @param bytes the intent
-     * @return the plan
+     * @param file the file name of the intent, for error messages
+     * @param bytes the content of the intent
+     * @return the plan, or a failure if there is none
      */
     Result<OperatorMessages.Planned> plan(String file, byte[] bytes) {
         return IntentReader.read(file, bytes)
-                .flatMap(intent -> parts.list()
+                .flatMap(intent -> dependencies
+                        .instanceList()
                         .read()
-                        .flatMap(instances -> artifacts(intent)
+                        .flatMap(instances -> readArtifacts(intent)
                                 .flatMap(artifacts -> new Planner(
-                                                parts.links(),
-                                                parts.configuration().current(),
+                                                dependencies.links(),
+                                                dependencies.configuration().current(),
                                                 instances,
                                                 artifacts)
                                         .plan(intent))
                                 .flatMap(this::propose)));
     }
 
-    private Result<Map<String, Artifact>> artifacts(Intent intent) {
+    private Result<Map<String, Artifact>> readArtifacts(Intent intent) {
         Map<String, Artifact> artifacts = new HashMap<>();
         for (String digest : intent.artifactDigests()) {
-            Result<Manifest> manifest = parts.weights().manifest(digest);
+            Result<Manifest> manifest = dependencies.weights().manifest(digest);
             if (manifest instanceof Result.Failure<Manifest>(Fault fault)) {
                 if (fault.reason() != Reason.NOT_FOUND) {
                     return Result.failure(fault);
@@ -71,8 +72,9 @@
                 plan.id(),
                 plan.basis(),
                 plan.placements().size());
-        return parts.writer()
-                .write(new Record.PlanProposed(ids.get(), plan), OperatorApi.WRITE_WITHIN)
+        return dependencies
+                .writer()
+                .write(new Record.PlanProposed(recordIds.get(), plan), OperatorApi.WRITE_TIMEOUT)
                 .map(seen -> new OperatorMessages.Planned(plan.id(), plan));
     }
 }
--- a/src/main/java/org/micabarrow/transport/operators/ReplicaStatuses.java
+++ b/src/main/java/org/micabarrow/transport/operators/ReplicaStatusCollector.java
@@ -19,51 +19,53 @@
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
-/** Asks every replica for its state. */
-final class ReplicaStatuses {
+/** Queries the state of every replica. */
+final class ReplicaStatusCollector {
 
-    private final OperatorApi.Parts parts;
+    private final OperatorApi.Parts dependencies;
 
-    ReplicaStatuses(OperatorApi.Parts parts) {
-        this.parts = parts;
+    ReplicaStatusCollector(OperatorApi.Parts dependencies) {
+        this.dependencies = dependencies;
     }
 
     /**
-     * Asks every replica for its state.
+     * Queries the state of every replica.
      *
-     * @return the state of things
+     * @return the state of this entry and of all replicas
      */
     OperatorMessages.Status status() {
-        FoldedState state = parts.configuration().current();
-        Map<Replica, CompletableFuture<Result<StatusReply>>> asked = new HashMap<>();
+        FoldedState state = dependencies.configuration().current();
+        Map<Replica, CompletableFuture<Result<StatusReply>>> replies = new HashMap<>();
         state.placements().values().stream()
                 .flatMap(placed -> placed.replicas().stream())
                 .distinct()
-                .forEach(replica -> asked.put(replica, parts.peers().status(replica.address(), state.offset())));
+                .forEach(replica ->
+                        replies.put(replica, dependencies.peers().status(replica.address(), state.offset())));
         List<OperatorMessages.Replica> replicas = new ArrayList<>();
         state.placements()
                 .values()
                 .forEach(placed -> placed.replicas().stream()
                         .sorted(Comparator.comparing(Replica::instance))
                         .forEach(replica -> replicas.add(
-                                line(placed, replica, asked.get(replica).join()))));
-        Configuration.View view = parts.configuration().view();
+                                toMessage(placed, replica, replies.get(replica).join()))));
+        Configuration.View view = dependencies.configuration().view();
         return new OperatorMessages.Status(
-                parts.entry(),
+                dependencies.entry(),
                 state.offset(),
                 state.digest(),
                 view.stopped().map(Fault::toString).orElse(""),
-                parts.configuration().silentMillis(),
-                parts.waiting().getAsInt(),
+                dependencies.configuration().silentMillis(),
+                dependencies.waitingRequests().getAsInt(),
                 replicas);
     }
 
-    private static OperatorMessages.Replica line(Placed placed, Replica replica, Result<StatusReply> reply) {
+    private static OperatorMessages.Replica toMessage(Placed placed, Replica replica, Result<StatusReply> reply) {
         Optional<ReplicaView> view = reply.toOptional()
                 .flatMap(status -> status.getReplicasList().stream()
-                        .filter(one ->
-                                one.getPlacement().equals(placed.placement().name()))
-                        .map(one -> StatusMessages.fromWire(replica.instance(), one))
+                        .filter(replicaStatus -> replicaStatus
+                                .getPlacement()
+                                .equals(placed.placement().name()))
+                        .map(replicaStatus -> StatusMessages.fromWire(replica.instance(), replicaStatus))
                         .findFirst());
         String fault = reply.cause()
                 .map(Fault::toString)
@@ -75,7 +77,8 @@
                 replica.region(),
                 replica.hall(),
                 placed.placement().workload().version(),
-                view.map(one -> one.state().name().toLowerCase(Locale.ROOT)).orElse("unreachable"),
+                view.map(replicaView -> replicaView.state().name().toLowerCase(Locale.ROOT))
+                        .orElse("unreachable"),
                 view.map(ReplicaView::chunks).orElse(0),
                 view.map(ReplicaView::total).orElse(0),
                 view.flatMap(ReplicaView::serving).orElse(""),
--- a/src/main/java/org/micabarrow/transport/operators/RouteExplanations.java
+++ b/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
@@ -18,38 +18,38 @@
 import org.micabarrow.state.Organisation;
 import org.micabarrow.state.Result;
 
-/** Tells why the router would choose or leave out each replica for a request. */
-final class RouteExplanations {
+/** Explains for each replica whether the router would choose or exclude it for a request, and why. */
+final class RouteExplainer {
 
-    private final OperatorApi.Parts parts;
+    private final OperatorApi.Parts dependencies;
     private final InstantSource clock;
 
-    RouteExplanations(OperatorApi.Parts parts, InstantSource clock) {
-        this.parts = parts;
+    RouteExplainer(OperatorApi.Parts dependencies, InstantSource clock) {
+        this.dependencies = dependencies;
         this.clock = clock;
     }
 
     /**
-     * Tells for a request why each replica may or may not take it.
+     * Explains for each replica why it is or is not eligible for a request.
      *
-     * @param organisationName who would ask
-     * @param workload the model or service
-     * @param model whether it is a model
-     * @return what speaks for or against each replica
+     * @param organisationName the organisation that would send the request
+     * @param workload the name of the model or service
+     * @param model whether the workload is a model
+     * @return the eligibility of each replica, or a failure if the organisation is unknown
      */
     Result<OperatorMessages.Explained> explain(String organisationName, String workload, boolean model) {
-        FoldedState state = parts.configuration().current();
+        FoldedState state = dependencies.configuration().current();
         Organisation organisation = state.organisations().get(organisationName);
         if (organisation == null) {
             return Result.failure(Fault.of(
                     Step.ROUTE,
-                    parts.entry(),
+                    dependencies.entry(),
                     Reason.NOT_FOUND,
                     "unknown organisation \"" + organisationName + "\"; known: "
                             + String.join(", ", state.organisations().keySet())));
         }
         Optional<Placed> placed = RequestFlow.placementFor(state, organisationName, workload, model);
-        return Result.success(placed.map(one -> explained(organisationName, workload, one))
+        return Result.success(placed.map(found -> explanationOf(organisationName, workload, found))
                 .orElseGet(() -> new OperatorMessages.Explained(
                         organisationName,
                         workload,
@@ -58,17 +58,19 @@
                         List.of())));
     }
 
-    private OperatorMessages.Explained explained(String organisation, String workload, Placed placed) {
-        Router.Wish wish = new Router.Wish(List.of(), true, Set.of(), clock.millis());
-        Router.Decision decision = parts.router().route(placed, parts.table().peers(), wish);
-        Map<String, Exclusion.Reason> excluded = new HashMap<>();
-        decision.exclusions().forEach(one -> excluded.put(one.replica().instance(), one.reason()));
+    private OperatorMessages.Explained explanationOf(String organisation, String workload, Placed placed) {
+        Router.Wish preferences = new Router.Wish(List.of(), true, Set.of(), clock.millis());
+        Router.Decision decision =
+                dependencies.router().route(placed, dependencies.agentTable().peers(), preferences);
+        Map<String, Exclusion.Reason> reasons = new HashMap<>();
+        decision.exclusions()
+                .forEach(exclusion -> reasons.put(exclusion.replica().instance(), exclusion.reason()));
         List<OperatorMessages.Candidate> candidates = placed.replicas().stream()
                 .map(replica -> new OperatorMessages.Candidate(
                         replica.instance(),
                         replica.hall(),
-                        !excluded.containsKey(replica.instance()),
-                        Optional.ofNullable(excluded.get(replica.instance()))
+                        !reasons.containsKey(replica.instance()),
+                        Optional.ofNullable(reasons.get(replica.instance()))
                                 .map(Enum::name)
                                 .orElse("")))
                 .toList();
--- a/src/main/java/org/micabarrow/transport/operators/package-info.java
+++ b/src/main/java/org/micabarrow/transport/operators/package-info.java
@@ -1,2 +1,2 @@
-/** What operators ask of an entry over HTTP: plans, confirmations, status, and why a request goes where it goes. */
+/** The HTTP interface for operators of an entry: plans, confirmations, replica status and explanations of routing. */
 package org.micabarrow.transport.operators;
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -23,16 +23,19 @@
 import org.micabarrow.transport.HttpCaller;
 import org.micabarrow.transport.HttpListener;
 
-/** What callers are told by an entry that starts while neither the log nor a peer has given it any configuration. */
+/**
+ * Guards against an entry that reports a valid token as unknown because it has no configuration yet: it started while neither
+ * the log nor a peer could supply one.
+ */
 class UnknownConfigurationTest {
 
-    private static final Duration WITHIN = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final int UNAVAILABLE = 503;
 
     private final ManualClock clock = new ManualClock();
     private final Traffic traffic = new Traffic();
 
-    private CallerServer callers() {
+    private CallerServer callerServer() {
         RequestFlow flow = new RequestFlow(
                 FoldedState::empty,
                 Map::of,
@@ -49,14 +52,14 @@
         return new CallerServer(FoldedState::empty, flow, () -> "id", clock, 1_000);
     }
 
-    /** Tokens of all organisations stand in the configuration, of which nothing is known. */
+    /** The organisations' tokens are part of the configuration, so without one no token can be judged invalid. */
     @Test
-    void shouldNotSayThatTokenIsUnknownWhenNoConfigurationIsKnown() throws Exception {
+    void shouldRespondUnavailableWhenNoConfigurationIsKnown() throws Exception {
         String address = Ports.freeAddress();
         try (HttpListener listener =
-                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callers());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
-            HttpCall call = new HttpCall(
+                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callerServer());
+                HttpCaller client = HttpCaller.start("test", 1)) {
+            HttpCall chatRequest = new HttpCall(
                     Step.READ,
                     "POST",
                     URI.create("http://" + address + "/v1/chat/completions"),
@@ -65,7 +68,7 @@
                     "{\"model\":\"m\",\"messages\":[]}".getBytes(StandardCharsets.UTF_8));
             assertEquals(
                     UNAVAILABLE,
-                    caller.call(call, WITHIN).toOptional().orElseThrow().status());
+                    client.call(chatRequest, TIMEOUT).toOptional().orElseThrow().status());
         }
     }
 }
--- a/src/test/java/org/micabarrow/transport/grpc/CutOffRelayTest.java
+++ b/src/test/java/org/micabarrow/transport/grpc/CutOffRelayTest.java
@@ -18,18 +18,18 @@
 import org.micabarrow.protocol.wire.StatusReply;
 
 /**
- * A process that reads the configuration from a relay of its hall knows it as of when the relay last heard of the log. A relay
- * that is cut off still answers, with nothing new.
+ * Guards against a process that takes its configuration for current because its relay still replies. A relay that is cut off
+ * from the log keeps replying without new records, so its reader must count from the relay's last contact with the log.
  */
 class CutOffRelayTest {
 
     private static final long CUT_OFF_MILLIS = 60_000;
-    private static final PlatformLog.Page NOTHING_NEW = new PlatformLog.Page(0, List.of());
+    private static final PlatformLog.Page EMPTY_PAGE = new PlatformLog.Page(0, List.of());
 
     private final ManualClock clock = new ManualClock();
     private final ControlThread control = ControlThread.start("control");
     private final Configuration relay = new Configuration(control, clock);
-    private final Configuration behind = new Configuration(control, clock);
+    private final Configuration reader = new Configuration(control, clock);
 
     @AfterEach
     void stop() {
@@ -37,20 +37,20 @@
     }
 
     @Test
-    void shouldNotCountAsHearingOfLogWhenRelayIsCutOffFromIt() throws Exception {
-        relay.offer(NOTHING_NEW).join();
-        behind.offer(NOTHING_NEW).join();
+    void shouldNotCountReplyAsContactWithLogWhenRelayIsCutOff() throws Exception {
+        relay.offer(EMPTY_PAGE).join();
+        reader.offer(EMPTY_PAGE).join();
         clock.advance(CUT_OFF_MILLIS);
-        RecordsReply reply = askRelay();
-        // As the reader does with what a relay answered.
-        behind.offer(RecordReplies.page(reply)).join();
+        RecordsReply reply = readFromRelay();
+        // ConfigurationReader passes on the reply of a relay in the same way.
+        reader.offer(RecordsReplyParser.page(reply)).join();
         assertTrue(
-                behind.silentMillis() >= CUT_OFF_MILLIS,
-                "the log was last heard by anybody " + relay.silentMillis() + " ms ago, and here "
-                        + behind.silentMillis() + " ms ago");
+                reader.silentMillis() >= CUT_OFF_MILLIS,
+                "last contact with the log: relay " + relay.silentMillis() + " ms ago, reader " + reader.silentMillis()
+                        + " ms ago");
     }
 
-    private RecordsReply askRelay() throws Exception {
+    private RecordsReply readFromRelay() throws Exception {
         CompletableFuture<RecordsReply> reply = new CompletableFuture<>();
         PeerService service = new PeerService(relay, StatusReply::getDefaultInstance, Optional.empty());
         service.records(RecordsRequest.newBuilder().setFrom(0).setWaitMillis(1).build(), new StreamObserver<>() {
@@ -60,8 +60,8 @@
             }
 
             @Override
-            public void onError(Throwable t) {
-                reply.completeExceptionally(t);
+            public void onError(Throwable error) {
+                reply.completeExceptionally(error);
             }
 
             @Override
