--- a/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ChunkSender.java
@@ -59,7 +59,7 @@
             if (window.isPresent()) {
                 sendAll(window.get());
             } else if (!replies.isCancelled()) {
-                refuse(Status.NOT_FOUND.withDescription("this instance holds no chunks of " + request.getVersion()));
+                refuse(Status.NOT_FOUND.withDescription("no chunks of " + request.getVersion() + " are held here"));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/org/micabarrow/transport/grpc/PeerChunkStream.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerChunkStream.java
@@ -71,7 +71,7 @@
 
     @Override
     public void close() {
-        call.cancel("no more chunks needed", null);
+        call.cancel("no further chunks wanted", null);
     }
 
     // -- receiving
@@ -94,7 +94,7 @@
 
     @Override
     public void onCompleted() {
-        finish(Fault.of(Step.FETCH, address, Reason.GONE, "the peer has no more chunks"));
+        finish(Fault.of(Step.FETCH, address, Reason.GONE, "the peer has no further chunks"));
     }
 
     private void finish(Fault fault) {
