--- a/src/main/java/org/micabarrow/admission/Admission.java
+++ b/src/main/java/org/micabarrow/admission/AdmissionControl.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.Wanted;
 
 /**
  * Decides what happens to a request now: it is sent, waits for room while it can still be in time, or is refused at once.
  * Used by one thread.
  */
-public final class Admission {
+public final class AdmissionControl {
 
     /**
      * The part of its remaining time after which a refused client is told to come back. A request is refused when its answer
@@ -21,14 +21,14 @@
      */
     private static final double COME_BACK_PART = 0.3;
 
-    private final EndpointChoice choice;
+    private final EndpointSelector choice;
 
     /**
      * Makes the decisions of an entry.
      *
      * @param choice chooses endpoints, and knows their load
      */
-    public Admission(EndpointChoice choice) {
+    public AdmissionControl(EndpointSelector choice) {
         this.choice = Objects.requireNonNull(choice, "choice is null");
     }
 
@@ -40,7 +40,7 @@
          *
          * @param chosen where to
          */
-        record Send(Choice.Send chosen) implements Decision {}
+        record Send(EndpointSelection.Send chosen) implements Decision {}
 
         /**
          * It waits for room.
@@ -93,13 +93,13 @@
      * @param nowMillis the time on the steady clock
      * @return what happens
      */
-    public Decision decide(List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+    public Decision decide(List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
         return switch (choice.choose(endpoints, wanted, nowMillis)) {
-            case Choice.Send chosen -> new Decision.Send(chosen);
-            case Choice.None ignored -> new Decision.Unable();
-            case Choice.Full(int full) -> withoutRoom(full, wanted);
-            case Choice.Limited(int limited, OptionalLong millis) -> new Decision.Limited(limited, millis);
-            case Choice.Resting(int resting, long millis) -> whileAllRest(resting, millis, wanted);
+            case EndpointSelection.Send chosen -> new Decision.Send(chosen);
+            case EndpointSelection.None ignored -> new Decision.Unable();
+            case EndpointSelection.Full(int full) -> withoutRoom(full, wanted);
+            case EndpointSelection.Limited(int limited, OptionalLong millis) -> new Decision.Limited(limited, millis);
+            case EndpointSelection.Resting(int resting, long millis) -> whileAllRest(resting, millis, wanted);
         };
     }
 
--- a/src/main/java/org/micabarrow/admission/FirstTries.java
+++ b/src/main/java/org/micabarrow/admission/FirstAttemptEstimator.java
@@ -11,7 +11,7 @@
  * lacks as much as a refused client was told to stay away, and only while a client that was refused here may be on its way
  * back. Used by one thread.
  */
-public final class FirstTries {
+public final class FirstAttemptEstimator {
 
     /** How many of a route's last requests are remembered. */
     private static final int REMEMBERED = 64;
@@ -78,7 +78,7 @@
         }
         long usual = recent.usual();
         long lacking = usual - millisGiven;
-        return lacking >= Admission.comeBackMillis(usual) / 2 ? lacking : 0;
+        return lacking >= AdmissionControl.comeBackMillis(usual) / 2 ? lacking : 0;
     }
 
     private Recent recent(String route) {
--- a/src/main/java/org/micabarrow/admission/TakenRoom.java
+++ b/src/main/java/org/micabarrow/admission/OccupiedSlot.java
@@ -7,7 +7,7 @@
  * The room that one sending of a request takes at its endpoint: it is taken, the prompt is read when the answer begins, and it
  * is free again. Each step that frees something has the line of waiting requests looked through. Used by one thread.
  */
-public final class TakenRoom {
+public final class OccupiedSlot {
 
     private final EndpointLoad load;
     private final int promptTokens;
@@ -21,7 +21,7 @@
      * @param promptTokens the tokens of the request's prompt
      * @param roomMayBe run whenever something has been freed
      */
-    public TakenRoom(EndpointLoad load, int promptTokens, Runnable roomMayBe) {
+    public OccupiedSlot(EndpointLoad load, int promptTokens, Runnable roomMayBe) {
         this.load = Objects.requireNonNull(load, "load is null");
         this.promptTokens = promptTokens;
         this.roomMayBe = Objects.requireNonNull(roomMayBe, "roomMayBe is null");
--- a/src/main/java/org/micabarrow/admission/PlaceShares.java
+++ b/src/main/java/org/micabarrow/admission/SlotAllotment.java
@@ -10,7 +10,7 @@
  * turned away lately. If every entry took a place that it reads of, as many requests as there are entries would be sent for it,
  * and all but one would wait inside the endpoint. Used by one thread.
  */
-public final class PlaceShares {
+public final class SlotAllotment {
 
     /** How long an entry counts that has not asked again, in milliseconds: the longest pause between its questions, and more. */
     private static final long COUNTED_MILLIS = 1_000;
@@ -42,7 +42,7 @@
      *
      * @param random decides which entry is first to get a single place
      */
-    public PlaceShares(RandomGenerator random) {
+    public SlotAllotment(RandomGenerator random) {
         this.random = Objects.requireNonNull(random, "random is null");
     }
 
--- a/src/main/java/org/micabarrow/admission/RoomWait.java
+++ b/src/main/java/org/micabarrow/admission/SlotWait.java
@@ -2,15 +2,15 @@
 
 import java.util.Objects;
 import java.util.Optional;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.Waiter;
 
 /**
  * A request's wait for room: it begins when a decision says so, and ends when another decision sends or refuses the request,
  * when its time runs out, or when the request ends for another reason. Used by one thread.
  */
-public final class RoomWait implements Waiter {
+public final class SlotWait implements Waiter {
 
     private final Line line;
     private final Request request;
@@ -66,7 +66,7 @@
      * @param line where to wait
      * @param request who waits
      */
-    public RoomWait(Line line, Request request) {
+    public SlotWait(Line line, Request request) {
         this.line = Objects.requireNonNull(line, "line is null");
         this.request = Objects.requireNonNull(request, "request is null");
     }
--- a/src/main/java/org/micabarrow/admission/WaitingLine.java
+++ b/src/main/java/org/micabarrow/admission/WaitQueue.java
@@ -10,7 +10,7 @@
  * at full load a short wait saves a request from being refused, while what cannot be in time any more leaves at once instead
  * of taking the place of one that can. Used by one thread.
  */
-public final class WaitingLine {
+public final class WaitQueue {
 
     /**
      * How many requests are tried in vain whenever a place may have fallen free, before the rest are left for the next time:
--- a/src/main/java/org/micabarrow/attempts/Sendings.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptHistory.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /** What has become of one request's sendings so far. Used by one thread. */
-public final class Sendings {
+public final class AttemptHistory {
 
     /** How many agents are asked in vain before one sending: each may take a part of the objective. */
     private static final int MOST_QUESTIONS = 2;
@@ -99,7 +99,7 @@
      *
      * @param end how
      */
-    public void ended(AttemptEnd end) {
+    public void ended(AttemptOutcome end) {
         mayHaveRun |= !end.surelyNotRun();
     }
 
--- a/src/main/java/org/micabarrow/attempts/AttemptEnd.java
+++ b/src/main/java/org/micabarrow/attempts/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package org.micabarrow.attempts;
 
 /** How one sending of a request to an endpoint ended without an answer that may be passed on. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
     /** No byte was sent, or the endpoint stated that it did not run the request. */
     NOT_RUN,
     /** The endpoint is another one than was meant, or holds another weight version; it did not run the request. */
--- a/src/main/java/org/micabarrow/bench/Caller.java
+++ b/src/main/java/org/micabarrow/bench/Caller.java
@@ -12,8 +12,8 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Sends requests to entries as a caller does, and judges what comes back. */
 final class Caller implements AutoCloseable {
@@ -22,10 +22,10 @@
     private static final int TRIES = 100;
     private static final long PAUSE_MILLIS = 200;
 
-    private final HttpCaller http;
+    private final HttpClient http;
 
     Caller(String name) {
-        this.http = HttpCaller.start(name, 2);
+        this.http = HttpClient.start(name, 2);
     }
 
     /** How a request ended, as its caller sees it. */
--- a/src/main/java/org/micabarrow/bench/OperatorCalls.java
+++ b/src/main/java/org/micabarrow/bench/OperatorCalls.java
@@ -9,7 +9,7 @@
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /** What a benchmark asks of an entry as an operator. */
 final class OperatorCalls implements AutoCloseable {
@@ -17,7 +17,7 @@
     private static final Duration WITHIN = Duration.ofSeconds(60);
     private static final long LOOK_MILLIS = 20;
 
-    private final HttpCaller http = HttpCaller.start("operator", 1);
+    private final HttpClient http = HttpClient.start("operator", 1);
     private final String base;
 
     OperatorCalls(String base) {
@@ -44,7 +44,7 @@
                         Map.of(),
                         body.getBytes(StandardCharsets.UTF_8))
                 .withHeader("Authorization", "Bearer " + LocalSystem.OPERATOR_TOKEN);
-        HttpCaller.HttpAnswer answer = http.call(call, WITHIN).toOptional().orElseThrow();
+        HttpClient.HttpAnswer answer = http.call(call, WITHIN).toOptional().orElseThrow();
         if (answer.status() != 200) {
             throw new IllegalStateException(new String(answer.body(), StandardCharsets.UTF_8));
         }
--- a/src/main/java/org/micabarrow/clock/SteadyClock.java
+++ b/src/main/java/org/micabarrow/clock/MonotonicClock.java
@@ -8,13 +8,13 @@
  * A clock that never steps and that counts the time for which the instance was suspended, where the runtime can read such a clock.
  * {@link System#nanoTime} stands still meanwhile, so that all that a process knows would seem younger by as much when it goes on.
  */
-public final class SteadyClock {
+public final class MonotonicClock {
 
     private static final Optional<LongSupplier> BOOT = BootClock.nanos();
 
     private static final LongSupplier NANOS = BOOT.orElse(System::nanoTime);
 
-    private SteadyClock() {}
+    private MonotonicClock() {}
 
     /**
      * The time now.
--- a/src/main/java/org/micabarrow/command/OperatorCommand.java
+++ b/src/main/java/org/micabarrow/command/OperatorCommand.java
@@ -23,7 +23,7 @@
 import org.micabarrow.state.Plan;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /** A command that asks an entry. */
 abstract class OperatorCommand extends Command {
@@ -54,14 +54,14 @@
 
     /** Asks the entry and reads its answer. */
     <T> Result<T> ask(String method, String path, byte[] body, Map<String, String> headers, Class<T> type) {
-        try (HttpCaller caller = HttpCaller.start("command", 1)) {
+        try (HttpClient caller = HttpClient.start("command", 1)) {
             HttpCall call = new HttpCall(Step.READ, method, URI.create(entry + path), headers, body)
                     .withHeader("Authorization", "Bearer " + token());
             return caller.call(call, WITHIN).flatMap(answer -> read(answer, type));
         }
     }
 
-    private static <T> Result<T> read(HttpCaller.HttpAnswer answer, Class<T> type) {
+    private static <T> Result<T> read(HttpClient.HttpAnswer answer, Class<T> type) {
         try {
             if (answer.status() == 200) {
                 return Result.success(CanonicalJson.read(answer.body(), type));
--- a/src/main/java/org/micabarrow/command/RehearseCommand.java
+++ b/src/main/java/org/micabarrow/command/RehearseCommand.java
@@ -12,8 +12,8 @@
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * Runs an entry and an agent against stand-ins on loopback and sends a few requests, so that the build can archive the
@@ -44,7 +44,7 @@
     @Override
     ExitCode run(Console console) throws Exception {
         try (HostedSystem platform = HostedSystem.start();
-                HttpCaller caller = HttpCaller.start("rehearsal", 1)) {
+                HttpClient caller = HttpClient.start("rehearsal", 1)) {
             platform.add("plain-1", "plain", 0);
             platform.add("model-1", "models", 1);
             HostedSettings agent = platform.agent("model-1");
@@ -86,7 +86,7 @@
         return what.getAsBoolean();
     }
 
-    private static boolean served(HttpCaller caller, String clients, String path) throws InterruptedException {
+    private static boolean served(HttpClient caller, String clients, String path) throws InterruptedException {
         for (int i = 0; i < TRIES; i++) {
             HttpCall call = HostedSystem.request(clients, path, "attempt-" + i);
             Result<HttpAnswer> answer = caller.call(call, WITHIN);
--- a/src/main/java/org/micabarrow/coordination/claims/Claims.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Claims.java
@@ -19,7 +19,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.OwnedThread;
+import org.micabarrow.steps.StoppableThread;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -51,8 +51,8 @@
     private final Object lock = new Object();
     private final ClaimBook book;
     private final Map<String, Waiting> waiting = new HashMap<>();
-    private final OwnedThread writer;
-    private final OwnedThread reader;
+    private final StoppableThread writer;
+    private final StoppableThread reader;
     private long nextOffset;
     private volatile boolean caughtUp;
 
@@ -61,8 +61,8 @@
         this.stream = Objects.requireNonNull(stream, "stream is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
         this.book = new ClaimBook(kept.toMillis());
-        this.writer = new OwnedThread(stream + "-writer", this::writeAll);
-        this.reader = new OwnedThread(stream + "-reader", this::readAll);
+        this.writer = new StoppableThread(stream + "-writer", this::writeAll);
+        this.reader = new StoppableThread(stream + "-reader", this::readAll);
     }
 
     /** A claim that waits for its verdict. */
--- a/src/main/java/org/micabarrow/coordination/configuration/ConfigurationReader.java
+++ b/src/main/java/org/micabarrow/coordination/configuration/ConfigurationReader.java
@@ -8,7 +8,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.OwnedThread;
+import org.micabarrow.steps.StoppableThread;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,7 +34,7 @@
     private final PlatformLog log;
     private final Peers peers;
     private final Supplier<List<String>> relays;
-    private final OwnedThread thread;
+    private final StoppableThread thread;
 
     private ConfigurationReader(
             Configuration configuration, PlatformLog log, Peers peers, Supplier<List<String>> relays) {
@@ -42,7 +42,7 @@
         this.log = Objects.requireNonNull(log, "log is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.relays = Objects.requireNonNull(relays, "relays is null");
-        this.thread = new OwnedThread("configuration-reader", this::run);
+        this.thread = new StoppableThread("configuration-reader", this::run);
     }
 
     /** Reads records and state from other processes of the system. */
--- a/src/main/java/org/micabarrow/crashes/CrashBook.java
+++ b/src/main/java/org/micabarrow/crashes/CrashRegistry.java
@@ -17,9 +17,9 @@
  * The crashes of endpoints that a process knows of, and what follows from them for requests. A request that was answered is
  * cleared of what was known until then, since one that ends endpoints never has an answer. Safe for any number of threads.
  */
-public final class CrashBook {
+public final class CrashRegistry {
 
-    private static final Logger LOG = LoggerFactory.getLogger(CrashBook.class);
+    private static final Logger LOG = LoggerFactory.getLogger(CrashRegistry.class);
 
     /** The most requests of one crash that are remembered: more than an endpoint runs and has waiting. */
     private static final int MOST_ABOARD = 256;
@@ -61,7 +61,7 @@
      * @param most how many crashes are remembered at the most; the oldest go first
      * @param endpoints how many endpoints there are
      */
-    public CrashBook(long memoryMillis, int most, IntSupplier endpoints) {
+    public CrashRegistry(long memoryMillis, int most, IntSupplier endpoints) {
         this.memoryMillis = memoryMillis;
         this.most = most;
         this.endpoints = Objects.requireNonNull(endpoints, "endpoints is null");
@@ -126,10 +126,10 @@
      * @param news what it tells
      * @param atMillis when it was, on the steady clock
      */
-    public void take(CrashNews news, long atMillis) {
+    public void take(CrashUpdate news, long atMillis) {
         switch (news) {
-            case CrashNews.Crashed(EndpointCrash crash) -> crashed(crash, atMillis);
-            case CrashNews.Cleared(RequestDigest request, boolean whole) -> cleared(request, whole);
+            case CrashUpdate.Crashed(EndpointCrash crash) -> crashed(crash, atMillis);
+            case CrashUpdate.Cleared(RequestDigest request, boolean whole) -> cleared(request, whole);
         }
     }
 
@@ -174,9 +174,9 @@
 
     private void findCulprits() {
         quick = present.keySet().stream().map(RequestDigest::quick).collect(Collectors.toUnmodifiableSet());
-        boolean enough = present.values().stream().anyMatch(at -> at.size() >= Culprits.LEAST_CRASHES);
+        boolean enough = present.values().stream().anyMatch(at -> at.size() >= PoisonRequestDetector.LEAST_CRASHES);
         Map<RequestDigest, Set<String>> before = culprits;
-        culprits = enough ? Culprits.of(evidence(), endpoints.getAsInt()) : Map.of();
+        culprits = enough ? PoisonRequestDetector.of(evidence(), endpoints.getAsInt()) : Map.of();
         tellChange(before);
     }
 
@@ -196,17 +196,17 @@
      * The crashes that count against each request. An endpoint has borne the beginning of a request of whose answer a part had come;
      * such crashes count only against a request that has no three without.
      */
-    private Culprits.Evidence evidence() {
+    private PoisonRequestDetector.Evidence evidence() {
         Map<RequestDigest, Set<String>> counted = new HashMap<>(unbegun);
         Set<RequestDigest> begun = new HashSet<>();
         present.forEach((request, at) -> {
-            boolean enough = unbegun.getOrDefault(request, Set.of()).size() >= Culprits.LEAST_CRASHES;
-            if (!enough && at.size() > Culprits.LEAST_CRASHES) {
+            boolean enough = unbegun.getOrDefault(request, Set.of()).size() >= PoisonRequestDetector.LEAST_CRASHES;
+            if (!enough && at.size() > PoisonRequestDetector.LEAST_CRASHES) {
                 counted.put(request, at);
                 begun.add(request);
             }
         });
-        return new Culprits.Evidence(counted, begun, times());
+        return new PoisonRequestDetector.Evidence(counted, begun, times());
     }
 
     private Map<String, Long> times() {
@@ -244,14 +244,14 @@
      * @param nowMillis the time on the steady clock
      * @return its standing
      */
-    public synchronized Standing standing(RequestDigest request, long nowMillis) {
+    public synchronized SuspicionLevel standing(RequestDigest request, long nowMillis) {
         Set<String> explained = culprits.get(Objects.requireNonNull(request, "request is null"));
         if (explained != null) {
             long left = memoryMillis - (nowMillis - lastMillis(explained));
-            return left > 0 ? new Standing.Refused(explained.size(), left) : new Standing.Unsuspected();
+            return left > 0 ? new SuspicionLevel.Refused(explained.size(), left) : new SuspicionLevel.Unsuspected();
         }
         int unexplained = unexplained(request);
-        return unexplained == 0 ? new Standing.Unsuspected() : new Standing.Suspected(unexplained);
+        return unexplained == 0 ? new SuspicionLevel.Unsuspected() : new SuspicionLevel.Suspected(unexplained);
     }
 
     private long lastMillis(Set<String> endpoints) {
--- a/src/main/java/org/micabarrow/crashes/CrashNews.java
+++ b/src/main/java/org/micabarrow/crashes/CrashUpdate.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /** What processes tell each other of crashes. */
-public sealed interface CrashNews {
+public sealed interface CrashUpdate {
 
     /**
      * An endpoint crashed.
      *
      * @param crash the crash, as far as one process knows it
      */
-    record Crashed(EndpointCrash crash) implements CrashNews {
+    record Crashed(EndpointCrash crash) implements CrashUpdate {
 
         /** Checks that nothing is missing. */
         public Crashed {
@@ -24,7 +24,7 @@
      * @param request the request
      * @param whole whether its answer came whole, else a part of it
      */
-    record Cleared(RequestDigest request, boolean whole) implements CrashNews {
+    record Cleared(RequestDigest request, boolean whole) implements CrashUpdate {
 
         /** Checks that nothing is missing. */
         public Cleared {
--- a/src/main/java/org/micabarrow/crashes/Culprits.java
+++ b/src/main/java/org/micabarrow/crashes/PoisonRequestDetector.java
@@ -14,7 +14,7 @@
  * else; where two requests were at the same crashes, neither is a culprit until one was at crashes without the other; and the more
  * endpoints crash at the same time, the more crashes it takes.
  */
-final class Culprits {
+final class PoisonRequestDetector {
 
     /** At how many crashes a request must have been. */
     static final int LEAST_CRASHES = 3;
@@ -40,7 +40,7 @@
     private final Set<RequestDigest> begun;
     private final Set<String> explained = new HashSet<>();
 
-    private Culprits(Evidence evidence, int endpoints, Map<RequestDigest, Set<String>> open) {
+    private PoisonRequestDetector(Evidence evidence, int endpoints, Map<RequestDigest, Set<String>> open) {
         this.times = evidence.times();
         this.begun = evidence.begun();
         this.endpoints = Math.max(1, endpoints);
@@ -70,7 +70,7 @@
                 repeated.put(request, new HashSet<>(at));
             }
         });
-        return new Culprits(evidence, endpoints, repeated).find();
+        return new PoisonRequestDetector(evidence, endpoints, repeated).find();
     }
 
     private Map<RequestDigest, Set<String>> find() {
--- a/src/main/java/org/micabarrow/crashes/PortProbe.java
+++ b/src/main/java/org/micabarrow/crashes/PortProbe.java
@@ -1,7 +1,7 @@
 package org.micabarrow.crashes;
 
 import java.util.function.Consumer;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /** Finds out whether an endpoint's process is there after a connection to it broke. */
 @FunctionalInterface
@@ -14,5 +14,5 @@
      * @param then learns once, on the thread for traffic, whether its instance refused the connection since nobody listens;
      *     an instance that says nothing tells nothing
      */
-    void ask(EndpointEntry endpoint, Consumer<Boolean> then);
+    void ask(EndpointRegistration endpoint, Consumer<Boolean> then);
 }
--- a/src/main/java/org/micabarrow/crashes/SuspectPlacement.java
+++ b/src/main/java/org/micabarrow/crashes/SuspectIsolation.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.state.Digest;
 
@@ -16,7 +16,7 @@
  * such are harmless and must not wait. One that was at more goes only there, one at a time, and all processes try endpoints for
  * it in the same order. Used by one thread.
  */
-public final class SuspectPlacement {
+public final class SuspectIsolation {
 
     /** From how many crashes on a request goes only where no other suspect is. */
     private static final int ALONE_FROM = 2;
@@ -24,7 +24,7 @@
     private final Map<EndpointStart, Map<RequestDigest, Integer>> there = new HashMap<>();
 
     /** Begins with no suspect anywhere. */
-    public SuspectPlacement() {}
+    public SuspectIsolation() {}
 
     // -- what is where
 
@@ -59,7 +59,7 @@
      * @param suspected what is held of it
      * @return true if it was at more than one crash
      */
-    public static boolean apart(Standing.Suspected suspected) {
+    public static boolean apart(SuspicionLevel.Suspected suspected) {
         return suspected.crashes() >= ALONE_FROM;
     }
 
@@ -72,13 +72,13 @@
      * @param suspected what is held of it
      * @return some of the endpoints
      */
-    public List<EndpointEntry> free(
-            List<EndpointEntry> endpoints, RequestDigest request, Standing.Suspected suspected) {
+    public List<EndpointRegistration> free(
+            List<EndpointRegistration> endpoints, RequestDigest request, SuspicionLevel.Suspected suspected) {
         Objects.requireNonNull(request, "request is null");
         if (apart(suspected) && runs(request)) {
             return List.of();
         }
-        List<EndpointEntry> free = endpoints.stream()
+        List<EndpointRegistration> free = endpoints.stream()
                 .filter(endpoint -> !there.containsKey(endpoint.start())
                         || there.get(endpoint.start()).keySet().equals(Set.of(request)))
                 .toList();
@@ -90,8 +90,8 @@
     }
 
     /** An order that depends on the request and the endpoints alone, and differs from request to request. */
-    private static List<EndpointEntry> inCommonOrder(List<EndpointEntry> endpoints, RequestDigest request) {
-        Map<EndpointEntry, Long> ranks = new HashMap<>();
+    private static List<EndpointRegistration> inCommonOrder(List<EndpointRegistration> endpoints, RequestDigest request) {
+        Map<EndpointRegistration, Long> ranks = new HashMap<>();
         endpoints.forEach(endpoint -> ranks.put(endpoint, Digest.rank(request.hex(), endpoint.id())));
         return endpoints.stream().sorted(Comparator.comparing(ranks::get)).toList();
     }
--- a/src/main/java/org/micabarrow/limits/EndpointLimit.java
+++ b/src/main/java/org/micabarrow/limits/EndpointRateLimit.java
@@ -13,7 +13,7 @@
  * apart by a whole period each, so that time in which none comes, or in which the process stands still, saves up nothing. Used by one
  * thread.
  */
-public final class EndpointLimit {
+public final class EndpointRateLimit {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
 
@@ -24,14 +24,14 @@
     static final long COUNTED_MILLIS = 30_000;
 
     private final String endpoint;
-    private final KnownEntries entries;
+    private final EntryCount entries;
     private final RandomGenerator random;
-    private Optional<LimitNews> heard = Optional.empty();
-    private Optional<LimitNews> newest = Optional.empty();
+    private Optional<RateLimitObservation> heard = Optional.empty();
+    private Optional<RateLimitObservation> newest = Optional.empty();
     private Optional<EntryRank> rank = Optional.empty();
 
     /** Empty while the entry takes no part. */
-    private Optional<LimitShare> share = Optional.empty();
+    private Optional<QuotaShare> share = Optional.empty();
 
     private long sinceMillis;
 
@@ -42,7 +42,7 @@
      * @param entries how many entries there are
      * @param random spreads the first requests of entries that do not know their ranks
      */
-    public EndpointLimit(String endpoint, KnownEntries entries, RandomGenerator random) {
+    public EndpointRateLimit(String endpoint, EntryCount entries, RandomGenerator random) {
         this.endpoint = Objects.requireNonNull(endpoint, "endpoint is null");
         this.entries = Objects.requireNonNull(entries, "entries is null");
         this.random = Objects.requireNonNull(random, "random is null");
@@ -60,17 +60,17 @@
      */
     public boolean answered(OptionalDouble perSecond, long sentMillis, long nowMillis) {
         return perSecond.isPresent()
-                ? hear(new LimitNews.Named(perSecond.getAsDouble(), nowMillis))
+                ? hear(new RateLimitObservation.Named(perSecond.getAsDouble(), nowMillis))
                 : notNamed(sentMillis, nowMillis);
     }
 
     /** The answer to a request that was sent before the limit was named may have been on its way since before, and tells nothing. */
     private boolean notNamed(long sentMillis, long nowMillis) {
         return limit().filter(named -> named.atMillis() <= sentMillis).isPresent()
-                && hear(new LimitNews.Ended(nowMillis));
+                && hear(new RateLimitObservation.Ended(nowMillis));
     }
 
-    private boolean hear(LimitNews news) {
+    private boolean hear(RateLimitObservation news) {
         heard = Optional.of(news);
         return take(news);
     }
@@ -81,17 +81,17 @@
      * @param news the news, by this process's steady clock
      * @return whether the limit is another than before
      */
-    public boolean told(LimitNews news) {
+    public boolean told(RateLimitObservation news) {
         return newest.filter(known -> !news.after(known)).isEmpty() && take(news);
     }
 
-    private boolean take(LimitNews news) {
-        Optional<Double> before = limit().map(LimitNews.Named::perSecond);
+    private boolean take(RateLimitObservation news) {
+        Optional<Double> before = limit().map(RateLimitObservation.Named::perSecond);
         newest = Optional.of(news);
         if (limit().isEmpty()) {
             share = Optional.empty();
         }
-        return !before.equals(limit().map(LimitNews.Named::perSecond));
+        return !before.equals(limit().map(RateLimitObservation.Named::perSecond));
     }
 
     /**
@@ -109,9 +109,9 @@
      * @param nowMillis the time on the steady clock
      * @return the word; empty if there is none that still counts
      */
-    public Optional<LimitWord> word(long nowMillis) {
+    public Optional<RateLimitUpdate> word(long nowMillis) {
         return heard.filter(news -> nowMillis - news.atMillis() <= COUNTED_MILLIS)
-                .map(news -> LimitWord.of(LimitWord.token(endpoint), news, nowMillis));
+                .map(news -> RateLimitUpdate.of(RateLimitUpdate.token(endpoint), news, nowMillis));
     }
 
     /**
@@ -119,8 +119,8 @@
      *
      * @return the limit with the moment at which it was said; empty if the endpoint names none
      */
-    public Optional<LimitNews.Named> limit() {
-        return newest.filter(LimitNews.Named.class::isInstance).map(LimitNews.Named.class::cast);
+    public Optional<RateLimitObservation.Named> limit() {
+        return newest.filter(RateLimitObservation.Named.class::isInstance).map(RateLimitObservation.Named.class::cast);
     }
 
     /**
@@ -166,7 +166,7 @@
         if (limit().isEmpty()) {
             return OptionalLong.of(0);
         }
-        LimitNews.Named named = limit().get();
+        RateLimitObservation.Named named = limit().get();
         takePart(named, agentTells, nowMillis);
         return share.isPresent()
                 ? OptionalLong.of(Math.max(0, sinceMillis + periodMillis(share.get(), named) - nowMillis))
@@ -183,8 +183,8 @@
     }
 
     /** Works out the share. An entry that did not take part in this way before begins at a moment of its own. */
-    private void takePart(LimitNews.Named named, boolean agentTells, long nowMillis) {
-        LimitShare present = share(named, agentTells, nowMillis);
+    private void takePart(RateLimitObservation.Named named, boolean agentTells, long nowMillis) {
+        QuotaShare present = share(named, agentTells, nowMillis);
         if (present.periodMillis(named.perSecond()).isEmpty()) {
             share = Optional.empty();
             return;
@@ -196,14 +196,14 @@
         share = Optional.of(present);
     }
 
-    private LimitShare share(LimitNews.Named named, boolean agentTells, long nowMillis) {
+    private QuotaShare share(RateLimitObservation.Named named, boolean agentTells, long nowMillis) {
         boolean lately = nowMillis - named.atMillis() <= COUNTED_MILLIS;
         return agentTells && lately && rank.isPresent()
-                ? new LimitShare.Ranked(rank.get())
-                : new LimitShare.Unranked(entries.count());
+                ? new QuotaShare.Ranked(rank.get())
+                : new QuotaShare.Unranked(entries.count());
     }
 
-    private static long periodMillis(LimitShare share, LimitNews.Named named) {
+    private static long periodMillis(QuotaShare share, RateLimitObservation.Named named) {
         return share.periodMillis(named.perSecond()).orElseThrow();
     }
 }
--- a/src/main/java/org/micabarrow/limits/KnownEntries.java
+++ b/src/main/java/org/micabarrow/limits/EntryCount.java
@@ -4,7 +4,7 @@
  * How many entries there are, by what agents tell. An agent that has just started, or is cut off, hears of fewer, so that the most that any
  * of them told lately counts. Used by one thread.
  */
-public final class KnownEntries {
+public final class EntryCount {
 
     /** What an entry goes by that no agent ever told: more than send to one endpoint. */
     static final int ASSUMED = 64;
@@ -16,7 +16,7 @@
     private long mostAtMillis = Long.MIN_VALUE / 2;
 
     /** Begins with no number told. */
-    public KnownEntries() {}
+    public EntryCount() {}
 
     /**
      * An agent told how many entries ask it.
--- a/src/main/java/org/micabarrow/limits/LimitShare.java
+++ b/src/main/java/org/micabarrow/limits/QuotaShare.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /** The part of an endpoint's limit that is one entry's: one request a period. */
-public sealed interface LimitShare {
+public sealed interface QuotaShare {
 
     /** Milliseconds in a second. */
     double MILLIS_A_SECOND = 1_000;
@@ -42,7 +42,7 @@
      *
      * @param rank its rank among the entries
      */
-    record Ranked(EntryRank rank) implements LimitShare {
+    record Ranked(EntryRank rank) implements QuotaShare {
 
         @Override
         public OptionalLong periodMillis(double perSecond) {
@@ -63,7 +63,7 @@
      *
      * @param entries how many
      */
-    record Unranked(int entries) implements LimitShare {
+    record Unranked(int entries) implements QuotaShare {
 
         @Override
         public OptionalLong periodMillis(double perSecond) {
--- a/src/main/java/org/micabarrow/limits/LimitNews.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitObservation.java
@@ -1,7 +1,7 @@
 package org.micabarrow.limits;
 
 /** What an endpoint said of the requests that it takes, and when. */
-public sealed interface LimitNews {
+public sealed interface RateLimitObservation {
 
     /**
      * When it was heard.
@@ -16,7 +16,7 @@
      * @param perSecond the requests a second that it takes from all entries together, not below 0
      * @param atMillis when that was heard, on the steady clock
      */
-    record Named(double perSecond, long atMillis) implements LimitNews {
+    record Named(double perSecond, long atMillis) implements RateLimitObservation {
 
         /** Checks that the limit is a number of requests. */
         public Named {
@@ -29,7 +29,7 @@
      *
      * @param atMillis when that was heard, on the steady clock
      */
-    record Ended(long atMillis) implements LimitNews {}
+    record Ended(long atMillis) implements RateLimitObservation {}
 
     /**
      * Whether this was heard after something else.
@@ -37,7 +37,7 @@
      * @param other what else was heard
      * @return true if it is the newer one
      */
-    default boolean after(LimitNews other) {
+    default boolean after(RateLimitObservation other) {
         return atMillis() > other.atMillis();
     }
 
--- a/src/main/java/org/micabarrow/limits/LimitRelay.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitRelay.java
@@ -8,15 +8,15 @@
  * What an agent passes on between entries of the limit that the endpoint beside it names: the newest of what entries heard in answers and
  * what the endpoint's reports say. Safe for several threads.
  */
-public final class LimitRelay {
+public final class RateLimitRelay {
 
     private Optional<Kept> newest = Optional.empty();
     private boolean reportsName;
 
-    private record Kept(int endpoint, LimitNews news) {}
+    private record Kept(int endpoint, RateLimitObservation news) {}
 
     /** Begins with no news. */
-    public LimitRelay() {}
+    public RateLimitRelay() {}
 
     /**
      * An entry told what it heard.
@@ -24,7 +24,7 @@
      * @param word what it told
      * @param nowMillis the time on the steady clock
      */
-    public synchronized void told(LimitWord word, long nowMillis) {
+    public synchronized void told(RateLimitUpdate word, long nowMillis) {
         Objects.requireNonNull(word, "word is null");
         keep(word.endpoint(), word.news(nowMillis, nowMillis));
     }
@@ -38,14 +38,14 @@
      */
     public synchronized void reported(OptionalDouble perSecond, long nowMillis) {
         if (perSecond.isPresent()) {
-            keep(LimitWord.BESIDE, new LimitNews.Named(perSecond.getAsDouble(), nowMillis));
+            keep(RateLimitUpdate.BESIDE, new RateLimitObservation.Named(perSecond.getAsDouble(), nowMillis));
         } else if (reportsName) {
-            keep(LimitWord.BESIDE, new LimitNews.Ended(nowMillis));
+            keep(RateLimitUpdate.BESIDE, new RateLimitObservation.Ended(nowMillis));
         }
         reportsName = perSecond.isPresent();
     }
 
-    private void keep(int endpoint, LimitNews news) {
+    private void keep(int endpoint, RateLimitObservation news) {
         if (newest.filter(known -> !news.after(known.news())).isEmpty()) {
             newest = Optional.of(new Kept(endpoint, news));
         }
@@ -57,8 +57,8 @@
      * @param nowMillis the time on the steady clock
      * @return the newest news; empty if there are none that still count
      */
-    public synchronized Optional<LimitWord> word(long nowMillis) {
-        return newest.filter(kept -> nowMillis - kept.news().atMillis() <= EndpointLimit.COUNTED_MILLIS)
-                .map(kept -> LimitWord.of(kept.endpoint(), kept.news(), nowMillis));
+    public synchronized Optional<RateLimitUpdate> word(long nowMillis) {
+        return newest.filter(kept -> nowMillis - kept.news().atMillis() <= EndpointRateLimit.COUNTED_MILLIS)
+                .map(kept -> RateLimitUpdate.of(kept.endpoint(), kept.news(), nowMillis));
     }
 }
--- a/src/main/java/org/micabarrow/limits/LimitWord.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitUpdate.java
@@ -9,17 +9,17 @@
  * @param perSecond the limit in requests a second; empty if the endpoint names none any more
  * @param millisAgo how long ago the endpoint said so, in milliseconds
  */
-public record LimitWord(int endpoint, OptionalDouble perSecond, int millisAgo) {
+public record RateLimitUpdate(int endpoint, OptionalDouble perSecond, int millisAgo) {
 
     /** Stands for the endpoint beside an agent, whose reports do not name it. */
     public static final int BESIDE = 0;
 
     /** Checks that the age and the limit are possible. */
-    public LimitWord {
+    public RateLimitUpdate {
         if (millisAgo < 0) {
             throw new IllegalArgumentException("an age of " + millisAgo + " ms");
         }
-        perSecond.ifPresent(LimitNews::requireLimit);
+        perSecond.ifPresent(RateLimitObservation::requireLimit);
     }
 
     /**
@@ -40,12 +40,12 @@
      * @param nowMillis the time on the steady clock
      * @return the word
      */
-    public static LimitWord of(int endpoint, LimitNews news, long nowMillis) {
+    public static RateLimitUpdate of(int endpoint, RateLimitObservation news, long nowMillis) {
         int millisAgo = (int) Math.clamp(nowMillis - news.atMillis(), 0, Integer.MAX_VALUE);
         return switch (news) {
-            case LimitNews.Named(double perSecond, long ignored) ->
-                new LimitWord(endpoint, OptionalDouble.of(perSecond), millisAgo);
-            case LimitNews.Ended ignored -> new LimitWord(endpoint, OptionalDouble.empty(), millisAgo);
+            case RateLimitObservation.Named(double perSecond, long ignored) ->
+                new RateLimitUpdate(endpoint, OptionalDouble.of(perSecond), millisAgo);
+            case RateLimitObservation.Ended ignored -> new RateLimitUpdate(endpoint, OptionalDouble.empty(), millisAgo);
         };
     }
 
@@ -68,9 +68,9 @@
      * @param nowMillis the time on the steady clock
      * @return the news
      */
-    public LimitNews news(long askedMillis, long nowMillis) {
+    public RateLimitObservation news(long askedMillis, long nowMillis) {
         return perSecond.isPresent()
-                ? new LimitNews.Named(perSecond.getAsDouble(), askedMillis - millisAgo)
-                : new LimitNews.Ended(nowMillis - millisAgo);
+                ? new RateLimitObservation.Named(perSecond.getAsDouble(), askedMillis - millisAgo)
+                : new RateLimitObservation.Ended(nowMillis - millisAgo);
     }
 }
--- a/src/main/java/org/micabarrow/platform/CrashRecords.java
+++ b/src/main/java/org/micabarrow/platform/CrashRecords.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Set;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.RequestDigest;
 import org.micabarrow.state.CanonicalJson;
@@ -18,7 +18,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.StoredRecord;
 
 /**
@@ -48,7 +48,7 @@
      * @param within how long the store may take
      * @param process the name of this process
      */
-    public CrashRecords(HttpCaller caller, String address, Duration within, String process) {
+    public CrashRecords(HttpClient caller, String address, Duration within, String process) {
         this.writer = new KeyedWriter(caller, address, WireNames.CRASHES_TOPIC, within);
         this.process = Objects.requireNonNull(process, "process is null");
     }
@@ -59,7 +59,7 @@
      * @param news what happened
      * @param unixMillis when, by the clock of the process that wrote it
      */
-    public record Told(CrashNews news, long unixMillis) {}
+    public record Told(CrashUpdate news, long unixMillis) {}
 
     // -- writing
 
@@ -70,17 +70,17 @@
      * @param unixMillis the time of day
      * @return the record, whose offset says nothing
      */
-    public StoredRecord record(CrashNews news, long unixMillis) {
+    public StoredRecord record(CrashUpdate news, long unixMillis) {
         ObjectNode json = CanonicalJson.mapper().createObjectNode();
         json.put(AT, unixMillis);
         return switch (news) {
-            case CrashNews.Crashed(EndpointCrash crash) -> {
+            case CrashUpdate.Crashed(EndpointCrash crash) -> {
                 json.put(ENDPOINT, crash.endpoint());
                 put(json.putArray(ABOARD), crash.aboard());
                 put(json.putArray(BEGUN), crash.begun());
                 yield record("crash/" + crash.endpoint(), json);
             }
-            case CrashNews.Cleared(RequestDigest request, boolean whole) -> {
+            case CrashUpdate.Cleared(RequestDigest request, boolean whole) -> {
                 json.put(CLEARED, request.hex());
                 json.put(WHOLE, whole);
                 yield record("cleared/" + request + "/" + whole, json);
@@ -134,10 +134,10 @@
         }
     }
 
-    private static CrashNews news(JsonNode json) {
+    private static CrashUpdate news(JsonNode json) {
         return json.has(CLEARED)
-                ? new CrashNews.Cleared(new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
-                : new CrashNews.Crashed(new EndpointCrash(
+                ? new CrashUpdate.Cleared(new RequestDigest(JsonFields.text(json, CLEARED)), JsonFields.flag(json, WHOLE))
+                : new CrashUpdate.Crashed(new EndpointCrash(
                         JsonFields.text(json, ENDPOINT), requests(json, ABOARD), requests(json, BEGUN)));
     }
 
--- a/src/main/java/org/micabarrow/platform/KeyedWriter.java
+++ b/src/main/java/org/micabarrow/platform/KeyedWriter.java
@@ -14,8 +14,8 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 import org.micabarrow.views.StoredRecord;
 
 /** Writes keyed records into one of the system's own topics of the platform's store. */
@@ -26,7 +26,7 @@
     private static final int OK = 200;
     private static final byte[] DROPPED = {};
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final URI uri;
     private final Duration within;
 
@@ -38,7 +38,7 @@
      * @param topic the topic's name on the wire
      * @param within how long the store may take
      */
-    KeyedWriter(HttpCaller caller, String address, String topic, Duration within) {
+    KeyedWriter(HttpClient caller, String address, String topic, Duration within) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
         this.uri = URI.create("http://" + Objects.requireNonNull(address, "address is null") + WireNames.LOG_APPEND
                 + "?topic=" + topic + "&part=0");
--- a/src/main/java/org/micabarrow/platform/OriginCalls.java
+++ b/src/main/java/org/micabarrow/platform/OriginCalls.java
@@ -13,7 +13,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.weights.WeightOrigin;
 
 /** The platform's calls to the origin of weights. */
@@ -24,14 +24,14 @@
 
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
 
     /**
      * Makes a client.
      *
      * @param caller sends its requests
      */
-    public OriginCalls(HttpCaller caller) {
+    public OriginCalls(HttpClient caller) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
     }
 
--- a/src/main/java/org/micabarrow/platform/StoreClient.java
+++ b/src/main/java/org/micabarrow/platform/StoreClient.java
@@ -15,16 +15,16 @@
 import java.util.OptionalLong;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.AnswerLimits;
+import org.micabarrow.transport.ResponseTimeouts;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader;
@@ -51,7 +51,7 @@
     /** The name suggests a secret; it is a record's key. */
     private static final String KEY = "private_key";
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final String base;
     private final Duration within;
     private final LongSupplier steadyMillis;
@@ -64,8 +64,8 @@
      * @param address the store's host and port
      * @param within how long the store may be silent beyond the wait that was asked for
      */
-    public StoreClient(HttpCaller caller, String address, Duration within) {
-        this(caller, address, within, SteadyClock::millis);
+    public StoreClient(HttpClient caller, String address, Duration within) {
+        this(caller, address, within, MonotonicClock::millis);
     }
 
     /**
@@ -76,7 +76,7 @@
      * @param within how long the store may be silent beyond the wait that was asked for
      * @param steadyMillis a clock that never steps, in milliseconds
      */
-    public StoreClient(HttpCaller caller, String address, Duration within, LongSupplier steadyMillis) {
+    public StoreClient(HttpClient caller, String address, Duration within, LongSupplier steadyMillis) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
         this.base = "http://" + Objects.requireNonNull(address, "address is null");
         this.within = Objects.requireNonNull(within, "within is null");
@@ -92,8 +92,8 @@
         };
     }
 
-    private AnswerLimits limits(Duration wait) {
-        return new AnswerLimits(wait.plus(within), within, wait.plus(WHOLE.compareTo(within) > 0 ? WHOLE : within));
+    private ResponseTimeouts limits(Duration wait) {
+        return new ResponseTimeouts(wait.plus(within), within, wait.plus(WHOLE.compareTo(within) > 0 ? WHOLE : within));
     }
 
     // -- the newest of each key
--- a/src/main/java/org/micabarrow/platform/StoreRecords.java
+++ b/src/main/java/org/micabarrow/platform/StoreRecords.java
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.micabarrow.platform.JsonFields.MalformedField;
-import org.micabarrow.routing.EndpointEntry;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.routing.Route;
 import org.micabarrow.routing.RouteManifest;
@@ -177,9 +177,9 @@
                 JsonFields.textIfPresent(json, "origin"));
     }
 
-    private static ModelService model(JsonNode engine) {
+    private static ModelProfile model(JsonNode engine) {
         List<JsonNode> models = JsonFields.objectsIfPresent(engine, "models");
-        return new ModelService(
+        return new ModelProfile(
                 models.isEmpty() ? "" : JsonFields.text(models.getFirst(), "name"),
                 JsonFields.intOr(engine, "slots", 1),
                 JsonFields.numberOr(engine, "read_per_s", 1) / MILLIS_A_SECOND,
@@ -198,10 +198,10 @@
      * not looked at, so that one that changes its type costs no endpoint.
      */
     @Override
-    public Result<EndpointEntry> endpoint(StoredRecord record) {
+    public Result<EndpointRegistration> endpoint(StoredRecord record) {
         return decode(
                 record,
-                json -> new EndpointEntry(
+                json -> new EndpointRegistration(
                         id(record.key()),
                         JsonFields.text(json, "service"),
                         address(JsonFields.text(json, "address")),
--- a/src/main/java/org/micabarrow/platform/VersionRecords.java
+++ b/src/main/java/org/micabarrow/platform/VersionRecords.java
@@ -8,17 +8,17 @@
 import java.util.OptionalLong;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.views.NamedVersions;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.views.VersionPersistence;
 import org.micabarrow.views.RecordDecoder.OperatorRecord;
 import org.micabarrow.views.StoredRecord;
-import org.micabarrow.views.Unkept;
+import org.micabarrow.views.UnsavedItem;
 
 /**
  * Writes named weight versions into the system's own topic of the platform's store, as operators write them into theirs, and
  * where the newest manifest stands.
  */
-public final class VersionRecords implements NamedVersions.VersionWriter {
+public final class VersionRecords implements VersionPersistence.VersionWriter {
 
     /** Operators' records have no such field. */
     private static final String NAMED = "namedMillis";
@@ -35,27 +35,27 @@
      * @param address the store's host and port
      * @param within how long the store may take
      */
-    public VersionRecords(HttpCaller caller, String address, Duration within) {
+    public VersionRecords(HttpClient caller, String address, Duration within) {
         this.writer = new KeyedWriter(caller, address, WireNames.NAMED_TOPIC, within);
     }
 
     @Override
-    public Result<List<StoredRecord>> write(Unkept unkept) {
+    public Result<List<StoredRecord>> write(UnsavedItem unkept) {
         List<StoredRecord> records = new ArrayList<>();
         records.add(new StoredRecord(unkept.key(), 0, value(unkept)));
         unkept.outdated().forEach(key -> records.add(KeyedWriter.dropping(key)));
         return writer.write(records);
     }
 
-    private static byte[] value(Unkept unkept) {
+    private static byte[] value(UnsavedItem unkept) {
         ObjectNode json = CanonicalJson.mapper().createObjectNode();
         switch (unkept) {
-            case Unkept.Weights weights -> {
+            case UnsavedItem.Weights weights -> {
                 json.put("model", weights.model());
                 json.put(VERSION, weights.version());
                 weights.namedMillis().ifPresent(at -> json.put(NAMED, at));
             }
-            case Unkept.Manifest manifest -> {
+            case UnsavedItem.Manifest manifest -> {
                 json.put(VERSION, manifest.version());
                 json.put(OFFSET, manifest.offset());
             }
--- a/src/main/java/org/micabarrow/platform/standin/EndpointHosts.java
+++ b/src/main/java/org/micabarrow/platform/standin/EndpointHosts.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.xnio.XnioWorker;
 
@@ -23,7 +23,7 @@
 
     EndpointHosts() {
         try {
-            threads = HttpCaller.worker("endpoints", THREADS);
+            threads = HttpClient.worker("endpoints", THREADS);
         } catch (IOException e) {
             throw new UncheckedIOException("no threads for endpoints", e);
         }
--- a/src/main/java/org/micabarrow/platform/standin/HostedEndpointStandin.java
+++ b/src/main/java/org/micabarrow/platform/standin/HostedEndpointStandin.java
@@ -13,7 +13,7 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.xnio.IoUtils;
 
 /**
@@ -217,7 +217,7 @@
         String text = new String(body, StandardCharsets.UTF_8);
         String method = exchange.getRequestMethod().toString();
         String target = exchange.getRequestURI() + query;
-        long now = SteadyClock.millis();
+        long now = MonotonicClock.millis();
         boolean crashes = crashing.crashes(text);
         Optional<Behaviour> does = crashes ? Optional.empty() : Optional.of(behaviour(exchange));
         received.add(new Received(method, target, headers, text, now, does, leaving));
--- a/src/main/java/org/micabarrow/platform/standin/Received.java
+++ b/src/main/java/org/micabarrow/platform/standin/Received.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.Optional;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 
 /**
@@ -12,7 +12,7 @@
  * @param target its path and query
  * @param headers its headers, the first value of each
  * @param body its body
- * @param atMillis when it came, on the clock of {@link SteadyClock}
+ * @param atMillis when it came, on the clock of {@link MonotonicClock}
  * @param does what is done with it; empty if the endpoint ends by it
  * @param leaving whether the endpoint said that it leaves when it answered
  */
--- a/src/main/java/org/micabarrow/process/CrashSharing.java
+++ b/src/main/java/org/micabarrow/process/CrashSharing.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.platform.CrashRecords;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.views.StoredRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -40,7 +40,7 @@
     private static final int MOST_WAITING = 1_000;
 
     private final CrashRecords records;
-    private final CrashBook book;
+    private final CrashRegistry book;
     private final long memoryMillis;
     private final LongSupplier steadyMillis;
     private final LongSupplier unixMillis;
@@ -51,7 +51,7 @@
 
     CrashSharing(
             CrashRecords records,
-            CrashBook book,
+            CrashRegistry book,
             long memoryMillis,
             LongSupplier steadyMillis,
             LongSupplier unixMillis) {
@@ -64,14 +64,14 @@
 
     /** Begins to write, and to tidy up. */
     void start() {
-        Steps.start("crash-news", WRITE_REST_MILLIS, this::write);
-        Steps.start("crash-tidying", TIDY_REST_MILLIS, this::tidy);
+        RepeatedTasks.start("crash-news", WRITE_REST_MILLIS, this::write);
+        RepeatedTasks.start("crash-tidying", TIDY_REST_MILLIS, this::tidy);
     }
 
     // -- writing
 
     /** Tells the other processes; whoever calls never waits. */
-    synchronized void tell(CrashNews news) {
+    synchronized void tell(CrashUpdate news) {
         put(records.record(news, unixMillis.getAsLong()));
     }
 
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -6,24 +6,24 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import java.util.stream.Stream;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.platform.EndpointCalls;
 import org.micabarrow.platform.OriginCalls;
 import org.micabarrow.process.HostedNode.Paces;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.transport.HostedPeerServer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.LoadServer;
-import org.micabarrow.transport.PeerChunks;
-import org.micabarrow.transport.StoreNews;
-import org.micabarrow.views.NamedVersions.Duty;
-import org.micabarrow.views.NewsReader;
+import org.micabarrow.transport.PeerChunkClient;
+import org.micabarrow.transport.StoreUpdate;
+import org.micabarrow.views.VersionPersistence.Duty;
+import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower.Pace;
 import org.micabarrow.views.View;
 import org.micabarrow.weights.ChunkFetcher;
@@ -74,7 +74,7 @@
 
     private final HostedSettings settings;
     private final HostedNode node;
-    private final NewsReader news;
+    private final PeerFirstReader news;
     private final ReplicaController keeper;
     private final Agent self;
     private volatile Optional<LoadServer> loadServer = Optional.empty();
@@ -87,10 +87,10 @@
         this.settings = settings;
         this.node = new HostedNode(settings);
         this.news =
-                new NewsReader(node.store(), node.peerRecords(), new NewsReader.Role.Agent(), HostedNode::steadyMillis);
+                new PeerFirstReader(node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
-                new PeerChunks(node.kept()),
+                new PeerChunkClient(node.kept()),
                 new OriginCalls(node.fresh()),
                 () -> view().manifest().flatMap(RouteManifest::origin),
                 ChunkSources.cached(self, this::agents),
@@ -138,22 +138,22 @@
                 new Pace(HostedNode.STORE_WAIT, Duration.ZERO), new Pace(HostedNode.STORE_WAIT, ENDPOINTS_REST));
         node.follow(news, news, paces, settings::seeds, this::duty);
         node.metrics().registerGauge("weights.secondsNotRetired", keeper::secondsNotRetired);
-        Steps.start("report", REPORT_MILLIS, new Reports());
-        Steps.start("fetch", LOOK_MILLIS, keeper::fetch);
-        Steps.start("replica", this::replicaMillis, keeper::step);
-        Steps.start("read-back", READ_BACK_MILLIS, keeper::readBack);
-        Steps.start("standstill", STANDSTILL_LOOK_MILLIS, new StandstillWatch());
+        RepeatedTasks.start("report", REPORT_MILLIS, new Reports());
+        RepeatedTasks.start("fetch", LOOK_MILLIS, keeper::fetch);
+        RepeatedTasks.start("replica", this::replicaMillis, keeper::step);
+        RepeatedTasks.start("read-back", READ_BACK_MILLIS, keeper::readBack);
+        RepeatedTasks.start("standstill", STANDSTILL_LOOK_MILLIS, new StandstillWatch());
         LOG.info(
                 "event=started role=agent instance={} countsSuspensions={}",
                 settings.instance().id(),
-                SteadyClock.countsSuspensions());
+                MonotonicClock.countsSuspensions());
     }
 
     /**
      * Asks the endpoint how it is, and tells entries at once when it takes requests again, or no more. Asked by an entry of
      * another region only every 450 ms, it would stand idle for half of that after each change of versions.
      */
-    private final class Reports implements Steps.Step {
+    private final class Reports implements RepeatedTasks.Step {
 
         private Optional<Serving> toldLast = Optional.empty();
 
@@ -175,7 +175,7 @@
     }
 
     /** Says that the instance stood still, so that what entries and endpoints tell of that time can be explained. */
-    private final class StandstillWatch implements Steps.Step {
+    private final class StandstillWatch implements RepeatedTasks.Step {
 
         private long lastMillis = HostedNode.steadyMillis();
 
@@ -194,7 +194,7 @@
     }
 
     /** An entry told where the last changes in the store stand. */
-    private void heard(String entry, StoreNews told) {
+    private void heard(String entry, StoreUpdate told) {
         news.told(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
         // A place beyond all that the entry has read would be kept for good, and be lacking everywhere.
         told.manifest()
@@ -224,7 +224,7 @@
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
     private int freePlaces(ModelEndpoint.Report report) {
         return modelService()
-                .map(service -> PlaceShares.dealable(service.slots(), report.running() + report.queued()))
+                .map(service -> SlotAllotment.dealable(service.slots(), report.running() + report.queued()))
                 .orElse(LoadReport.ANY_PLACES);
     }
 
@@ -240,18 +240,18 @@
         return node.views().view();
     }
 
-    private Optional<ModelService> modelService() {
+    private Optional<ModelProfile> modelService() {
         return view().manifest()
                 .flatMap(manifest -> manifest.service(settings.service().orElse("")))
                 .flatMap(RouteManifest.Service::model);
     }
 
     private Optional<String> model() {
-        return modelService().map(ModelService::model);
+        return modelService().map(ModelProfile::model);
     }
 
     private int layers() {
-        return modelService().map(ModelService::layers).orElse(0);
+        return modelService().map(ModelProfile::layers).orElse(0);
     }
 
     /** The agents beside all endpoints of this agent's service; they listen at the same port on every instance. */
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.random.RandomGenerator;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.crashes.CrashBook;
+import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.process.HostedNode.Paces;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.serving.Crashes;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.serving.CrashTracking;
 import org.micabarrow.serving.ManifestAge;
 import org.micabarrow.serving.ServingHandler;
 import org.micabarrow.settings.HostedSettings;
@@ -22,12 +22,12 @@
 import org.micabarrow.transport.HostedPeerServer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.transport.ListenerProbe;
-import org.micabarrow.transport.LoadFeed;
-import org.micabarrow.transport.StoreNews;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.LeavingBound;
-import org.micabarrow.views.NamedVersions.Duty;
-import org.micabarrow.views.NewsReader;
+import org.micabarrow.transport.LoadPoller;
+import org.micabarrow.transport.StoreUpdate;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.DrainTimeBudget;
+import org.micabarrow.views.VersionPersistence.Duty;
+import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.StoreFollower.Pace;
 import org.micabarrow.views.Topic;
@@ -76,9 +76,9 @@
 
     private final HostedSettings settings;
     private final HostedNode node;
-    private final EndpointChoice choice;
-    private final NewsReader reader;
-    private final LoadFeed loadFeed;
+    private final EndpointSelector choice;
+    private final PeerFirstReader reader;
+    private final LoadPoller loadFeed;
     private final ServingHandler handler;
     private final CrashSharing crashes;
     private volatile Optional<HttpListener> clients = Optional.empty();
@@ -88,15 +88,15 @@
     private HostedEntryProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.node = new HostedNode(settings);
-        this.choice = new EndpointChoice(settings.instance().region(), settings.regions());
+        this.choice = new EndpointSelector(settings.instance().region(), settings.regions());
         HostedSettings.Bounds bounds = settings.bounds();
-        this.reader = new NewsReader(
+        this.reader = new PeerFirstReader(
                 node.store(),
                 node.peerRecords(),
-                new NewsReader.Role.Entry(
+                new PeerFirstReader.Role.Entry(
                         Addresses.numeric(settings.listen().peers()), HostedNode.readerTrustMillis(bounds)),
                 HostedNode::steadyMillis);
-        this.loadFeed = LoadFeed.open(new LoadFeed.Parts(
+        this.loadFeed = LoadPoller.open(new LoadPoller.Parts(
                 settings.instance(),
                 settings.listen().peers(),
                 settings.regions(),
@@ -107,7 +107,7 @@
                 HostedNode::steadyMillis,
                 this::news,
                 this::heard));
-        CrashBook book = new CrashBook(bounds.crashMemoryMillis(), bounds.crashesKept(), this::endpoints);
+        CrashRegistry book = new CrashRegistry(bounds.crashMemoryMillis(), bounds.crashesKept(), this::endpoints);
         this.crashes = new CrashSharing(
                 node.crashRecords(),
                 book,
@@ -131,7 +131,7 @@
                         Math.round(bounds.versionMillis() * DEMAND_PART),
                         Math.round(bounds.versionMillis() * CANCEL_PART)),
                 new ManifestAge(node.views()::operatorAsOfMillis, bounds.configurationMillis()),
-                new Crashes(book, new ListenerProbe(node.worker()), crashes::tell)));
+                new CrashTracking(book, new ListenerProbe(node.worker()), crashes::tell)));
     }
 
     /**
@@ -169,20 +169,20 @@
         LOG.info(
                 "event=started role=entry instance={} countsSuspensions={}",
                 settings.instance().id(),
-                SteadyClock.countsSuspensions());
+                MonotonicClock.countsSuspensions());
     }
 
     private static Paces paces(HostedSettings.Bounds bounds) {
         return new Paces(
                 new Pace(part(bounds.configurationMillis(), OPERATOR_HOLD_PART), Duration.ZERO),
-                LeavingBound.pace(Duration.ofMillis(bounds.drainMillis())));
+                DrainTimeBudget.pace(Duration.ofMillis(bounds.drainMillis())));
     }
 
     private static Duration part(long millis, double part) {
         return Duration.ofMillis(Math.round(millis * part));
     }
 
-    private Optional<StoreNews> news() {
+    private Optional<StoreUpdate> news() {
         String control = settings.listen().peers();
         int port = Integer.parseInt(control.substring(control.lastIndexOf(':') + 1));
         OptionalLong asOf = node.views().operatorAsOfMillis();
@@ -192,12 +192,12 @@
         long knownMillisAgo = Math.max(0, HostedNode.steadyMillis() - asOf.getAsLong());
         return node.changesInTouch()
                 .map(changes ->
-                        new StoreNews(port, changes, node.views().newestManifest(), knownMillisAgo, reader.direct()));
+                        new StoreUpdate(port, changes, node.views().newestManifest(), knownMillisAgo, reader.direct()));
     }
 
     /** An agent told of the entry that reads the store for the region. */
-    private void heard(StoreNews.Heard told) {
-        reader.told(told.peer(), new LastChanges(told.operator(), 0), told.asOfMillis());
+    private void heard(StoreUpdate.Heard told) {
+        reader.told(told.peer(), new ChangeOffsets(told.operator(), 0), told.asOfMillis());
         if (node.views().end(Topic.OPERATOR) >= told.operator()) {
             // It knows of nothing that is not known here.
             node.views().confirmOperator(told.asOfMillis());
--- a/src/main/java/org/micabarrow/process/HostedNode.java
+++ b/src/main/java/org/micabarrow/process/HostedNode.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.platform.CrashRecords;
 import org.micabarrow.platform.StoreClient;
 import org.micabarrow.platform.StoreRecords;
@@ -17,20 +17,20 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.LinkPacer;
-import org.micabarrow.transport.PeerRecords;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.LeavingBound;
-import org.micabarrow.views.NamedVersions;
-import org.micabarrow.views.NamedVersions.Duty;
-import org.micabarrow.views.NewsReader;
+import org.micabarrow.transport.PeerRecordClient;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.DrainTimeBudget;
+import org.micabarrow.views.VersionPersistence;
+import org.micabarrow.views.VersionPersistence.Duty;
+import org.micabarrow.views.PeerFirstReader;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.StoreFollower.Pace;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader;
 import org.micabarrow.views.TopicReader.Batch;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioWorker;
@@ -68,10 +68,10 @@
     private final HostedSettings settings;
     private final MetricRegistry metrics = new MetricRegistry();
     private final XnioWorker worker;
-    private final HttpCaller kept;
-    private final HttpCaller fresh;
-    private final ViewKeeper views;
-    private final PeerRecords peerRecords;
+    private final HttpClient kept;
+    private final HttpClient fresh;
+    private final ViewMaintainer views;
+    private final PeerRecordClient peerRecords;
     private final StoreClient store;
     private volatile List<StoreFollower> followers = List.of();
     private final PeersInTurn turn = new PeersInTurn();
@@ -81,12 +81,12 @@
 
     HostedNode(HostedSettings settings) throws IOException {
         this.settings = settings;
-        this.worker = HttpCaller.worker("traffic", 1);
-        this.kept = HttpCaller.on(worker, KEPT_CONNECTIONS);
-        this.fresh = HttpCaller.on(worker, 0);
-        this.views = new ViewKeeper(new StoreRecords(), HostedNode::steadyMillis);
-        this.peerRecords = new PeerRecords(kept, HostedNode::steadyMillis);
-        this.store = new StoreClient(kept, settings.store(), LeavingBound.STORE_ANSWER, HostedNode::steadyMillis);
+        this.worker = HttpClient.worker("traffic", 1);
+        this.kept = HttpClient.on(worker, KEPT_CONNECTIONS);
+        this.fresh = HttpClient.on(worker, 0);
+        this.views = new ViewMaintainer(new StoreRecords(), HostedNode::steadyMillis);
+        this.peerRecords = new PeerRecordClient(kept, HostedNode::steadyMillis);
+        this.store = new StoreClient(kept, settings.store(), DrainTimeBudget.STORE_ANSWER, HostedNode::steadyMillis);
         metrics.registerGauge(
                 "process.heapBytes",
                 () -> ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
@@ -98,7 +98,7 @@
 
     /** A clock that never steps and counts suspensions, in milliseconds. */
     static long steadyMillis() {
-        return SteadyClock.millis();
+        return MonotonicClock.millis();
     }
 
     /** How old what the region's reader knows may be for others to go by it, in milliseconds. */
@@ -115,16 +115,16 @@
     }
 
     /** Keeps connections for later requests. */
-    HttpCaller kept() {
+    HttpClient kept() {
         return kept;
     }
 
     /** Opens a connection for each request. */
-    HttpCaller fresh() {
+    HttpClient fresh() {
         return fresh;
     }
 
-    ViewKeeper views() {
+    ViewMaintainer views() {
         return views;
     }
 
@@ -147,12 +147,12 @@
     }
 
     /** Asks processes that tell of news for the records. */
-    NewsReader.Peers peerRecords() {
+    PeerFirstReader.Peers peerRecords() {
         return peerRecords::ask;
     }
 
     /** What is known of the store, while it answers; empty while it does not, and before it was read. */
-    Optional<LastChanges> changesInTouch() {
+    Optional<ChangeOffsets> changesInTouch() {
         return !followers.isEmpty() && followers.stream().allMatch(StoreFollower::inTouch)
                 ? Optional.of(views.changes())
                 : Optional.empty();
@@ -173,10 +173,10 @@
             Paces paces,
             Supplier<List<String>> peers,
             Supplier<Duty> duty) {
-        VersionRecords records = new VersionRecords(kept, settings.store(), LeavingBound.STORE_ANSWER);
+        VersionRecords records = new VersionRecords(kept, settings.store(), DrainTimeBudget.STORE_ANSWER);
         Consumer<Topic> askPeer = topic -> askPeers(topic, peers.get());
-        NamedVersions operator =
-                new NamedVersions(operatorReader, records, views, duty, () -> askPeer.accept(Topic.OPERATOR));
+        VersionPersistence operator =
+                new VersionPersistence(operatorReader, records, views, duty, () -> askPeer.accept(Topic.OPERATOR));
         followers = List.of(
                 new StoreFollower(Topic.OPERATOR, operator, views, askPeer, paces.operator()),
                 new StoreFollower(Topic.ENDPOINTS, endpointsReader, views, askPeer, paces.endpoints()));
@@ -197,7 +197,7 @@
         return new CrashRecords(
                 kept,
                 settings.store(),
-                LeavingBound.STORE_ANSWER,
+                DrainTimeBudget.STORE_ANSWER,
                 settings.instance().id());
     }
 
--- a/src/main/java/org/micabarrow/process/Node.java
+++ b/src/main/java/org/micabarrow/process/Node.java
@@ -26,8 +26,8 @@
 import org.micabarrow.protocol.wire.StatusReply;
 import org.micabarrow.settings.Common;
 import org.micabarrow.state.Instance;
-import org.micabarrow.steps.OwnedThread;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.steps.StoppableThread;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.PlatformClient;
 import org.micabarrow.transport.TlsFiles;
 import org.micabarrow.transport.grpc.PeerChannels;
@@ -53,14 +53,14 @@
     private final MetricRegistry metrics = new MetricRegistry();
     private final ControlThread control = ControlThread.start("control");
     private final Configuration configuration = new Configuration(control, clock);
-    private final HttpCaller http = HttpCaller.start("http-client", HTTP_THREADS);
+    private final HttpClient http = HttpClient.start("http-client", HTTP_THREADS);
     private final AtomicReference<List<Instance>> instances = new AtomicReference<>(List.of());
     private final PlatformClient platform;
     private final PeerChannels channels;
     private final PeerClient peers;
     private final RecordWriter writer;
     private final long listMillis;
-    private final OwnedThread list = new OwnedThread("instance-list", this::pollList);
+    private final StoppableThread list = new StoppableThread("instance-list", this::pollList);
     private ConfigurationReader reader;
 
     Node(Common.Place place, Common.Platform services, Common.Security security, long listMillis) throws IOException {
@@ -122,7 +122,7 @@
         return configuration;
     }
 
-    HttpCaller http() {
+    HttpClient http() {
         return http;
     }
 
--- a/src/main/java/org/micabarrow/process/NudgedThread.java
+++ b/src/main/java/org/micabarrow/process/NudgedThread.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.concurrent.Semaphore;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 
 /**
  * A thread that takes a step whenever it is nudged. Whoever nudges it never waits; nudges that come while the step is held up
@@ -20,7 +20,7 @@
     /** Starts a thread. */
     static NudgedThread start(String name, Runnable step) {
         NudgedThread nudged = new NudgedThread(step);
-        Steps.start(name, 0, nudged::takeStep);
+        RepeatedTasks.start(name, 0, nudged::takeStep);
         return nudged;
     }
 
--- a/src/main/java/org/micabarrow/routing/Rest.java
+++ b/src/main/java/org/micabarrow/routing/Backoff.java
@@ -4,7 +4,7 @@
  * The rest that an endpoint has asked this process for, and how it is sent to again afterwards: one request first, and twice as many
  * with each answer, since all that waits would otherwise reach it in the same instant. Used by one thread.
  */
-public final class Rest {
+public final class Backoff {
 
     /** With how many requests at once an endpoint counts as sent to as before. */
     private static final int AS_BEFORE = 32;
--- a/src/main/java/org/micabarrow/routing/LeavingStarts.java
+++ b/src/main/java/org/micabarrow/routing/DrainingEndpoints.java
@@ -8,7 +8,7 @@
  * The starts of endpoints that said in an answer that they leave. No entry takes that back, be it read later or written before: it holds
  * for that start of the endpoint, and for no other one at its address. Used by one thread.
  */
-final class LeavingStarts {
+final class DrainingEndpoints {
 
     /** How many are remembered: more than leave while an entry of theirs may be written late. */
     private static final int MOST = 1_000;
--- a/src/main/java/org/micabarrow/routing/KnownEndpoint.java
+++ b/src/main/java/org/micabarrow/routing/EndpointCandidate.java
@@ -12,10 +12,10 @@
  * @param endpoint the endpoint
  * @param load what is known of its load
  */
-record KnownEndpoint(EndpointEntry endpoint, EndpointLoad load) {
+record EndpointCandidate(EndpointRegistration endpoint, EndpointLoad load) {
 
     /** The weight version of a model that it holds, by its entry or by what it did since; 0 if none. */
-    long version(ModelService model) {
+    long version(ModelProfile model) {
         long entered =
                 endpoint.layers() < model.layers() ? 0 : endpoint.models().getOrDefault(model.model(), 0L);
         return Math.max(entered, load.version());
@@ -32,7 +32,7 @@
     }
 
     /** How long it takes until the limit of one of some allows a request; empty if all are left to other entries. */
-    static OptionalLong firstWithinLimitMillis(List<KnownEndpoint> some, long nowMillis) {
+    static OptionalLong firstWithinLimitMillis(List<EndpointCandidate> some, long nowMillis) {
         return some.stream()
                 .map(one -> one.load().untilLimitAllowsMillis(nowMillis))
                 .filter(OptionalLong::isPresent)
@@ -46,9 +46,9 @@
     }
 
     /** Those of some for which a condition holds. */
-    static List<KnownEndpoint> keep(List<KnownEndpoint> some, Predicate<KnownEndpoint> condition) {
-        List<KnownEndpoint> kept = new ArrayList<>(some.size());
-        for (KnownEndpoint one : some) {
+    static List<EndpointCandidate> keep(List<EndpointCandidate> some, Predicate<EndpointCandidate> condition) {
+        List<EndpointCandidate> kept = new ArrayList<>(some.size());
+        for (EndpointCandidate one : some) {
             if (condition.test(one)) {
                 kept.add(one);
             }
@@ -57,9 +57,9 @@
     }
 
     /** How long it takes until the first of some may be sent to again; empty if one does not rest, or there are none. */
-    static OptionalLong allRestMillis(List<KnownEndpoint> some, long nowMillis) {
+    static OptionalLong allRestMillis(List<EndpointCandidate> some, long nowMillis) {
         long least = Long.MAX_VALUE;
-        for (KnownEndpoint one : some) {
+        for (EndpointCandidate one : some) {
             if (!one.rests(nowMillis)) {
                 return OptionalLong.empty();
             }
--- a/src/main/java/org/micabarrow/routing/EndpointRoom.java
+++ b/src/main/java/org/micabarrow/routing/EndpointCapacity.java
@@ -1,7 +1,7 @@
 package org.micabarrow.routing;
 
 /** Whether an endpoint has room for a request, which is so while its first event is expected within the objective. */
-final class EndpointRoom {
+final class EndpointCapacity {
 
     /** The part of the objective that is kept for what the prediction of the first event misses. */
     private static final double OBJECTIVE_KEPT = 0.2;
@@ -24,7 +24,7 @@
     /** How many requests an endpoint of a model may hold in relation to its slots. */
     private static final double MODEL_SLOTS = 1;
 
-    private EndpointRoom() {}
+    private EndpointCapacity() {}
 
     /**
      * How long a request may wait for room and still be in time, if it then finds an endpoint that has nothing else to read.
@@ -50,7 +50,7 @@
     }
 
     /** Whether an endpoint that may get a request has room for it. */
-    static boolean isFor(Wanted wanted, EndpointEntry endpoint, EndpointLoad load, long nowMillis) {
+    static boolean isFor(Wanted wanted, EndpointRegistration endpoint, EndpointLoad load, long nowMillis) {
         if (!load.restAllows(nowMillis)) {
             return false;
         }
@@ -77,7 +77,7 @@
      * lately. It says which endpoint is the quickest, not whether one has room: where links are full all are slow, and a request that
      * waits for a quick one is late for certain.
      */
-    static double predictedMillis(Wanted wanted, EndpointEntry endpoint, EndpointLoad load, long nowMillis) {
+    static double predictedMillis(Wanted wanted, EndpointRegistration endpoint, EndpointLoad load, long nowMillis) {
         if (wanted.model().isEmpty()) {
             return load.requests(nowMillis) * PLAIN_ROUND_MILLIS / endpoint.slots();
         }
@@ -93,12 +93,12 @@
     }
 
     /** When the first event is expected where nothing else runs. */
-    private static double aloneMillis(ModelService model, int promptTokens) {
+    private static double aloneMillis(ModelProfile model, int promptTokens) {
         return firstEvent(model, 0, promptTokens);
     }
 
     /** When the first event is expected: after the steps under way, the prompts ahead, its own, and its first steps. */
-    private static double firstEvent(ModelService model, int requests, int promptTokens) {
+    private static double firstEvent(ModelProfile model, int requests, int promptTokens) {
         double step = model.stepMillis() + model.stepMillisPerSequence() * requests;
         double steps = model.stride() * step;
         return 2 * steps + promptTokens / model.prefillTokensPerMilli();
--- a/src/main/java/org/micabarrow/routing/EndpointLoad.java
+++ b/src/main/java/org/micabarrow/routing/EndpointLoad.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 import java.util.OptionalLong;
-import org.micabarrow.limits.EndpointLimit;
+import org.micabarrow.limits.EndpointRateLimit;
 
 /**
  * What an entry knows of the work at one start of an endpoint: its own requests there, what the endpoint's agent told, and
@@ -22,18 +22,18 @@
     private boolean unanswered;
     private boolean startedAgain;
     private long version;
-    private final LinkDelay link = new LinkDelay();
-    private final Failures failures = new Failures();
-    private final Rest rest = new Rest();
+    private final LinkLatency link = new LinkLatency();
+    private final FailureTracker failures = new FailureTracker();
+    private final Backoff rest = new Backoff();
     private final FirstEventDelay firstEvents = new FirstEventDelay();
-    private final EndpointLimit limit;
+    private final EndpointRateLimit limit;
 
     /**
      * Begins without any request, and with nothing told.
      *
      * @param limit what is known of the endpoint's limit, to be updated
      */
-    public EndpointLoad(EndpointLimit limit) {
+    public EndpointLoad(EndpointRateLimit limit) {
         this.limit = Objects.requireNonNull(limit, "limit is null");
     }
 
@@ -287,7 +287,7 @@
      *
      * @return the rest, to be kept
      */
-    public Rest rest() {
+    public Backoff rest() {
         return rest;
     }
 
@@ -308,7 +308,7 @@
      *
      * @return what is known of it, to be updated
      */
-    public EndpointLimit limit() {
+    public EndpointRateLimit limit() {
         return limit;
     }
 
@@ -350,7 +350,7 @@
      *
      * @return the record, to be kept
      */
-    public Failures failures() {
+    public FailureTracker failures() {
         return failures;
     }
 }
--- a/src/main/java/org/micabarrow/routing/EndpointEntry.java
+++ b/src/main/java/org/micabarrow/routing/EndpointRegistration.java
@@ -18,7 +18,7 @@
  * @param startedMillis the Unix millisecond of its start; empty if it does not tell
  * @param writes a count that rises with each write of the entry since then; empty if it does not tell
  */
-public record EndpointEntry(
+public record EndpointRegistration(
         String id,
         String service,
         String address,
@@ -31,7 +31,7 @@
         OptionalLong writes) {
 
     /** Copies the models. */
-    public EndpointEntry {
+    public EndpointRegistration {
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(service, "service is null");
         Objects.requireNonNull(address, "address is null");
@@ -53,7 +53,7 @@
      * @param layers how many layers it held then; the greatest number if it does not tell
      * @return its entry
      */
-    public static EndpointEntry of(
+    public static EndpointRegistration of(
             String id,
             String service,
             String address,
@@ -63,7 +63,7 @@
             Map<String, Long> models,
             int layers) {
         OptionalLong untold = OptionalLong.empty();
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, untold, untold);
+        return new EndpointRegistration(id, service, address, dataHall, slots, leaving, models, layers, untold, untold);
     }
 
     /**
@@ -72,12 +72,12 @@
      * @param millis the Unix millisecond of its start; empty if it does not tell
      * @return an entry that differs by this at most
      */
-    public EndpointEntry withStart(OptionalLong millis) {
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, millis, writes);
+    public EndpointRegistration withStart(OptionalLong millis) {
+        return new EndpointRegistration(id, service, address, dataHall, slots, leaving, models, layers, millis, writes);
     }
 
-    private EndpointEntry withWrites(OptionalLong count) {
-        return new EndpointEntry(id, service, address, dataHall, slots, leaving, models, layers, startedMillis, count);
+    private EndpointRegistration withWrites(OptionalLong count) {
+        return new EndpointRegistration(id, service, address, dataHall, slots, leaving, models, layers, startedMillis, count);
     }
 
     /**
@@ -86,7 +86,7 @@
      * @param other the other
      * @return true if they differ by the count of writes at most
      */
-    public boolean saysTheSameAs(EndpointEntry other) {
+    public boolean saysTheSameAs(EndpointRegistration other) {
         return equals(other.withWrites(writes));
     }
 
--- a/src/main/java/org/micabarrow/routing/Choice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointSelection.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /** What was chosen. */
-public sealed interface Choice {
+public sealed interface EndpointSelection {
 
     /**
      * An endpoint.
@@ -11,14 +11,14 @@
      * @param endpoint where to send the request
      * @param predictedMillis when its first event is expected
      */
-    record Send(EndpointEntry endpoint, double predictedMillis) implements Choice {}
+    record Send(EndpointRegistration endpoint, double predictedMillis) implements EndpointSelection {}
 
     /**
      * All endpoints that could serve are full.
      *
      * @param endpoints how many there are
      */
-    record Full(int endpoints) implements Choice {}
+    record Full(int endpoints) implements EndpointSelection {}
 
     /**
      * All endpoints that could serve have asked for rest.
@@ -26,7 +26,7 @@
      * @param endpoints how many there are
      * @param millis how long the first of them rests, in milliseconds
      */
-    record Resting(int endpoints, long millis) implements Choice {}
+    record Resting(int endpoints, long millis) implements EndpointSelection {}
 
     /**
      * All endpoints that could serve have been sent what this entry may send them of the requests a second that they take.
@@ -34,8 +34,8 @@
      * @param endpoints how many there are
      * @param millis how long it takes until one may be sent another request, in milliseconds; empty if that is left to other entries
      */
-    record Limited(int endpoints, OptionalLong millis) implements Choice {}
+    record Limited(int endpoints, OptionalLong millis) implements EndpointSelection {}
 
     /** No endpoint can serve at all. */
-    record None() implements Choice {}
+    record None() implements EndpointSelection {}
 }
--- a/src/main/java/org/micabarrow/routing/EndpointChoice.java
+++ b/src/main/java/org/micabarrow/routing/EndpointSelector.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
-import org.micabarrow.limits.EndpointLimit;
-import org.micabarrow.limits.KnownEntries;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
 
 /**
  * Chooses the endpoint for a request: the one that is expected to answer first, with a preference for the entry's own
  * region, and none at all if the objective could not be met. Used by one thread.
  */
-public final class EndpointChoice {
+public final class EndpointSelector {
 
     /**
      * What sending to another region counts as, in milliseconds of delay. Bytes between regions are paid for; in relation
@@ -32,9 +32,9 @@
     private static final long FAR_SILENCE_MILLIS = 1_000;
 
     private final Map<EndpointStart, EndpointLoad> loads = new HashMap<>();
-    private final LeavingStarts leaving = new LeavingStarts();
+    private final DrainingEndpoints leaving = new DrainingEndpoints();
     private final UnmetDemand unmet = new UnmetDemand();
-    private final KnownEntries entries = new KnownEntries();
+    private final EntryCount entries = new EntryCount();
     private final RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     private final Map<String, String> regions;
     private final String region;
@@ -45,7 +45,7 @@
      * @param region the entry's region
      * @param regions the region of each data hall
      */
-    public EndpointChoice(String region, Map<String, String> regions) {
+    public EndpointSelector(String region, Map<String, String> regions) {
         this.region = Objects.requireNonNull(region, "region is null");
         this.regions = Map.copyOf(regions);
     }
@@ -57,7 +57,7 @@
      * @return its load, to be updated
      */
     public EndpointLoad load(EndpointStart start) {
-        return loads.computeIfAbsent(start, key -> new EndpointLoad(new EndpointLimit(key.id(), entries, random)));
+        return loads.computeIfAbsent(start, key -> new EndpointLoad(new EndpointRateLimit(key.id(), entries, random)));
     }
 
     /**
@@ -87,8 +87,8 @@
      *
      * @param present those that are listed
      */
-    public void keepOnly(Collection<EndpointEntry> present) {
-        Set<EndpointStart> starts = present.stream().map(EndpointEntry::start).collect(Collectors.toSet());
+    public void keepOnly(Collection<EndpointRegistration> present) {
+        Set<EndpointStart> starts = present.stream().map(EndpointRegistration::start).collect(Collectors.toSet());
         loads.entrySet()
                 .removeIf(
                         one -> !starts.contains(one.getKey()) && one.getValue().idle());
@@ -112,11 +112,11 @@
      * @param endpoint the endpoint
      * @return true if one of them says so
      */
-    public boolean leaves(EndpointEntry endpoint) {
+    public boolean leaves(EndpointRegistration endpoint) {
         return leaves(known(endpoint));
     }
 
-    private boolean leaves(KnownEndpoint one) {
+    private boolean leaves(EndpointCandidate one) {
         return one.endpoint().leaving()
                 || leaving.contains(one.endpoint().start())
                 || one.load().toldThatItLeaves();
@@ -136,7 +136,7 @@
      *
      * @return what agents told, to be updated
      */
-    public KnownEntries entries() {
+    public EntryCount entries() {
         return entries;
     }
 
@@ -149,7 +149,7 @@
      * @param nowMillis the time on the steady clock
      * @return true also if it has none
      */
-    public boolean withinLimit(EndpointEntry endpoint, long nowMillis) {
+    public boolean withinLimit(EndpointRegistration endpoint, long nowMillis) {
         return known(endpoint).withinLimit(nowMillis);
     }
 
@@ -161,45 +161,45 @@
      * @param nowMillis the time on the steady clock
      * @return the choice
      */
-    public Choice choose(List<EndpointEntry> candidates, Wanted wanted, long nowMillis) {
-        List<KnownEndpoint> known = known(candidates);
-        List<KnownEndpoint> able = KnownEndpoint.keep(known, one -> able(one, wanted, nowMillis));
-        OptionalLong allRest = KnownEndpoint.allRestMillis(able, nowMillis);
+    public EndpointSelection choose(List<EndpointRegistration> candidates, Wanted wanted, long nowMillis) {
+        List<EndpointCandidate> known = known(candidates);
+        List<EndpointCandidate> able = EndpointCandidate.keep(known, one -> able(one, wanted, nowMillis));
+        OptionalLong allRest = EndpointCandidate.allRestMillis(able, nowMillis);
         if (allRest.isPresent()) {
-            return new Choice.Resting(able.size(), allRest.getAsLong());
+            return new EndpointSelection.Resting(able.size(), allRest.getAsLong());
         }
-        List<KnownEndpoint> awake = KnownEndpoint.keep(able, one -> !one.rests(nowMillis));
-        List<KnownEndpoint> open = KnownEndpoint.keep(awake, one -> one.withinLimit(nowMillis));
+        List<EndpointCandidate> awake = EndpointCandidate.keep(able, one -> !one.rests(nowMillis));
+        List<EndpointCandidate> open = EndpointCandidate.keep(awake, one -> one.withinLimit(nowMillis));
         if (open.isEmpty() && !awake.isEmpty()) {
-            return new Choice.Limited(awake.size(), KnownEndpoint.firstWithinLimitMillis(awake, nowMillis));
+            return new EndpointSelection.Limited(awake.size(), EndpointCandidate.firstWithinLimitMillis(awake, nowMillis));
         }
-        List<KnownEndpoint> pool = pool(known, open, nowMillis);
-        return pool.isEmpty() ? new Choice.None() : first(pool, wanted, nowMillis);
+        List<EndpointCandidate> pool = pool(known, open, nowMillis);
+        return pool.isEmpty() ? new EndpointSelection.None() : first(pool, wanted, nowMillis);
     }
 
     /** The endpoint of some that is expected to answer first, if any of them has room. */
-    private Choice first(List<KnownEndpoint> pool, Wanted wanted, long nowMillis) {
-        Choice first = new Choice.Full(pool.size());
+    private EndpointSelection first(List<EndpointCandidate> pool, Wanted wanted, long nowMillis) {
+        EndpointSelection first = new EndpointSelection.Full(pool.size());
         double least = Double.POSITIVE_INFINITY;
-        for (KnownEndpoint one : pool) {
-            if (EndpointRoom.isFor(wanted, one.endpoint(), one.load(), nowMillis)) {
-                double predicted = EndpointRoom.predictedMillis(wanted, one.endpoint(), one.load(), nowMillis);
+        for (EndpointCandidate one : pool) {
+            if (EndpointCapacity.isFor(wanted, one.endpoint(), one.load(), nowMillis)) {
+                double predicted = EndpointCapacity.predictedMillis(wanted, one.endpoint(), one.load(), nowMillis);
                 double counted = predicted + distance(one.endpoint());
                 if (counted < least) {
                     least = counted;
-                    first = new Choice.Send(one.endpoint(), predicted);
+                    first = new EndpointSelection.Send(one.endpoint(), predicted);
                 }
             }
         }
         return first;
     }
 
-    private KnownEndpoint known(EndpointEntry endpoint) {
-        return new KnownEndpoint(endpoint, load(endpoint.start()));
+    private EndpointCandidate known(EndpointRegistration endpoint) {
+        return new EndpointCandidate(endpoint, load(endpoint.start()));
     }
 
-    private List<KnownEndpoint> known(List<EndpointEntry> endpoints) {
-        List<KnownEndpoint> known = new ArrayList<>(endpoints.size());
+    private List<EndpointCandidate> known(List<EndpointRegistration> endpoints) {
+        List<EndpointCandidate> known = new ArrayList<>(endpoints.size());
         endpoints.forEach(endpoint -> known.add(known(endpoint)));
         return known;
     }
@@ -211,7 +211,7 @@
      * @param nowMillis the time on the steady clock
      * @return true until the rest is over
      */
-    public boolean rests(EndpointEntry endpoint, long nowMillis) {
+    public boolean rests(EndpointRegistration endpoint, long nowMillis) {
         return known(endpoint).rests(nowMillis);
     }
 
@@ -223,18 +223,18 @@
      * @param nowMillis the time on the steady clock
      * @return milliseconds; empty if one that may get the request does not rest, or none may get it
      */
-    public OptionalLong allRestMillis(List<EndpointEntry> candidates, Wanted wanted, long nowMillis) {
-        return KnownEndpoint.allRestMillis(
-                KnownEndpoint.keep(known(candidates), one -> able(one, wanted, nowMillis)), nowMillis);
+    public OptionalLong allRestMillis(List<EndpointRegistration> candidates, Wanted wanted, long nowMillis) {
+        return EndpointCandidate.allRestMillis(
+                EndpointCandidate.keep(known(candidates), one -> able(one, wanted, nowMillis)), nowMillis);
     }
 
     /**
      * The endpoints to choose among. Those with failures or a slow link do if there are no others. Those that fell silent do only if no
      * endpoint of the service is heard of at all: then it is more likely that this entry does not hear.
      */
-    private List<KnownEndpoint> pool(List<KnownEndpoint> candidates, List<KnownEndpoint> able, long nowMillis) {
-        List<KnownEndpoint> heard = KnownEndpoint.keep(able, one -> !silent(one, nowMillis));
-        List<KnownEndpoint> well = KnownEndpoint.keep(heard, one -> one.well(nowMillis));
+    private List<EndpointCandidate> pool(List<EndpointCandidate> candidates, List<EndpointCandidate> able, long nowMillis) {
+        List<EndpointCandidate> heard = EndpointCandidate.keep(able, one -> !silent(one, nowMillis));
+        List<EndpointCandidate> well = EndpointCandidate.keep(heard, one -> one.well(nowMillis));
         if (!well.isEmpty()) {
             return well;
         }
@@ -249,15 +249,15 @@
      * @param nowMillis the time on the steady clock
      * @return true if its agent used to tell, and it and its agent have been silent for too long
      */
-    public boolean silent(EndpointEntry endpoint, long nowMillis) {
+    public boolean silent(EndpointRegistration endpoint, long nowMillis) {
         return silent(known(endpoint), nowMillis);
     }
 
-    private boolean silent(KnownEndpoint one, long nowMillis) {
+    private boolean silent(EndpointCandidate one, long nowMillis) {
         return one.load().silent(patienceMillis(one.endpoint()), nowMillis);
     }
 
-    private long patienceMillis(EndpointEntry endpoint) {
+    private long patienceMillis(EndpointRegistration endpoint) {
         return near(endpoint) ? NEAR_SILENCE_MILLIS : FAR_SILENCE_MILLIS;
     }
 
@@ -270,7 +270,7 @@
      * @param wanted what is to be sent
      * @return whether the endpoint holds an older version and has an agent
      */
-    public boolean mustAsk(EndpointEntry endpoint, Wanted wanted) {
+    public boolean mustAsk(EndpointRegistration endpoint, Wanted wanted) {
         return load(endpoint.start()).hasAgent()
                 && wanted.model()
                         .filter(model -> known(endpoint).version(model) < wanted.newestVersion())
@@ -285,11 +285,11 @@
      * @param nowMillis the time on the steady clock
      * @return false if it leaves, was tried, or does not hold a version that may answer
      */
-    public boolean able(EndpointEntry endpoint, Wanted wanted, long nowMillis) {
+    public boolean able(EndpointRegistration endpoint, Wanted wanted, long nowMillis) {
         return able(known(endpoint), wanted, nowMillis);
     }
 
-    private boolean able(KnownEndpoint one, Wanted wanted, long nowMillis) {
+    private boolean able(EndpointCandidate one, Wanted wanted, long nowMillis) {
         if (leaves(one) || wanted.tried().contains(one.endpoint().id())) {
             return false;
         }
@@ -317,7 +317,7 @@
      * @param nowMillis the time on the steady clock
      * @return true until its exclusion ends
      */
-    public boolean failing(EndpointEntry endpoint, long nowMillis) {
+    public boolean failing(EndpointRegistration endpoint, long nowMillis) {
         return load(endpoint.start()).failures().excluded(nowMillis);
     }
 
@@ -328,14 +328,14 @@
      * @return milliseconds; not above 0 if it may not wait
      */
     public long spareMillis(Wanted wanted) {
-        return EndpointRoom.spareMillis(wanted);
+        return EndpointCapacity.spareMillis(wanted);
     }
 
-    private double distance(EndpointEntry endpoint) {
+    private double distance(EndpointRegistration endpoint) {
         return near(endpoint) ? 0 : OTHER_REGION_MILLIS;
     }
 
-    private boolean near(EndpointEntry endpoint) {
+    private boolean near(EndpointRegistration endpoint) {
         return region.equals(regions.get(endpoint.dataHall()));
     }
 }
--- a/src/main/java/org/micabarrow/routing/Failures.java
+++ b/src/main/java/org/micabarrow/routing/FailureTracker.java
@@ -1,7 +1,7 @@
 package org.micabarrow.routing;
 
 /** How the last requests at an endpoint ended, and until when it is left out because of that. Used by one thread. */
-public final class Failures {
+public final class FailureTracker {
 
     /** How long an endpoint is left out after the first failure in a row, in milliseconds; doubled by each further one. */
     private static final long FIRST_EXCLUSION_MILLIS = 1_000;
--- a/src/main/java/org/micabarrow/routing/LinkDelay.java
+++ b/src/main/java/org/micabarrow/routing/LinkLatency.java
@@ -1,7 +1,7 @@
 package org.micabarrow.routing;
 
 /** How long the way to an endpoint and back takes, by its agent's answers. Used by one thread. */
-final class LinkDelay {
+final class LinkLatency {
 
     /**
      * From when on the way to an endpoint and back counts as slow, in milliseconds: about an objective, so that no answer could
--- a/src/main/java/org/micabarrow/routing/ModelService.java
+++ b/src/main/java/org/micabarrow/routing/ModelProfile.java
@@ -13,7 +13,7 @@
  * @param chunks the chunks of one weight version
  * @param chunkBytes the size of a chunk
  */
-public record ModelService(
+public record ModelProfile(
         String model,
         int slots,
         double prefillTokensPerMilli,
--- a/src/main/java/org/micabarrow/routing/RouteManifest.java
+++ b/src/main/java/org/micabarrow/routing/RouteManifest.java
@@ -53,7 +53,7 @@
      * @param model the figures of its model, empty for plain services
      * @param origin the host and port of the origin of weights, empty for all other services
      */
-    public record Service(String name, int maxConnections, Optional<ModelService> model, Optional<String> origin) {}
+    public record Service(String name, int maxConnections, Optional<ModelProfile> model, Optional<String> origin) {}
 
     /**
      * Who holds a key.
--- a/src/main/java/org/micabarrow/routing/Wanted.java
+++ b/src/main/java/org/micabarrow/routing/Wanted.java
@@ -20,7 +20,7 @@
         long objectiveMillis,
         long millisToObjective,
         long millisLeft,
-        Optional<ModelService> model,
+        Optional<ModelProfile> model,
         long leastVersion,
         long newestVersion,
         Set<String> tried) {
@@ -29,7 +29,7 @@
     Wanted(
             int promptTokens,
             long objectiveMillis,
-            Optional<ModelService> model,
+            Optional<ModelProfile> model,
             long leastVersion,
             long newestVersion,
             Set<String> tried) {
--- a/src/main/java/org/micabarrow/serving/AnswerRelay.java
+++ b/src/main/java/org/micabarrow/serving/AnswerRelay.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.serving.EndpointProtocol.AnswerHead;
 
 /**
@@ -73,7 +73,7 @@
     }
 
     /** Ends the answer, which is here whole. */
-    void complete(EndpointEntry endpoint) {
+    void complete(EndpointRegistration endpoint) {
         if (!passing) {
             finish(endpoint);
             answer.whole(head.orElseThrow(), held.toByteArray());
@@ -88,7 +88,7 @@
         }
     }
 
-    private void finish(EndpointEntry endpoint) {
+    private void finish(EndpointRegistration endpoint) {
         run.answered("endpoint=" + endpoint.id() + " hall=" + endpoint.dataHall() + " status="
                 + head.map(AnswerHead::status).orElse(0) + " weights="
                 + head.flatMap(AnswerHead::weightVersion).map(String::valueOf).orElse("-"));
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.admission.TakenRoom;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.OccupiedSlot;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.serving.EndpointProtocol.AnswerHead;
@@ -17,24 +17,24 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.xnio.XnioExecutor;
 
 /**
  * One sending of a request to one endpoint: what comes back is counted, judged, and held or passed on. What follows from
  * an attempt that ends without an answer is for the run to decide. All of it runs on the one thread for traffic.
  */
-final class Attempt implements HttpCaller.Listener {
+final class Attempt implements HttpClient.Listener {
 
     private final ServedRequest run;
     private final ServingParts parts;
     private final ClientRequest request;
     private final ClientAnswer answer;
     private final EventSplitter events;
-    private final EndpointEntry endpoint;
+    private final EndpointRegistration endpoint;
     private final double predictedMillis;
     private final EndpointLoad load;
-    private final TakenRoom room;
+    private final OccupiedSlot room;
     private final Runnable suspectGone;
     private final AnswerRelay relay;
     private final BeginLimit beginLimit;
@@ -45,7 +45,7 @@
     private boolean over;
     private boolean sending;
 
-    Attempt(ServedRequest run, Choice.Send chosen) {
+    Attempt(ServedRequest run, EndpointSelection.Send chosen) {
         this.run = run;
         this.parts = run.parts();
         this.request = run.request();
@@ -60,7 +60,7 @@
         this.awaited = new AwaitedPart(parts::nowMillis);
         this.suspectGone = parts.suspects().sent(endpoint, run.digest(), beganMillis);
         load.limit().sent(beganMillis);
-        this.room = new TakenRoom(load, request.promptTokens(), parts.line()::roomMayBe);
+        this.room = new OccupiedSlot(load, request.promptTokens(), parts.line()::roomMayBe);
     }
 
     /** Sends the request, for which its room is taken already. */
@@ -121,13 +121,13 @@
         stop();
     }
 
-    private void failed(AttemptEnd end, String why) {
+    private void failed(AttemptOutcome end, String why) {
         logFailed(end, why);
         takeBack();
         run.again(end, why);
     }
 
-    private void logFailed(AttemptEnd end, String why) {
+    private void logFailed(AttemptOutcome end, String why) {
         run.log().failed(endpoint, end, progress(), why);
     }
 
@@ -156,10 +156,10 @@
             return;
         }
         if (!room.begun() && waitsInVain()) {
-            failed(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
+            failed(AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
         } else if ((!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
             events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "nothing is heard of the endpoint or its agent");
+            moveOn(AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint or its agent");
         }
     }
 
@@ -174,7 +174,7 @@
                 sending && !load.delayedLately(parts.nowMillis()) && AttemptPolicy.overdue(request.route(), dueMillis);
         if (overdue && (!answer.begun() || run.mayGoOn()) && run.mayTakeAnother()) {
             events.dropRemainder();
-            moveOn(AttemptEnd.UNKNOWN, "the endpoint has sent nothing for " + dueMillis + " ms");
+            moveOn(AttemptOutcome.UNKNOWN, "the endpoint has sent nothing for " + dueMillis + " ms");
         }
     }
 
@@ -191,7 +191,7 @@
         return late || parts.leaves(endpoint) || parts.versions().older(request, endpoint);
     }
 
-    private void moveOn(AttemptEnd end, String why) {
+    private void moveOn(AttemptOutcome end, String why) {
         logFailed(end, why);
         takeBack();
         run.moveOn(end, why);
@@ -203,13 +203,13 @@
             return;
         }
         load.failures().broke(parts.nowMillis());
-        failed(AttemptEnd.NOT_RUN, "no connection within " + LastLook.CONNECT_MILLIS + " ms");
+        failed(AttemptOutcome.NOT_RUN, "no connection within " + LastLook.CONNECT_MILLIS + " ms");
     }
 
     /** An older weight version may begin nothing any more. */
     private void notBegun() {
         if (!over && !room.begun()) {
-            failed(AttemptEnd.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
+            failed(AttemptOutcome.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
         }
     }
 
@@ -236,7 +236,7 @@
     }
 
     private void withhold(LastLook.Verdict.Outdated outdated) {
-        logFailed(AttemptEnd.NOT_RUN, outdated.why());
+        logFailed(AttemptOutcome.NOT_RUN, outdated.why());
         stop();
         run.withheld(endpoint, outdated);
     }
@@ -255,18 +255,18 @@
             heed(read);
         }
         switch (HeadVerdict.of(read, request.route().kind().repeatable(), answer.begun())) {
-            case NOT_RUN -> failed(AttemptEnd.NOT_RUN, "the endpoint refused with " + status);
+            case NOT_RUN -> failed(AttemptOutcome.NOT_RUN, "the endpoint refused with " + status);
             case MISDIRECTED -> {
                 load.failures().misdirected(parts.nowMillis());
-                failed(AttemptEnd.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
+                failed(AttemptOutcome.MISDIRECTED, "another endpoint or version is at " + endpoint.address());
             }
             case NO_ANSWER -> {
                 load.failures().broke(parts.nowMillis());
-                failed(AttemptEnd.UNKNOWN, "what came is no answer to this request");
+                failed(AttemptOutcome.UNKNOWN, "what came is no answer to this request");
             }
             case NOT_TO_PASS -> {
                 remember(read.status());
-                failed(AttemptEnd.UNKNOWN, "the endpoint answered " + read.status() + " without saying it has not run");
+                failed(AttemptOutcome.UNKNOWN, "the endpoint answered " + read.status() + " without saying it has not run");
             }
             case ERROR -> {
                 remember(read.status());
@@ -305,7 +305,7 @@
 
     private void endpointFailed(AnswerHead read) {
         if (run.mayTakeAnother()) {
-            moveOn(AttemptEnd.FAILED, "the endpoint failed with " + read.status());
+            moveOn(AttemptOutcome.FAILED, "the endpoint failed with " + read.status());
         } else {
             relay.begin(read, true);
         }
@@ -346,16 +346,16 @@
         if (sent && fault.reason() == Reason.UNREACHABLE && !parts.saysThatItLeaves(endpoint)) {
             broke(fault.message());
         } else {
-            failed(sent ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN, fault.message());
+            failed(sent ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN, fault.message());
         }
     }
 
     /** Ends the attempt, and has the request go on when it is known whether its endpoint has ended. */
     private void broke(String why) {
         boolean begun = room.begun();
-        logFailed(AttemptEnd.UNKNOWN, why);
+        logFailed(AttemptOutcome.UNKNOWN, why);
         stop();
-        run.ended(AttemptEnd.UNKNOWN);
+        run.ended(AttemptOutcome.UNKNOWN);
         parts.crashes().broke(endpoint, run.digest().get(), begun, () -> run.goOn(why));
     }
 }
--- a/src/main/java/org/micabarrow/serving/BeginLimit.java
+++ b/src/main/java/org/micabarrow/serving/BeginLimit.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.views.View;
 import org.xnio.XnioExecutor;
 
@@ -13,11 +13,11 @@
 final class BeginLimit {
 
     private final ServedRequest run;
-    private final EndpointEntry endpoint;
+    private final EndpointRegistration endpoint;
     private final Runnable reached;
     private Optional<XnioExecutor.Key> timer = Optional.empty();
 
-    BeginLimit(ServedRequest run, EndpointEntry endpoint, Runnable reached) {
+    BeginLimit(ServedRequest run, EndpointRegistration endpoint, Runnable reached) {
         this.run = run;
         this.endpoint = endpoint;
         this.reached = reached;
--- a/src/main/java/org/micabarrow/serving/CrashWatch.java
+++ b/src/main/java/org/micabarrow/serving/CrashWatch.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.PortProbe;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointStart;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -45,9 +45,9 @@
     /** What a request holds besides its body, in bytes. */
     private static final int HEAD_BYTES = 1 << 10;
 
-    private final CrashBook book;
+    private final CrashRegistry book;
     private final PortProbe probe;
-    private final Consumer<CrashNews> sharing;
+    private final Consumer<CrashUpdate> sharing;
     private final LongSupplier steadyMillis;
     private final Map<EndpointStart, Doubt> doubted = new HashMap<>();
     private final Map<EndpointStart, Aboard> ended = new LinkedHashMap<>();
@@ -80,7 +80,7 @@
         }
     }
 
-    CrashWatch(Crashes crashes, LongSupplier steadyMillis) {
+    CrashWatch(CrashTracking crashes, LongSupplier steadyMillis) {
         this.book = crashes.book();
         this.probe = crashes.probe();
         this.sharing = crashes.sharing();
@@ -95,7 +95,7 @@
      * @param then run once it is known whether the endpoint has ended, at once or a way to its instance and back later: sent on before, the
      *     request might end the next endpoint without being suspected
      */
-    void broke(EndpointEntry endpoint, RequestDigest request, boolean begun, Runnable then) {
+    void broke(EndpointRegistration endpoint, RequestDigest request, boolean begun, Runnable then) {
         EndpointStart start = endpoint.start();
         if (ended.containsKey(start)) {
             ended.get(start).add(request, begun);
@@ -113,7 +113,7 @@
     }
 
     /** A request with a body of so many bytes was taken back; its endpoint may have it for a moment more. */
-    void takenBack(EndpointEntry endpoint, LazyDigest request, int bytes, boolean begun) {
+    void takenBack(EndpointRegistration endpoint, LazyDigest request, int bytes, boolean begun) {
         int held = bytes + HEAD_BYTES;
         if (held > MOST_BYTES_TAKEN_BACK) {
             return;
@@ -134,7 +134,7 @@
         if (refused) {
             hasEnded(start, doubt.aboard());
         }
-        doubt.waiting().forEach(one -> Steps.guarded("after-crash", one));
+        doubt.waiting().forEach(one -> RepeatedTasks.guarded("after-crash", one));
     }
 
     private void hasEnded(EndpointStart start, Aboard aboard) {
@@ -157,7 +157,7 @@
                 crash.aboard(),
                 crash.begun());
         book.crashed(crash, steadyMillis.getAsLong());
-        sharing.accept(new CrashNews.Crashed(crash));
+        sharing.accept(new CrashUpdate.Crashed(crash));
     }
 
     // -- what clears them
@@ -165,7 +165,7 @@
     /** An answer came, or a part of it. Others are told if the request was suspected; most never are. */
     void answered(LazyDigest request, boolean whole) {
         if (book.mayKnow(request) && book.cleared(request.get(), whole) > 0) {
-            sharing.accept(new CrashNews.Cleared(request.get(), whole));
+            sharing.accept(new CrashUpdate.Cleared(request.get(), whole));
         }
     }
 }
--- a/src/main/java/org/micabarrow/serving/EndpointProtocol.java
+++ b/src/main/java/org/micabarrow/serving/EndpointProtocol.java
@@ -5,7 +5,7 @@
 import java.util.OptionalDouble;
 import java.util.OptionalLong;
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.transport.HttpCall;
 
 /** How requests and answers are written on the wire between an entry and an endpoint. */
@@ -21,7 +21,7 @@
      * @param late whether its objective is over, so that all others go before it
      */
     record Sending(
-            EndpointEntry endpoint,
+            EndpointRegistration endpoint,
             long millisLeft,
             Optional<Long> version,
             Optional<String> lastEvent,
--- a/src/main/java/org/micabarrow/serving/LastLook.java
+++ b/src/main/java/org/micabarrow/serving/LastLook.java
@@ -1,8 +1,8 @@
 package org.micabarrow.serving;
 
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Looks at a decision again when its connection is up, before the first byte of the request leaves. A process that stood
@@ -42,13 +42,13 @@
      * @param decidedMillis when that was decided
      * @return whether it may be sent now
      */
-    static Verdict at(ServedRequest run, EndpointEntry endpoint, long decidedMillis) {
+    static Verdict at(ServedRequest run, EndpointRegistration endpoint, long decidedMillis) {
         ServingParts parts = run.parts();
         ClientRequest request = run.request();
         if (run.millisLeft() <= 0) {
             return new Verdict.Outdated("time is up", false);
         }
-        if (parts.suspects().standing(run.digest(), parts.nowMillis()) instanceof Standing.Refused) {
+        if (parts.suspects().standing(run.digest(), parts.nowMillis()) instanceof SuspicionLevel.Refused) {
             return new Verdict.Outdated("it ends endpoints", false);
         }
         if (parts.leaves(endpoint) || !parts.able(request, endpoint)) {
--- a/src/main/java/org/micabarrow/serving/OpenRequests.java
+++ b/src/main/java/org/micabarrow/serving/OpenRequests.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 
 /** The requests that wait for an answer. Used by the one thread for traffic. */
 final class OpenRequests {
@@ -30,11 +30,11 @@
 
     /** Has every request end, whatever happens to one of them. */
     void endAll(String why) {
-        List.copyOf(open).forEach(one -> Steps.guarded("end", () -> one.end(why)));
+        List.copyOf(open).forEach(one -> RepeatedTasks.guarded("end", () -> one.end(why)));
     }
 
     /** Has every request looked after, whatever happens to one of them; those that end meanwhile leave the set. */
     void lookAfterAll() {
-        List.copyOf(open).forEach(one -> Steps.guarded("look-after", one::lookAfter));
+        List.copyOf(open).forEach(one -> RepeatedTasks.guarded("look-after", one::lookAfter));
     }
 }
--- a/src/main/java/org/micabarrow/serving/RequestLog.java
+++ b/src/main/java/org/micabarrow/serving/RequestLog.java
@@ -1,11 +1,11 @@
 package org.micabarrow.serving;
 
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,7 +45,7 @@
                 parts.viewAge());
     }
 
-    void sent(Choice.Send chosen, String why, int attempt, long millisToObjective, long millisLeft) {
+    void sent(EndpointSelection.Send chosen, String why, int attempt, long millisToObjective, long millisLeft) {
         EndpointLoad load = parts.load(chosen.endpoint());
         long now = parts.nowMillis();
         LOG.info(
@@ -64,11 +64,11 @@
                 parts.viewAge());
     }
 
-    void rests(EndpointEntry endpoint, long millis) {
+    void rests(EndpointRegistration endpoint, long millis) {
         LOG.info("event=endpoint_rests request={} endpoint={} forMs={}", request.id(), endpoint.id(), millis);
     }
 
-    void notSent(EndpointEntry endpoint) {
+    void notSent(EndpointRegistration endpoint) {
         LOG.info(
                 "event=not_sent request={} endpoint={} why=\"its agent did not answer in time, or it closes\"",
                 request.id(),
@@ -76,7 +76,7 @@
     }
 
     /** A sending is given up because nobody wants its answer any more. */
-    void takenBack(EndpointEntry endpoint, String progress, String why) {
+    void takenBack(EndpointRegistration endpoint, String progress, String why) {
         LOG.info("event=taken_back request={} endpoint={} {} why=\"{}\"", request.id(), endpoint.id(), progress, why);
     }
 
@@ -84,11 +84,11 @@
      * A sending ended without an answer that may be passed on. Where the request may have run, its digest tells whether it is one
      * that came before, under another id or at another entry.
      */
-    void failed(EndpointEntry endpoint, AttemptEnd end, String progress, String why) {
+    void failed(EndpointRegistration endpoint, AttemptOutcome end, String progress, String why) {
         LOG.info(
                 "event=attempt_failed request={} digest={} endpoint={} end={} {} why=\"{}\"",
                 request.id(),
-                end == AttemptEnd.UNKNOWN ? digest.get() : "-",
+                end == AttemptOutcome.UNKNOWN ? digest.get() : "-",
                 endpoint.id(),
                 end,
                 progress,
--- a/src/main/java/org/micabarrow/serving/RoomLine.java
+++ b/src/main/java/org/micabarrow/serving/RoomLine.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.admission.WaitQueue;
+import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.Waiter;
+import org.micabarrow.steps.RepeatedTasks;
 import org.xnio.XnioIoThread;
 
 /** The entry's requests that wait for room, looked through whenever a place may have fallen free. */
@@ -18,7 +18,7 @@
      */
     private static final long LOOK_MILLIS = 10;
 
-    private final WaitingLine line = new WaitingLine();
+    private final WaitQueue line = new WaitQueue();
     private final LongSupplier steadyMillis;
     private boolean looking;
 
@@ -36,8 +36,8 @@
     }
 
     /** The line for the requests of a thread. */
-    RoomWait.Line on(XnioIoThread thread) {
-        return new RoomWait.Line() {
+    SlotWait.Line on(XnioIoThread thread) {
+        return new SlotWait.Line() {
             @Override
             public Place join(int rank, long latestStartMillis, Waiter waiter) {
                 return RoomLine.this.join(rank, latestStartMillis, waiter, thread);
@@ -60,11 +60,11 @@
 
     /** One of the entry's requests has begun to be answered, or has left its endpoint. A fault in who waits is not its own. */
     void roomMayBe() {
-        Steps.guarded("room", line::serve);
+        RepeatedTasks.guarded("room", line::serve);
     }
 
     private void look(XnioIoThread thread) {
-        Steps.guarded("expire", () -> line.expire(steadyMillis.getAsLong()));
+        RepeatedTasks.guarded("expire", () -> line.expire(steadyMillis.getAsLong()));
         roomMayBe();
         looking = line.size() > 0;
         if (looking) {
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -4,32 +4,32 @@
 import java.util.OptionalLong;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.RoomWait;
-import org.micabarrow.attempts.AttemptEnd;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.SlotWait;
+import org.micabarrow.attempts.AttemptOutcome;
 import org.micabarrow.attempts.AttemptPolicy;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.attempts.EventSplitter;
 import org.micabarrow.attempts.RequestTimes;
-import org.micabarrow.attempts.Sendings;
+import org.micabarrow.attempts.AttemptHistory;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RequestKind;
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
 /** One request from its arrival to its answer. All of it runs on the one thread for traffic. */
-final class ServedRequest implements OpenRequests.Open, RoomWait.Request {
+final class ServedRequest implements OpenRequests.Open, SlotWait.Request {
 
     private final ServingParts parts;
     private final ClientRequest request;
     private final ClientAnswer answer;
     private final XnioIoThread thread;
     private final RequestTimes times;
-    private final Sendings sendings = new Sendings();
-    private final RoomWait room;
+    private final AttemptHistory sendings = new AttemptHistory();
+    private final SlotWait room;
     private final EventSplitter events = new EventSplitter();
     private final EventTimes eventTimes = new EventTimes();
     private final RequestLog log;
@@ -48,7 +48,7 @@
         long sinceFirstTry =
                 parts.firstTries().millisSince(request.route().name(), request.deadlineMillis() - now, now);
         this.times = RequestTimes.of(request, now, sinceFirstTry);
-        this.room = new RoomWait(parts.line().on(thread), this);
+        this.room = new SlotWait(parts.line().on(thread), this);
         this.log = new RequestLog(parts, request, sinceFirstTry, eventTimes, digest);
     }
 
@@ -120,7 +120,7 @@
     @Override
     public void decided(Decision decision, String why) {
         switch (decision) {
-            case Decision.Send(Choice.Send chosen) -> sendOrAsk(chosen, why);
+            case Decision.Send(EndpointSelection.Send chosen) -> sendOrAsk(chosen, why);
             case Decision.Wait wait when !answer.begun() -> waitForRoom(wait, why);
             case Decision.Wait(long ignored, int endpoints) -> noRoom(endpoints);
             case Decision.Full(int endpoints) -> noRoom(endpoints);
@@ -169,7 +169,7 @@
     // -- sending
 
     /** Sends at once, or once the endpoint's agent has answered. */
-    private void sendOrAsk(Choice.Send chosen, String why) {
+    private void sendOrAsk(EndpointSelection.Send chosen, String why) {
         if (!parts.mustAsk(request, chosen.endpoint())) {
             send(chosen, why);
         } else if (sendings.ask()) {
@@ -179,7 +179,7 @@
         }
     }
 
-    private void agentAnswered(Choice.Send chosen, String why, boolean maySend) {
+    private void agentAnswered(EndpointSelection.Send chosen, String why, boolean maySend) {
         if (finished) {
             return;
         }
@@ -199,8 +199,8 @@
         return Ending.withoutAnswer(answer.begun(), sendings.mayHaveRun());
     }
 
-    private void send(Choice.Send chosen, String why) {
-        EndpointEntry endpoint = chosen.endpoint();
+    private void send(EndpointSelection.Send chosen, String why) {
+        EndpointRegistration endpoint = chosen.endpoint();
         sendings.sent(endpoint.id());
         log.sent(chosen, why, sendings.count(), millisToObjective(), millisLeft());
         Attempt attempt = new Attempt(this, chosen);
@@ -212,7 +212,7 @@
      * Decides anew after a decision was outdated before any byte of the request left. What has not left is no repeat, so it
      * takes nothing of the budget for repeats, and what may run only once goes on too.
      */
-    void withheld(EndpointEntry endpoint, LastLook.Verdict.Outdated outdated) {
+    void withheld(EndpointRegistration endpoint, LastLook.Verdict.Outdated outdated) {
         sendings.withheld();
         if (millisLeft() < AttemptPolicy.LEAST_MILLIS_LEFT) {
             cannotSend(outdated.why());
@@ -244,13 +244,13 @@
     }
 
     /** Decides what follows when an attempt has ended without an answer: another one, or the end of the request. */
-    void again(AttemptEnd end, String why) {
+    void again(AttemptOutcome end, String why) {
         ended(end);
         goOn(why);
     }
 
     /** An attempt has ended without an answer; what follows is decided by {@link #goOn}. */
-    void ended(AttemptEnd end) {
+    void ended(AttemptOutcome end) {
         sendings.ended(end);
     }
 
@@ -268,7 +268,7 @@
     }
 
     /** Sends to another endpoint after {@link #mayTakeAnother} has allowed it; the one before may have run the request. */
-    void moveOn(AttemptEnd end, String why) {
+    void moveOn(AttemptOutcome end, String why) {
         sendings.ended(end);
         next(why);
     }
@@ -297,7 +297,7 @@
     public void lookAfter() {
         if (millisLeft() <= 0) {
             end("time is up");
-        } else if (!answer.begun() && standing() instanceof Standing.Refused(int crashes, long forMillis)) {
+        } else if (!answer.begun() && standing() instanceof SuspicionLevel.Refused(int crashes, long forMillis)) {
             current.ifPresent(this::takeBack);
             refuse(crashes, forMillis);
         } else {
@@ -305,13 +305,13 @@
         }
     }
 
-    private Standing standing() {
+    private SuspicionLevel standing() {
         return parts.suspects().standing(digest, parts.nowMillis());
     }
 
     /** Takes the request back from where it may be about to end another endpoint. */
     private void takeBack(Attempt attempt) {
-        sendings.ended(attempt.mayRun() ? AttemptEnd.UNKNOWN : AttemptEnd.NOT_RUN);
+        sendings.ended(attempt.mayRun() ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN);
         attempt.abandon("it ends endpoints");
     }
 
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -15,10 +15,10 @@
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -71,8 +71,8 @@
      */
     public record Parts(
             Supplier<View> view,
-            EndpointChoice choice,
-            HttpCaller caller,
+            EndpointSelector choice,
+            HttpClient caller,
             EndpointProtocol protocol,
             RequestReader reader,
             RetryBudget budget,
@@ -81,7 +81,7 @@
             AgentQuestions questions,
             VersionTimes versionTimes,
             ManifestAge manifestAge,
-            Crashes crashes) {
+            CrashTracking crashes) {
 
         /** Checks that nothing is missing. */
         public Parts {
@@ -110,7 +110,7 @@
          * @param endpoint the endpoint
          * @param then learns on the same thread, once, whether the agent answered in time
          */
-        void ask(EndpointEntry endpoint, Consumer<Boolean> then);
+        void ask(EndpointRegistration endpoint, Consumer<Boolean> then);
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/ServingParts.java
+++ b/src/main/java/org/micabarrow/serving/ServingParts.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.FirstTries;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.FirstAttemptEstimator;
 import org.micabarrow.attempts.ClientRequest;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.routing.Wanted;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -28,8 +28,8 @@
     private final WeightVersions versions;
     private final ServingMetrics metrics;
     private final OpenRequests open = new OpenRequests();
-    private final FirstTries firstTries = new FirstTries();
-    private final Admission admission;
+    private final FirstAttemptEstimator firstTries = new FirstAttemptEstimator();
+    private final AdmissionControl admission;
     private final RoomLine line;
     private final SuspectCare suspects;
     private final CrashWatch crashes;
@@ -43,7 +43,7 @@
         this.given = Objects.requireNonNull(given, "given is null");
         this.versions = new WeightVersions(given);
         this.metrics = new ServingMetrics(given.registry());
-        this.admission = new Admission(given.choice());
+        this.admission = new AdmissionControl(given.choice());
         this.line = new RoomLine(given.steadyMillis());
         this.suspects = new SuspectCare(given.crashes().book(), given.choice(), admission);
         this.crashes = new CrashWatch(given.crashes(), given.steadyMillis());
@@ -59,7 +59,7 @@
         return given.reader();
     }
 
-    HttpCaller caller() {
+    HttpClient caller() {
         return given.caller();
     }
 
@@ -83,7 +83,7 @@
         return open;
     }
 
-    FirstTries firstTries() {
+    FirstAttemptEstimator firstTries() {
         return firstTries;
     }
 
@@ -109,41 +109,41 @@
 
     // -- choosing
 
-    EndpointLoad load(EndpointEntry endpoint) {
+    EndpointLoad load(EndpointRegistration endpoint) {
         return given.choice().load(endpoint.start());
     }
 
-    boolean silent(EndpointEntry endpoint) {
+    boolean silent(EndpointRegistration endpoint) {
         return given.choice().silent(endpoint, nowMillis());
     }
 
-    boolean rests(EndpointEntry endpoint) {
+    boolean rests(EndpointRegistration endpoint) {
         return given.choice().rests(endpoint, nowMillis());
     }
 
     /** Whether an endpoint has said that it leaves, so that its end is no crash. */
-    boolean saysThatItLeaves(EndpointEntry endpoint) {
-        EndpointEntry now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
+    boolean saysThatItLeaves(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
         return now.start().equals(endpoint.start()) && given.choice().leaves(now);
     }
 
     /** Whether an endpoint says that it leaves, is listed no more, or has started again without what was sent to it. */
-    boolean leaves(EndpointEntry endpoint) {
-        EndpointEntry now = view().endpoints().get(endpoint.id());
+    boolean leaves(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().get(endpoint.id());
         return now == null
                 || !now.start().equals(endpoint.start())
                 || given.choice().leaves(now);
     }
 
     /** An endpoint said in an answer that it leaves: nothing new goes there from now on, whatever else says that it stays. */
-    void saidThatItLeaves(EndpointEntry endpoint) {
+    void saidThatItLeaves(EndpointRegistration endpoint) {
         if (given.choice().saidThatItLeaves(endpoint.start())) {
             LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
         }
     }
 
     /** Whether an endpoint's limit allows this entry a request now. */
-    boolean withinLimit(EndpointEntry endpoint) {
+    boolean withinLimit(EndpointRegistration endpoint) {
         return given.choice().withinLimit(endpoint, nowMillis());
     }
 
@@ -156,7 +156,7 @@
 
     /** What happens to a request of which so much of the objective is left. */
     Decision decide(ClientRequest request, LazyDigest digest, long millisToObjective, Set<String> tried) {
-        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return suspects.decide(endpoints, wanted(request, millisToObjective, tried), digest, nowMillis());
     }
 
@@ -173,12 +173,12 @@
     }
 
     /** Whether an endpoint's agent is to be asked before the request is sent there. */
-    boolean mustAsk(ClientRequest request, EndpointEntry endpoint) {
+    boolean mustAsk(ClientRequest request, EndpointRegistration endpoint) {
         return versions.askDue(request, endpoint) && given.choice().mustAsk(endpoint, wanted(request, 0, Set.of()));
     }
 
     /** Asks an endpoint's agent, and tells then whether the request may be sent there. */
-    void ask(ClientRequest request, EndpointEntry endpoint, Consumer<Boolean> then) {
+    void ask(ClientRequest request, EndpointRegistration endpoint, Consumer<Boolean> then) {
         given.questions().ask(endpoint, inTime -> {
             if (!inTime) {
                 load(endpoint).notAnswered();
@@ -188,7 +188,7 @@
     }
 
     /** Goes on once an endpoint's agent has answered or was given up; at once if there is none. */
-    void hear(ClientRequest request, EndpointEntry endpoint, Runnable then) {
+    void hear(ClientRequest request, EndpointRegistration endpoint, Runnable then) {
         if (load(endpoint).hasAgent()) {
             ask(request, endpoint, ignored -> then.run());
         } else {
@@ -197,7 +197,7 @@
     }
 
     /** Whether an endpoint may get a request at all, by what is known now. */
-    boolean able(ClientRequest request, EndpointEntry endpoint) {
+    boolean able(ClientRequest request, EndpointRegistration endpoint) {
         return given.choice().able(endpoint, wanted(request, 0, Set.of()), nowMillis());
     }
 
@@ -205,10 +205,10 @@
 
     /** When a refused client is told to come back, in milliseconds from now: not before one endpoint has had its rest. */
     long comeBackMillis(ClientRequest request) {
-        List<EndpointEntry> endpoints = view().endpointsOf(request.service());
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
         return given.choice()
                 .allRestMillis(endpoints, wanted(request, 0, Set.of()), nowMillis())
-                .orElseGet(() -> Admission.comeBackMillis(request.deadlineMillis() - nowMillis()));
+                .orElseGet(() -> AdmissionControl.comeBackMillis(request.deadlineMillis() - nowMillis()));
     }
 
     /** Notes that a client is refused and when it is told to come back, which is returned. */
--- a/src/main/java/org/micabarrow/serving/SuspectCare.java
+++ b/src/main/java/org/micabarrow/serving/SuspectCare.java
@@ -1,14 +1,14 @@
 package org.micabarrow.serving;
 
 import java.util.List;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.crashes.CrashBook;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.crashes.CrashRegistry;
 import org.micabarrow.crashes.LazyDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.crashes.SuspectPlacement;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.crashes.SuspectIsolation;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.Wanted;
 
 /**
@@ -17,27 +17,27 @@
  */
 final class SuspectCare {
 
-    private static final Standing UNSUSPECTED = new Standing.Unsuspected();
+    private static final SuspicionLevel UNSUSPECTED = new SuspicionLevel.Unsuspected();
 
-    private final CrashBook book;
-    private final EndpointChoice choice;
-    private final Admission admission;
-    private final SuspectPlacement placement = new SuspectPlacement();
+    private final CrashRegistry book;
+    private final EndpointSelector choice;
+    private final AdmissionControl admission;
+    private final SuspectIsolation placement = new SuspectIsolation();
 
-    SuspectCare(CrashBook book, EndpointChoice choice, Admission admission) {
+    SuspectCare(CrashRegistry book, EndpointSelector choice, AdmissionControl admission) {
         this.book = book;
         this.choice = choice;
         this.admission = admission;
     }
 
     /** What is held of a request. */
-    Standing standing(LazyDigest digest, long nowMillis) {
+    SuspicionLevel standing(LazyDigest digest, long nowMillis) {
         return book.mayKnow(digest) ? book.standing(digest.get(), nowMillis) : UNSUSPECTED;
     }
 
     /** A request is sent; what is returned is to be run once it is at its endpoint no more. */
-    Runnable sent(EndpointEntry endpoint, LazyDigest digest, long nowMillis) {
-        if (!(standing(digest, nowMillis) instanceof Standing.Suspected)) {
+    Runnable sent(EndpointRegistration endpoint, LazyDigest digest, long nowMillis) {
+        if (!(standing(digest, nowMillis) instanceof SuspicionLevel.Suspected)) {
             return () -> {};
         }
         placement.began(endpoint.start(), digest.get());
@@ -47,13 +47,13 @@
     // -- deciding
 
     /** Decides for a request. */
-    Decision decide(List<EndpointEntry> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
+    Decision decide(List<EndpointRegistration> endpoints, Wanted wanted, LazyDigest digest, long nowMillis) {
         return switch (standing(digest, nowMillis)) {
-            case Standing.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
-            case Standing.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
-            case Standing.Suspected suspected -> {
-                List<EndpointEntry> free = placement.free(endpoints, digest.get(), suspected);
-                yield SuspectPlacement.apart(suspected)
+            case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, wanted, nowMillis);
+            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.Culprit(crashes, forMillis);
+            case SuspicionLevel.Suspected suspected -> {
+                List<EndpointRegistration> free = placement.free(endpoints, digest.get(), suspected);
+                yield SuspectIsolation.apart(suspected)
                         ? first(free, endpoints, wanted, nowMillis)
                         : preferring(free, endpoints, wanted, nowMillis);
             }
@@ -61,14 +61,14 @@
     }
 
     private Decision preferring(
-            List<EndpointEntry> free, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
+            List<EndpointRegistration> free, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
         Decision decision = admission.decide(free, wanted, nowMillis);
         return decision instanceof Decision.Send ? decision : admission.decide(endpoints, wanted, nowMillis);
     }
 
     /** The first endpoint of some that has room; where none has, the request waits, even if others have. */
-    private Decision first(List<EndpointEntry> free, List<EndpointEntry> endpoints, Wanted wanted, long nowMillis) {
-        for (EndpointEntry one : free) {
+    private Decision first(List<EndpointRegistration> free, List<EndpointRegistration> endpoints, Wanted wanted, long nowMillis) {
+        for (EndpointRegistration one : free) {
             boolean well = !choice.failing(one, nowMillis);
             if (well && admission.decide(List.of(one), wanted, nowMillis) instanceof Decision.Send send) {
                 return send;
--- a/src/main/java/org/micabarrow/serving/WeightVersions.java
+++ b/src/main/java/org/micabarrow/serving/WeightVersions.java
@@ -4,9 +4,9 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import org.micabarrow.attempts.ClientRequest;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.views.View;
@@ -18,7 +18,7 @@
 final class WeightVersions {
 
     private final Supplier<View> view;
-    private final EndpointChoice choice;
+    private final EndpointSelector choice;
     private final VersionTimes times;
     private final LongSupplier steadyMillis;
 
@@ -35,7 +35,7 @@
     }
 
     /** The model of a request's service; empty for plain services. */
-    Optional<ModelService> model(ClientRequest request) {
+    Optional<ModelProfile> model(ClientRequest request) {
         return view.get()
                 .manifest()
                 .flatMap(manifest -> manifest.service(request.service()))
@@ -78,7 +78,7 @@
     // -- of a request at an endpoint
 
     /** The only version that may answer at an endpoint, once the time for older ones is over. */
-    Optional<Long> expected(ClientRequest request, EndpointEntry endpoint) {
+    Optional<Long> expected(ClientRequest request, EndpointRegistration endpoint) {
         long least = least(request);
         if (least == 0) {
             return Optional.empty();
@@ -88,31 +88,31 @@
     }
 
     /** Whether an endpoint holds an older version than was named, for so long that its agent is to be asked first. */
-    boolean askDue(ClientRequest request, EndpointEntry endpoint) {
+    boolean askDue(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
                 .filter(newer -> steadyMillis.getAsLong() - newer.learnedMillis() >= times.askMillis())
                 .isPresent();
     }
 
     /** Whether an endpoint holds an older version than was named. */
-    boolean older(ClientRequest request, EndpointEntry endpoint) {
+    boolean older(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint).isPresent();
     }
 
     /** The oldest version that is newer than an endpoint's; empty if it holds the newest. */
-    Optional<View.Target> newerNamed(ClientRequest request, EndpointEntry endpoint) {
+    Optional<View.Target> newerNamed(ClientRequest request, EndpointRegistration endpoint) {
         return model(request).flatMap(model -> view.get().newerNamed(model.model(), held(endpoint, model)));
     }
 
     /** Whether an endpoint holds an older version than one. */
-    boolean holdsOlder(ClientRequest request, EndpointEntry endpoint, View.Target than) {
+    boolean holdsOlder(ClientRequest request, EndpointRegistration endpoint, View.Target than) {
         return model(request)
                 .filter(model -> held(endpoint, model) < than.version())
                 .isPresent();
     }
 
     /** Whether an endpoint may still begin a request now, by the version that it holds. */
-    boolean mayBegin(ClientRequest request, EndpointEntry endpoint) {
+    boolean mayBegin(ClientRequest request, EndpointRegistration endpoint) {
         return newerNamed(request, endpoint)
                 .filter(newer -> millisToBegin(newer) <= 0)
                 .isEmpty();
@@ -124,7 +124,7 @@
     }
 
     /** The version that an endpoint's entry names, or a newer one by which it has answered or of which its agent told. */
-    private long held(EndpointEntry endpoint, ModelService model) {
+    private long held(EndpointRegistration endpoint, ModelProfile model) {
         long entered = endpoint.models().getOrDefault(model.model(), 0L);
         return Math.max(entered, choice.load(endpoint.start()).version());
     }
--- a/src/main/java/org/micabarrow/steps/Steps.java
+++ b/src/main/java/org/micabarrow/steps/RepeatedTasks.java
@@ -10,14 +10,14 @@
  * log, not all steps that were to follow.
  *
  * <pre>{@code
- * Steps.start("report", 150, endpoint::refresh);
+ * RepeatedTasks.start("report", 150, endpoint::refresh);
  * }</pre>
  */
-public final class Steps {
+public final class RepeatedTasks {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Steps.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RepeatedTasks.class);
 
-    private Steps() {}
+    private RepeatedTasks() {}
 
     /** A step of the work of a thread. */
     @FunctionalInterface
--- a/src/main/java/org/micabarrow/steps/OwnedThread.java
+++ b/src/main/java/org/micabarrow/steps/StoppableThread.java
@@ -10,13 +10,13 @@
  * connections or executors that are about to stop.
  *
  * <pre>{@code
- * OwnedThread reader = new OwnedThread("configuration-reader", this::run);
+ * StoppableThread reader = new StoppableThread("configuration-reader", this::run);
  * reader.start();
  * }</pre>
  */
-public final class OwnedThread implements AutoCloseable {
+public final class StoppableThread implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(OwnedThread.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StoppableThread.class);
 
     /**
      * How long the end is waited for. An interrupted call ends within some milliseconds, so that only work which passes over
@@ -33,7 +33,7 @@
      * @param name the thread's name
      * @param work the work, which looks at {@link #closing} before each call and ends when it is interrupted
      */
-    public OwnedThread(String name, Runnable work) {
+    public StoppableThread(String name, Runnable work) {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(work, "work is null");
         this.thread = Thread.ofPlatform().name(name).daemon().unstarted(work);
--- a/src/main/java/org/micabarrow/transport/EndpointClient.java
+++ b/src/main/java/org/micabarrow/transport/EndpointClient.java
@@ -40,7 +40,7 @@
 
     private static final int UNAVAILABLE = 503;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final String url;
 
     /**
@@ -49,7 +49,7 @@
      * @param caller sends the requests
      * @param url the endpoint's base address
      */
-    public EndpointClient(HttpCaller caller, String url) {
+    public EndpointClient(HttpClient caller, String url) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
         this.url = Objects.requireNonNull(url, "url is null");
     }
@@ -103,7 +103,7 @@
     }
 
     /** Passes an answer on, and turns an endpoint's "not run" into a failure. */
-    private static final class Passing implements HttpCaller.Listener {
+    private static final class Passing implements HttpClient.Listener {
 
         private final HttpCall call;
         private final Listener listener;
--- a/src/main/java/org/micabarrow/transport/EntriesHeard.java
+++ b/src/main/java/org/micabarrow/transport/EntriesHeard.java
@@ -117,7 +117,7 @@
         if (!certain || question.news().isEmpty() || !question.news().get().direct()) {
             return Optional.empty();
         }
-        StoreNews news = question.news().get();
+        StoreUpdate news = question.news().get();
         return Optional.of(new Reader(
                 peer.orElseThrow(), news.changes().operator(), question.stamp().getAsLong() - news.knownMillisAgo()));
     }
--- a/src/main/java/org/micabarrow/transport/HostedPeerServer.java
+++ b/src/main/java/org/micabarrow/transport/HostedPeerServer.java
@@ -14,10 +14,10 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -36,7 +36,7 @@
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
 
-    private final ViewKeeper views;
+    private final ViewMaintainer views;
     private final Sets sets;
     private final MetricRegistry registry;
     private final LinkPacer uplink;
@@ -63,8 +63,8 @@
      * @param registry the figures
      * @param uplink holds chunks to what the instance's link can spare
      */
-    public HostedPeerServer(ViewKeeper views, Sets sets, MetricRegistry registry, LinkPacer uplink) {
-        this(views, sets, registry, uplink, SteadyClock::millis);
+    public HostedPeerServer(ViewMaintainer views, Sets sets, MetricRegistry registry, LinkPacer uplink) {
+        this(views, sets, registry, uplink, MonotonicClock::millis);
     }
 
     /**
@@ -77,7 +77,7 @@
      * @param steadyMillis the clock of the views, in milliseconds
      */
     HostedPeerServer(
-            ViewKeeper views, Sets sets, MetricRegistry registry, LinkPacer uplink, LongSupplier steadyMillis) {
+            ViewMaintainer views, Sets sets, MetricRegistry registry, LinkPacer uplink, LongSupplier steadyMillis) {
         this.views = Objects.requireNonNull(views, "views is null");
         this.sets = Objects.requireNonNull(sets, "sets is null");
         this.registry = Objects.requireNonNull(registry, "registry is null");
@@ -89,12 +89,12 @@
     public void handleRequest(HttpServerExchange exchange) {
         String path = exchange.getRequestPath();
         try {
-            if (path.equals(PeerRecords.PATH)) {
+            if (path.equals(PeerRecordClient.PATH)) {
                 records(exchange);
-            } else if (path.startsWith(PeerChunks.CHUNKS)) {
-                chunk(exchange, path.substring(PeerChunks.CHUNKS.length()).split("/"));
-            } else if (path.startsWith(PeerChunks.DIGESTS)) {
-                digests(exchange, path.substring(PeerChunks.DIGESTS.length()).split("/"));
+            } else if (path.startsWith(PeerChunkClient.CHUNKS)) {
+                chunk(exchange, path.substring(PeerChunkClient.CHUNKS.length()).split("/"));
+            } else if (path.startsWith(PeerChunkClient.DIGESTS)) {
+                digests(exchange, path.substring(PeerChunkClient.DIGESTS.length()).split("/"));
             } else if (path.equals("/metrics")) {
                 send(exchange, Metrics.snapshot(registry));
             } else {
@@ -120,7 +120,7 @@
     private void records(HttpServerExchange exchange) {
         Topic topic = Topic.valueOf(parameter(exchange, "topic"));
         long from = Long.parseLong(parameter(exchange, "from"));
-        send(exchange, PeerRecords.write(views.since(topic, from), steadyMillis.getAsLong()));
+        send(exchange, PeerRecordClient.write(views.since(topic, from), steadyMillis.getAsLong()));
     }
 
     private static String parameter(HttpServerExchange exchange, String name) {
@@ -143,7 +143,7 @@
     }
 
     private void chunk(HttpServerExchange exchange, String[] parts) {
-        Asked asked = new Asked(parts[0], Long.parseLong(parts[1]), PeerChunks.read(parts[2]));
+        Asked asked = new Asked(parts[0], Long.parseLong(parts[1]), PeerChunkClient.read(parts[2]));
         // Whoever asks for a version has heard that it is wanted; this agent may not have.
         views.want(asked.model(), asked.version());
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_MILLIS);
@@ -158,14 +158,14 @@
         if (index.isPresent()) {
             give(exchange, index.getAsInt(), set.get().chunk(index.getAsInt()).orElseThrow());
         } else if (System.nanoTime() - until > 0) {
-            fail(exchange, set.isPresent() ? PeerChunks.FETCHING : NOT_FOUND);
+            fail(exchange, set.isPresent() ? PeerChunkClient.FETCHING : NOT_FOUND);
         } else {
             exchange.getIoThread().executeAfter(() -> look(exchange, asked, until), LOOK_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void give(HttpServerExchange exchange, int index, byte[] bytes) {
-        exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), index);
+        exchange.getResponseHeaders().put(new HttpString(PeerChunkClient.INDEX), index);
         PacedBody.send(exchange, bytes, uplink.book(bytes.length));
     }
 }
--- a/src/main/java/org/micabarrow/transport/HttpCall.java
+++ b/src/main/java/org/micabarrow/transport/HttpCall.java
@@ -8,7 +8,7 @@
 import org.micabarrow.state.Fault;
 
 /**
- * A request to be sent by {@link HttpCaller}.
+ * A request to be sent by {@link HttpClient}.
  *
  * <pre>{@code
  * HttpCall call = HttpCall.post(Fault.Step.LOG, uri, body).withHeader("Authorization", "Bearer " + token);
--- a/src/main/java/org/micabarrow/transport/HttpCaller.java
+++ b/src/main/java/org/micabarrow/transport/HttpClient.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.LongAdder;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Result;
@@ -30,7 +30,7 @@
  * Result<HttpAnswer> answer = caller.call(HttpCall.get(Fault.Step.INSTANCES, uri), Duration.ofSeconds(2));
  * }</pre>
  */
-public final class HttpCaller implements AutoCloseable {
+public final class HttpClient implements AutoCloseable {
 
     /** The size of a buffer, in bytes: about what Undertow's servers take by default. */
     private static final int BUFFER_BYTES = 16 * 1024;
@@ -48,12 +48,12 @@
     private final boolean ownWorker;
     private final HttpExchange.Shared shared;
 
-    private HttpCaller(XnioWorker worker, boolean ownWorker, int mostIdle) {
+    private HttpClient(XnioWorker worker, boolean ownWorker, int mostIdle) {
         this.worker = worker;
         this.ownWorker = ownWorker;
         this.shared = new HttpExchange.Shared(
                 new DefaultByteBufferPool(true, BUFFER_BYTES, BUFFERS_KEPT, BUFFERS_KEPT_BY_THREAD),
-                new KeptConnections(mostIdle, SteadyClock::millis),
+                new KeptConnections(mostIdle, MonotonicClock::millis),
                 new LongAdder(),
                 new LongAdder());
     }
@@ -65,9 +65,9 @@
      * @param threads how many threads do its input and output
      * @return the running caller
      */
-    public static HttpCaller start(String name, int threads) {
+    public static HttpClient start(String name, int threads) {
         try {
-            return new HttpCaller(worker(name, threads), true, MOST_IDLE);
+            return new HttpClient(worker(name, threads), true, MOST_IDLE);
         } catch (IOException e) {
             throw new IllegalStateException("no threads for HTTP", e);
         }
@@ -80,8 +80,8 @@
      * @param mostIdle how many connections to one place are kept for later requests; 0 opens one for each request
      * @return the caller
      */
-    public static HttpCaller on(XnioWorker worker, int mostIdle) {
-        return new HttpCaller(Objects.requireNonNull(worker, "worker is null"), false, mostIdle);
+    public static HttpClient on(XnioWorker worker, int mostIdle) {
+        return new HttpClient(Objects.requireNonNull(worker, "worker is null"), false, mostIdle);
     }
 
     /**
@@ -183,7 +183,7 @@
      * @return the answer, whatever its status
      */
     public Result<HttpAnswer> call(HttpCall call, Duration within) {
-        return call(call, AnswerLimits.whole(within));
+        return call(call, ResponseTimeouts.whole(within));
     }
 
     /**
@@ -193,7 +193,7 @@
      * @param limits how long to wait
      * @return the answer, whatever its status
      */
-    public Result<HttpAnswer> call(HttpCall call, AnswerLimits limits) {
+    public Result<HttpAnswer> call(HttpCall call, ResponseTimeouts limits) {
         return begin(call).await(limits);
     }
 
@@ -220,10 +220,10 @@
     record Pending(HttpCall call, WholeAnswer answer, Runnable cancel, Runnable dropKept) {
 
         Result<HttpAnswer> await(Duration within) {
-            return await(AnswerLimits.whole(within));
+            return await(ResponseTimeouts.whole(within));
         }
 
-        Result<HttpAnswer> await(AnswerLimits limits) {
+        Result<HttpAnswer> await(ResponseTimeouts limits) {
             long waitedFrom = System.nanoTime();
             try {
                 return answer.await(limits);
--- a/src/main/java/org/micabarrow/transport/HttpExchange.java
+++ b/src/main/java/org/micabarrow/transport/HttpExchange.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
-import org.micabarrow.transport.HttpCaller.Listener;
+import org.micabarrow.transport.HttpClient.Listener;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.ChannelListeners;
--- a/src/main/java/org/micabarrow/transport/LimitBytes.java
+++ b/src/main/java/org/micabarrow/transport/LimitBytes.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 
 /** What the datagrams between entries and agents say of limits: a byte that tells whether something follows, and that. */
 final class LimitBytes {
@@ -38,11 +38,11 @@
 
     // -- limits
 
-    static int ofLimit(Optional<LimitWord> limit) {
+    static int ofLimit(Optional<RateLimitUpdate> limit) {
         return 1 + (limit.isPresent() ? LIMIT_BYTES : 0);
     }
 
-    static void writeLimit(ByteBuffer datagram, Optional<LimitWord> limit) {
+    static void writeLimit(ByteBuffer datagram, Optional<RateLimitUpdate> limit) {
         datagram.put(limit.isPresent() ? PRESENT : ABSENT);
         limit.ifPresent(word -> {
             datagram.putInt(word.endpoint());
@@ -52,7 +52,7 @@
         });
     }
 
-    static Optional<LimitWord> readLimit(ByteBuffer datagram) {
+    static Optional<RateLimitUpdate> readLimit(ByteBuffer datagram) {
         if (datagram.get() == ABSENT) {
             return Optional.empty();
         }
@@ -60,6 +60,6 @@
         boolean named = datagram.get() != ABSENT;
         double perSecond = datagram.getDouble();
         OptionalDouble limit = named ? OptionalDouble.of(perSecond) : OptionalDouble.empty();
-        return Optional.of(new LimitWord(endpoint, limit, datagram.getInt()));
+        return Optional.of(new RateLimitUpdate(endpoint, limit, datagram.getInt()));
     }
 }
--- a/src/main/java/org/micabarrow/transport/ListenerProbe.java
+++ b/src/main/java/org/micabarrow/transport/ListenerProbe.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.micabarrow.crashes.PortProbe;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> then) {
         Question question = new Question(then);
         XnioIoThread thread = worker.getIoThread();
         thread.executeAfter(() -> question.settle(false), ANSWER_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/org/micabarrow/transport/LoadMessages.java
+++ b/src/main/java/org/micabarrow/transport/LoadMessages.java
@@ -11,10 +11,10 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 /**
  * The datagrams by which entries ask agents how their endpoints are. One that is lost is made up for by the next. Numbers are
@@ -106,9 +106,9 @@
             int number,
             int unmet,
             boolean near,
-            Optional<StoreNews> news,
+            Optional<StoreUpdate> news,
             OptionalLong stamp,
-            Optional<LimitWord> limit) {
+            Optional<RateLimitUpdate> limit) {
 
         /** A question of an entry that has heard of no limit. */
         Question(
@@ -117,13 +117,13 @@
                 int number,
                 int unmet,
                 boolean near,
-                Optional<StoreNews> news,
+                Optional<StoreUpdate> news,
                 OptionalLong stamp) {
             this(entry, promptTokens, number, unmet, near, news, stamp, Optional.empty());
         }
 
         /** A question of an entry that has got no answer yet. */
-        Question(String entry, int promptTokens, int number, int unmet, boolean near, Optional<StoreNews> news) {
+        Question(String entry, int promptTokens, int number, int unmet, boolean near, Optional<StoreUpdate> news) {
             this(entry, promptTokens, number, unmet, near, news, OptionalLong.empty());
         }
 
@@ -160,8 +160,8 @@
             boolean near = flag(datagram);
             boolean stamped = flag(datagram);
             long stamp = datagram.getLong();
-            Optional<StoreNews> news = flag(datagram) ? Optional.of(news(datagram)) : Optional.empty();
-            Optional<LimitWord> limit = LimitBytes.readLimit(datagram);
+            Optional<StoreUpdate> news = flag(datagram) ? Optional.of(news(datagram)) : Optional.empty();
+            Optional<RateLimitUpdate> limit = LimitBytes.readLimit(datagram);
             String entry = text(datagram);
             OptionalLong answered = stamped ? OptionalLong.of(stamp) : OptionalLong.empty();
             return new Question(entry, promptTokens, number, unmet, near, news, answered, limit);
@@ -174,11 +174,11 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static int size(StoreNews news) {
+    private static int size(StoreUpdate news) {
         return NEWS_BYTES + (news.manifest().isPresent() ? PLACE_BYTES : 0);
     }
 
-    private static void write(ByteBuffer datagram, StoreNews news) {
+    private static void write(ByteBuffer datagram, StoreUpdate news) {
         datagram.putInt(news.port());
         datagram.putLong(news.changes().operator());
         datagram.putLong(news.changes().endpoints());
@@ -192,15 +192,15 @@
         });
     }
 
-    private static StoreNews news(ByteBuffer datagram) {
+    private static StoreUpdate news(ByteBuffer datagram) {
         int port = datagram.getInt();
-        LastChanges changes = new LastChanges(datagram.getLong(), datagram.getLong(), datagram.getLong());
+        ChangeOffsets changes = new ChangeOffsets(datagram.getLong(), datagram.getLong(), datagram.getLong());
         long knownMillisAgo = age(datagram);
         boolean direct = flag(datagram);
-        Optional<ManifestPlace> manifest = flag(datagram)
-                ? Optional.of(new ManifestPlace(datagram.getLong(), datagram.getLong()))
+        Optional<ManifestPosition> manifest = flag(datagram)
+                ? Optional.of(new ManifestPosition(datagram.getLong(), datagram.getLong()))
                 : Optional.empty();
-        return new StoreNews(port, changes, manifest, knownMillisAgo, direct);
+        return new StoreUpdate(port, changes, manifest, knownMillisAgo, direct);
     }
 
     // -- answers
@@ -236,7 +236,7 @@
             Optional<ReaderNews> reader,
             long stampMillis,
             Optional<EntryRank> rank,
-            Optional<LimitWord> limit) {
+            Optional<RateLimitUpdate> limit) {
 
         /** An answer of an agent that knows neither ranks nor limits. */
         Answer(int number, LoadReport told, Optional<ReaderNews> reader, long stampMillis) {
--- a/src/main/java/org/micabarrow/transport/LoadFeed.java
+++ b/src/main/java/org/micabarrow/transport/LoadPoller.java
@@ -17,22 +17,22 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import org.micabarrow.limits.LimitWord;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.limits.RateLimitUpdate;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.settings.Common;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.views.View;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
 /** Asks agents again and again how their endpoints are, and gives the answers to the choice of endpoints. */
-public final class LoadFeed {
+public final class LoadPoller {
 
-    private static final Logger LOG = LoggerFactory.getLogger(LoadFeed.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LoadPoller.class);
 
     /** How often agents of the entry's region are asked, in milliseconds: about as often as they look themselves. */
     private static final long NEAR_MILLIS = 150;
@@ -50,7 +50,7 @@
     /** The endpoints at each host; after one started again there are two for a while, until nothing waits at the former. */
     private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
 
-    private final Map<EndpointStart, EndpointEntry> asked = new HashMap<>();
+    private final Map<EndpointStart, EndpointRegistration> asked = new HashMap<>();
 
     /** The stamp of the last answer from each host. */
     private final Map<String, Long> stamps = new ConcurrentHashMap<>();
@@ -81,11 +81,11 @@
             Map<String, String> regions,
             int peerPort,
             Supplier<View> view,
-            EndpointChoice choice,
+            EndpointSelector choice,
             XnioIoThread traffic,
             LongSupplier steadyMillis,
-            Supplier<Optional<StoreNews>> news,
-            Consumer<StoreNews.Heard> heard) {
+            Supplier<Optional<StoreUpdate>> news,
+            Consumer<StoreUpdate.Heard> heard) {
 
         /** Checks that nothing is missing. */
         public Parts {
@@ -101,7 +101,7 @@
         }
     }
 
-    private LoadFeed(Parts parts, DatagramChannel channel) {
+    private LoadPoller(Parts parts, DatagramChannel channel) {
         this.parts = parts;
         this.channel = channel;
         this.questions = new LoadQuestions(parts.traffic(), parts.steadyMillis());
@@ -114,10 +114,10 @@
      * @return the feed
      * @throws IOException if no port is free
      */
-    public static LoadFeed open(Parts parts) throws IOException {
+    public static LoadPoller open(Parts parts) throws IOException {
         InetSocketAddress anyPort =
                 new InetSocketAddress(Addresses.parse(parts.self()).getAddress(), 0);
-        return new LoadFeed(parts, DatagramChannel.open().bind(anyPort));
+        return new LoadPoller(parts, DatagramChannel.open().bind(anyPort));
     }
 
     /**
@@ -142,21 +142,21 @@
     // -- questions, on the thread for traffic
 
     private void askAll(Runnable afterRound) {
-        Steps.guarded("load-feed", () -> round(afterRound));
+        RepeatedTasks.guarded("load-feed", () -> round(afterRound));
         parts.traffic().executeAfter(() -> askAll(afterRound), NEAR_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void round(Runnable afterRound) {
         boolean onTime = rounds.onTime(parts.steadyMillis().getAsLong());
         View view = parts.view().get();
-        Map<String, List<EndpointEntry>> hosts = askedByHost(view);
+        Map<String, List<EndpointRegistration>> hosts = askedByHost(view);
         // Before the questions: an answer may come at once.
         endpointsByHost = startsOf(hosts);
         stamps.keySet().retainAll(hosts.keySet());
         // Stamps before news: an answer that comes in between, while this process stands still, is no proof of what the
         // news tell.
         Map<String, Long> answered = Map.copyOf(stamps);
-        Optional<StoreNews> news = parts.news().get();
+        Optional<StoreUpdate> news = parts.news().get();
         hosts.forEach((host, endpoints) -> {
             boolean near = near(endpoints.getFirst());
             if (near || round % FAR_ROUNDS == 0) {
@@ -178,31 +178,31 @@
      * The endpoints to ask about: those of models that are listed, and those listed no more at which requests still wait, since
      * an endpoint that is not asked about would seem to have fallen silent.
      */
-    private Map<String, List<EndpointEntry>> askedByHost(View view) {
+    private Map<String, List<EndpointRegistration>> askedByHost(View view) {
         asked.keySet().removeIf(start -> !parts.choice().awaits(start));
         view.endpoints().values().stream()
                 .filter(endpoint -> isModel(view, endpoint))
                 .forEach(endpoint -> asked.put(endpoint.start(), endpoint));
-        return asked.values().stream().collect(Collectors.groupingBy(EndpointEntry::instanceHost));
+        return asked.values().stream().collect(Collectors.groupingBy(EndpointRegistration::instanceHost));
     }
 
-    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointEntry>> hosts) {
+    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointRegistration>> hosts) {
         return hosts.entrySet().stream()
                 .collect(Collectors.toUnmodifiableMap(
                         Map.Entry::getKey,
                         host -> host.getValue().stream()
-                                .map(EndpointEntry::start)
+                                .map(EndpointRegistration::start)
                                 .toList()));
     }
 
-    private static boolean isModel(View view, EndpointEntry endpoint) {
+    private static boolean isModel(View view, EndpointRegistration endpoint) {
         return view.manifest()
                 .flatMap(manifest -> manifest.service(endpoint.service()))
                 .filter(service -> service.model().isPresent())
                 .isPresent();
     }
 
-    private boolean near(EndpointEntry endpoint) {
+    private boolean near(EndpointRegistration endpoint) {
         return parts.place().region().equals(parts.regions().get(endpoint.dataHall()));
     }
 
@@ -212,7 +212,7 @@
      * @param endpoint the endpoint
      * @param then learns on the same thread, once, whether the agent answered in time
      */
-    public void ask(EndpointEntry endpoint, Consumer<Boolean> then) {
+    public void ask(EndpointRegistration endpoint, Consumer<Boolean> then) {
         String host = endpoint.instanceHost();
         boolean near = near(endpoint);
         OptionalLong stamp = stamp(stamps, host);
@@ -249,16 +249,16 @@
     }
 
     /** What this entry heard of the limit of the endpoint at a host; of two starts of it the one that said something last. */
-    private Optional<LimitWord> limit(List<EndpointStart> endpoints) {
+    private Optional<RateLimitUpdate> limit(List<EndpointStart> endpoints) {
         long now = parts.steadyMillis().getAsLong();
         return endpoints.stream()
                 .map(start -> parts.choice().load(start).limit().word(now))
                 .flatMap(Optional::stream)
-                .min(Comparator.comparingInt(LimitWord::millisAgo));
+                .min(Comparator.comparingInt(RateLimitUpdate::millisAgo));
     }
 
     /** What an agent is told of the store, with the stamp that it is newer than. */
-    private record Told(boolean near, OptionalLong stamp, Optional<StoreNews> news) {}
+    private record Told(boolean near, OptionalLong stamp, Optional<StoreUpdate> news) {}
 
     /** The stamp of the last answer from a host; empty before the first. */
     private static OptionalLong stamp(Map<String, Long> stamps, String host) {
@@ -270,7 +270,7 @@
 
     private void receive() {
         while (channel.isOpen()) {
-            Steps.guarded("load-feed", this::receiveOne);
+            RepeatedTasks.guarded("load-feed", this::receiveOne);
         }
     }
 
@@ -316,7 +316,7 @@
         // Counted from the question: the agent's word is at most that much older than it says.
         answer.reader()
                 .ifPresent(reader -> parts.heard()
-                        .accept(new StoreNews.Heard(
+                        .accept(new StoreUpdate.Heard(
                                 reader.peer(), reader.operator(), asked.getAsLong() - reader.knownMillisAgo())));
     }
 
--- a/src/main/java/org/micabarrow/transport/LoadServer.java
+++ b/src/main/java/org/micabarrow/transport/LoadServer.java
@@ -8,10 +8,10 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.limits.LimitRelay;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.limits.RateLimitRelay;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.micabarrow.transport.EntriesHeard.Heard;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -24,17 +24,17 @@
     private final DatagramChannel channel;
     private final Supplier<Optional<LoadReport>> endpoint;
     private final LongSupplier steadyMillis;
-    private final BiConsumer<String, StoreNews> news;
+    private final BiConsumer<String, StoreUpdate> news;
     private final EntriesHeard entries;
-    private final LimitRelay limits = new LimitRelay();
-    private final PlaceShares shares = new PlaceShares(RandomGenerator.of("L64X128MixRandom"));
+    private final RateLimitRelay limits = new RateLimitRelay();
+    private final SlotAllotment shares = new SlotAllotment(RandomGenerator.of("L64X128MixRandom"));
 
     private LoadServer(
             DatagramChannel channel,
             String address,
             Supplier<Optional<LoadReport>> endpoint,
             LongSupplier steadyMillis,
-            BiConsumer<String, StoreNews> news,
+            BiConsumer<String, StoreUpdate> news,
             long trustMillis) {
         this.channel = channel;
         this.endpoint = endpoint;
@@ -58,7 +58,7 @@
             String address,
             Supplier<Optional<LoadReport>> endpoint,
             LongSupplier steadyMillis,
-            BiConsumer<String, StoreNews> news,
+            BiConsumer<String, StoreUpdate> news,
             long trustMillis)
             throws IOException {
         Objects.requireNonNull(endpoint, "endpoint is null");
@@ -75,7 +75,7 @@
      *
      * @return the relay, which may be told what the endpoint reports
      */
-    public LimitRelay limits() {
+    public RateLimitRelay limits() {
         return limits;
     }
 
@@ -95,7 +95,7 @@
 
     private void serve() {
         while (channel.isOpen()) {
-            Steps.guarded("load-server", this::serveOne);
+            RepeatedTasks.guarded("load-server", this::serveOne);
         }
     }
 
--- a/src/main/java/org/micabarrow/transport/PeerChunks.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunkClient.java
@@ -16,15 +16,15 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 import org.micabarrow.weights.ChunkPeers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Asks other agents for chunks of weights. */
-public final class PeerChunks implements ChunkPeers {
+public final class PeerChunkClient implements ChunkPeers {
 
-    private static final Logger LOG = LoggerFactory.getLogger(PeerChunks.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerChunkClient.class);
 
     static final String CHUNKS = "/chunks/";
     static final String DIGESTS = "/digests/";
@@ -43,7 +43,7 @@
 
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final Duration within;
     private final Duration anew;
 
@@ -55,7 +55,7 @@
      *
      * @param caller sends its requests
      */
-    public PeerChunks(HttpCaller caller) {
+    public PeerChunkClient(HttpClient caller) {
         this(Objects.requireNonNull(caller, "caller is null"), WITHIN, ANEW);
     }
 
@@ -66,7 +66,7 @@
      * @param within how long a peer may take
      * @param anew how long a peer may take to answer on a new connection after it left a question without an answer
      */
-    PeerChunks(HttpCaller caller, Duration within, Duration anew) {
+    PeerChunkClient(HttpClient caller, Duration within, Duration anew) {
         this.caller = caller;
         this.within = within;
         this.anew = anew;
--- a/src/main/java/org/micabarrow/transport/PeerRecords.java
+++ b/src/main/java/org/micabarrow/transport/PeerRecordClient.java
@@ -11,19 +11,19 @@
 import java.util.Objects;
 import java.util.OptionalLong;
 import java.util.function.LongSupplier;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Result;
-import org.micabarrow.views.LeavingBound;
+import org.micabarrow.views.DrainTimeBudget;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
 
 /** The messages by which processes tell each other records of the store. */
-public final class PeerRecords {
+public final class PeerRecordClient {
 
     static final String PATH = "/records";
 
@@ -35,7 +35,7 @@
     /** How long ago everything that was written was known to the peer, in milliseconds; a clock of its own tells nothing here. */
     private static final String KNOWN_MILLIS_AGO = "knownMsAgo";
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final LongSupplier steadyMillis;
 
     /**
@@ -43,8 +43,8 @@
      *
      * @param caller sends its requests
      */
-    public PeerRecords(HttpCaller caller) {
-        this(caller, SteadyClock::millis);
+    public PeerRecordClient(HttpClient caller) {
+        this(caller, MonotonicClock::millis);
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param caller sends its requests
      * @param steadyMillis a clock that never steps, in milliseconds
      */
-    public PeerRecords(HttpCaller caller, LongSupplier steadyMillis) {
+    public PeerRecordClient(HttpClient caller, LongSupplier steadyMillis) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
         this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
     }
@@ -83,7 +83,7 @@
         URI uri = URI.create("http://" + peer + PATH + "?topic=" + topic + "&from=" + from);
         HttpCall call = HttpCall.get(Step.READ, uri);
         long sent = steadyMillis.getAsLong();
-        return caller.call(call, new AnswerLimits(LeavingBound.PEER_ANSWER, LeavingBound.PEER_ANSWER, within))
+        return caller.call(call, new ResponseTimeouts(DrainTimeBudget.PEER_ANSWER, DrainTimeBudget.PEER_ANSWER, within))
                 .flatMap(answer -> answer.status() == OK
                         ? read(peer, answer.body(), sent)
                         : Result.failure(
--- a/src/main/java/org/micabarrow/transport/PlatformClient.java
+++ b/src/main/java/org/micabarrow/transport/PlatformClient.java
@@ -15,7 +15,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Instance;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** The platform's log and list of instances, over HTTP. */
 public final class PlatformClient implements PlatformLog, InstanceList {
@@ -31,7 +31,7 @@
 
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final Common.Platform platform;
 
     /**
@@ -40,7 +40,7 @@
      * @param caller sends the requests
      * @param platform where the services are
      */
-    public PlatformClient(HttpCaller caller, Common.Platform platform) {
+    public PlatformClient(HttpClient caller, Common.Platform platform) {
         this.caller = Objects.requireNonNull(caller, "caller is null");
         this.platform = Objects.requireNonNull(platform, "platform is null");
     }
--- a/src/main/java/org/micabarrow/transport/AnswerLimits.java
+++ b/src/main/java/org/micabarrow/transport/ResponseTimeouts.java
@@ -12,10 +12,10 @@
  * @param pause from one part to the next
  * @param whole altogether
  */
-public record AnswerLimits(Duration begin, Duration pause, Duration whole) {
+public record ResponseTimeouts(Duration begin, Duration pause, Duration whole) {
 
     /** Checks that nothing is missing. */
-    public AnswerLimits {
+    public ResponseTimeouts {
         requireNonNull(begin, "begin is null");
         requireNonNull(pause, "pause is null");
         requireNonNull(whole, "whole is null");
@@ -27,8 +27,8 @@
      * @param within how long the answer may take altogether
      * @return the limits
      */
-    public static AnswerLimits whole(Duration within) {
-        return new AnswerLimits(within, within, within);
+    public static ResponseTimeouts whole(Duration within) {
+        return new ResponseTimeouts(within, within, within);
     }
 
     /**
--- a/src/main/java/org/micabarrow/transport/StoreNews.java
+++ b/src/main/java/org/micabarrow/transport/StoreUpdate.java
@@ -2,8 +2,8 @@
 
 import java.util.Objects;
 import java.util.Optional;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 /**
  * What an entry that is in touch with the store tells agents nearby, so that they need not ask the store whether there is news.
@@ -14,11 +14,11 @@
  * @param knownMillisAgo how long ago it knew all that operators wrote, in milliseconds
  * @param direct whether it reads the store itself, so that other entries may go by it
  */
-public record StoreNews(
-        int port, LastChanges changes, Optional<ManifestPlace> manifest, long knownMillisAgo, boolean direct) {
+public record StoreUpdate(
+        int port, ChangeOffsets changes, Optional<ManifestPosition> manifest, long knownMillisAgo, boolean direct) {
 
     /** Checks that nothing is missing. */
-    public StoreNews {
+    public StoreUpdate {
         Objects.requireNonNull(changes, "changes is null");
         Objects.requireNonNull(manifest, "manifest is null");
     }
--- a/src/main/java/org/micabarrow/transport/WeightsClient.java
+++ b/src/main/java/org/micabarrow/transport/WeightsClient.java
@@ -29,7 +29,7 @@
     /** The most chunks that are on their way at once, which bounds the connections to the store. */
     private static final int MOST_AHEAD = 32;
 
-    private final HttpCaller caller;
+    private final HttpClient caller;
     private final Common.Platform platform;
     private final AgentChunks agents;
     private final LinkPacer link;
@@ -47,7 +47,7 @@
      * @param aheadBytes how many bytes may be on their way from the store at once
      */
     public WeightsClient(
-            HttpCaller caller,
+            HttpClient caller,
             Common.Platform platform,
             AgentChunks agents,
             LinkPacer link,
@@ -139,7 +139,7 @@
         private final String artifact;
         private final long bytesAhead;
         private int ahead = LEAST_AHEAD;
-        private final Deque<HttpCaller.Pending> pending = new ArrayDeque<>();
+        private final Deque<HttpClient.Pending> pending = new ArrayDeque<>();
         private int nextToAsk;
         private int left;
 
--- a/src/main/java/org/micabarrow/transport/WholeAnswer.java
+++ b/src/main/java/org/micabarrow/transport/WholeAnswer.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.TimeoutException;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Collects an answer until it is whole. */
-final class WholeAnswer implements HttpCaller.Listener {
+final class WholeAnswer implements HttpClient.Listener {
 
     private final CompletableFuture<Result<HttpAnswer>> done = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -31,7 +31,7 @@
      * @param limits how long to wait, from now on
      * @throws TimeoutException if it did not come in time
      */
-    Result<HttpAnswer> await(AnswerLimits limits) throws InterruptedException, ExecutionException, TimeoutException {
+    Result<HttpAnswer> await(ResponseTimeouts limits) throws InterruptedException, ExecutionException, TimeoutException {
         long asked = System.nanoTime();
         while (true) {
             long left = limits.deadlineNanos(asked, begun ? movedNanos : asked) - System.nanoTime();
