--- a/src/main/java/org/micabarrow/views/LastChanges.java
+++ b/src/main/java/org/micabarrow/views/ChangeOffsets.java
@@ -11,7 +11,7 @@
  * @param weights the offset after the last record of operators that agents act on: a named weight version, or a manifest with
  *     other services than the one before
  */
-public record LastChanges(long operator, long endpoints, long weights) {
+public record ChangeOffsets(long operator, long endpoints, long weights) {
 
     /**
      * Changes of which the last one of operators is one that agents act on.
@@ -19,7 +19,7 @@
      * @param operator the offset after the last record of operators
      * @param endpoints the offset after the last record of endpoints that changed anything
      */
-    public LastChanges(long operator, long endpoints) {
+    public ChangeOffsets(long operator, long endpoints) {
         this(operator, endpoints, operator);
     }
 
@@ -37,12 +37,12 @@
         };
     }
 
-    LastChanges withOperator(List<StoredRecord> changing, List<StoredRecord> changingWeights) {
-        return new LastChanges(after(operator, changing), endpoints, after(weights, changingWeights));
+    ChangeOffsets withOperator(List<StoredRecord> changing, List<StoredRecord> changingWeights) {
+        return new ChangeOffsets(after(operator, changing), endpoints, after(weights, changingWeights));
     }
 
-    LastChanges withEndpoints(List<StoredRecord> changing) {
-        return new LastChanges(operator, after(endpoints, changing), weights);
+    ChangeOffsets withEndpoints(List<StoredRecord> changing) {
+        return new ChangeOffsets(operator, after(endpoints, changing), weights);
     }
 
     private static long after(long known, List<StoredRecord> changing) {
--- a/src/main/java/org/micabarrow/views/LeavingBound.java
+++ b/src/main/java/org/micabarrow/views/DrainTimeBudget.java
@@ -7,7 +7,7 @@
  * Divides the time in which an entry must know that an endpoint leaves among all that may delay it: the pause between two reads of the
  * store, the time for which the store holds a read, its answer, and the answer of a peer in its place.
  */
-public final class LeavingBound {
+public final class DrainTimeBudget {
 
     /**
      * How long the store's answer may take beyond the wait that was asked for. It answers in a few milliseconds; a slow one takes some fifty
@@ -27,7 +27,7 @@
     /** The least time for which a read is held. Without any, a store in which nothing changes would be read without a pause. */
     private static final Duration LEAST_HOLD = Duration.ofMillis(100);
 
-    private LeavingBound() {}
+    private DrainTimeBudget() {}
 
     /**
      * How often entries read endpoints' entries. At worst an endpoint leaves at the beginning of a pause, in which the store falls silent: its
--- a/src/main/java/org/micabarrow/views/DropDoubts.java
+++ b/src/main/java/org/micabarrow/views/DropDoubts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Endpoints whose entries were dropped right after the store was away. Entries lapse while endpoints cannot write, so such
@@ -56,7 +56,7 @@
     }
 
     /** Whether the drop of an endpoint's entry is doubted; if so, the endpoint is remembered. */
-    boolean doubt(EndpointEntry known, long nowMillis) {
+    boolean doubt(EndpointRegistration known, long nowMillis) {
         long until = regainedMillis + DOUBT_MILLIS;
         if (known.leaving() || nowMillis >= until || !awayForAll()) {
             return false;
--- a/src/main/java/org/micabarrow/views/EndpointEntries.java
+++ b/src/main/java/org/micabarrow/views/EndpointEntries.java
@@ -9,7 +9,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.slf4j.Logger;
@@ -42,12 +42,12 @@
     }
 
     /** A list without the endpoints whose entries were doubted and have not come back in time; empty if there are none. */
-    Optional<Map<String, EndpointEntry>> withoutOverdue(Map<String, EndpointEntry> endpoints, long nowMillis) {
+    Optional<Map<String, EndpointRegistration>> withoutOverdue(Map<String, EndpointRegistration> endpoints, long nowMillis) {
         List<String> overdue = doubts.takeOverdue(nowMillis);
         if (overdue.isEmpty()) {
             return Optional.empty();
         }
-        Map<String, EndpointEntry> left = new HashMap<>(endpoints);
+        Map<String, EndpointRegistration> left = new HashMap<>(endpoints);
         overdue.forEach(id -> {
             left.remove(id);
             LOG.info("event=endpoint_gone endpoint={} after=doubt", id);
@@ -64,7 +64,7 @@
     // -- records
 
     /** Records are read at once, each of which {@link #take} is given next. */
-    void read(List<StoredRecord> records, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    void read(List<StoredRecord> records, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         Set<String> drops = records.stream()
                 .filter(StoredRecord::dropped)
                 .map(StoredRecord::key)
@@ -74,13 +74,13 @@
     }
 
     /** Takes a record into account, in the list that is given; returns what to log, if anything changes. */
-    Optional<String> take(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    Optional<String> take(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         return record.dropped() ? dropped(record, endpoints, nowMillis) : written(record, endpoints, nowMillis);
     }
 
-    private Optional<String> dropped(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> dropped(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         String id = record.key();
-        EndpointEntry known = endpoints.get(id);
+        EndpointRegistration known = endpoints.get(id);
         if (known != null && doubts.doubt(known, nowMillis)) {
             return Optional.of("event=endpoint_doubted endpoint=" + id + " offset=" + record.offset());
         }
@@ -91,16 +91,16 @@
                 : Optional.of("event=endpoint_gone endpoint=" + id + " offset=" + record.offset());
     }
 
-    private Optional<String> written(StoredRecord record, Map<String, EndpointEntry> endpoints, long nowMillis) {
+    private Optional<String> written(StoredRecord record, Map<String, EndpointRegistration> endpoints, long nowMillis) {
         return switch (decoder.endpoint(record)) {
-            case Result.Failure<EndpointEntry>(Fault fault) -> refused(record, fault.message(), endpoints);
-            case Result.Success<EndpointEntry>(EndpointEntry entry)
+            case Result.Failure<EndpointRegistration>(Fault fault) -> refused(record, fault.message(), endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when newestEntries.lacking(entry) -> refused(record, "it does not tell the endpoint's start", endpoints);
-            case Result.Success<EndpointEntry>(EndpointEntry entry)
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry)
             when newestEntries.over(entry, nowMillis) ->
                 Optional.of("event=entry_written_late endpoint=" + entry.id() + " started=" + started(entry)
                         + " leaving=" + entry.leaving() + " offset=" + record.offset());
-            case Result.Success<EndpointEntry>(EndpointEntry entry) -> taken(record, entry, endpoints);
+            case Result.Success<EndpointRegistration>(EndpointRegistration entry) -> taken(record, entry, endpoints);
         };
     }
 
@@ -108,7 +108,7 @@
      * An entry that cannot be used takes the place of the one before: that says what was, and nobody knows of what the endpoint
      * does now, whether it leaves or is gone.
      */
-    private Optional<String> refused(StoredRecord record, String why, Map<String, EndpointEntry> endpoints) {
+    private Optional<String> refused(StoredRecord record, String why, Map<String, EndpointRegistration> endpoints) {
         String id = record.key();
         doubts.forget(id);
         boolean first = unusable.add(id);
@@ -119,10 +119,10 @@
                 : Optional.empty();
     }
 
-    private Optional<String> taken(StoredRecord record, EndpointEntry entry, Map<String, EndpointEntry> endpoints) {
+    private Optional<String> taken(StoredRecord record, EndpointRegistration entry, Map<String, EndpointRegistration> endpoints) {
         doubts.forget(entry.id());
         unusable.remove(entry.id());
-        EndpointEntry before = endpoints.put(entry.id(), entry);
+        EndpointRegistration before = endpoints.put(entry.id(), entry);
         if (before != null && entry.saysTheSameAs(before)) {
             return Optional.empty();
         }
@@ -134,7 +134,7 @@
                 + record.offset());
     }
 
-    private static String started(EndpointEntry entry) {
+    private static String started(EndpointRegistration entry) {
         return entry.startedMillis().isEmpty()
                 ? "-"
                 : String.valueOf(entry.startedMillis().getAsLong());
--- a/src/main/java/org/micabarrow/views/ManifestPlace.java
+++ b/src/main/java/org/micabarrow/views/ManifestPosition.java
@@ -6,4 +6,4 @@
  * @param version its version
  * @param offset its offset
  */
-public record ManifestPlace(long version, long offset) {}
+public record ManifestPosition(long version, long offset) {}
--- a/src/main/java/org/micabarrow/views/Manifests.java
+++ b/src/main/java/org/micabarrow/views/Manifests.java
@@ -25,7 +25,7 @@
     private Optional<StoredRecord> record = Optional.empty();
 
     /** Where the newest manifest stands that is known of, be it here or not. */
-    private Optional<ManifestPlace> newest = Optional.empty();
+    private Optional<ManifestPosition> newest = Optional.empty();
 
     private long kept = NONE;
     private long keptOffset = NONE;
@@ -45,24 +45,24 @@
         LOG.info("event=manifest_in_force version={} offset={} before={}", version, from.offset(), inForce);
         inForce = version;
         record = Optional.of(from);
-        stands(new ManifestPlace(version, from.offset()));
+        stands(new ManifestPosition(version, from.offset()));
         return true;
     }
 
     /** Takes note of where a manifest stands. */
-    void stands(ManifestPlace place) {
+    void stands(ManifestPosition place) {
         if (newestVersion() <= place.version()) {
             newest = Optional.of(place);
         }
     }
 
     /** Where the newest manifest stands that is known of; empty if none is. */
-    Optional<ManifestPlace> newest() {
+    Optional<ManifestPosition> newest() {
         return newest;
     }
 
     private long newestVersion() {
-        return newest.map(ManifestPlace::version).orElse(NONE);
+        return newest.map(ManifestPosition::version).orElse(NONE);
     }
 
     /** The record of the manifest in force, if it stands at or after an offset. */
@@ -92,10 +92,10 @@
     }
 
     /** The newest manifest, if it is not known to lie in the store under a key of its own. */
-    Optional<Unkept> unkept(TopicCopy lying) {
+    Optional<UnsavedItem> unkept(TopicCopy lying) {
         return newest.filter(place ->
                         lying.record(VersionKeys.ofManifest(place.version())).isEmpty())
-                .map(place -> new Unkept.Manifest(
+                .map(place -> new UnsavedItem.Manifest(
                         place.version(), place.offset(), VersionKeys.outdatedManifests(lying.keys(), place.version())));
     }
 }
--- a/src/main/java/org/micabarrow/views/NamedTargets.java
+++ b/src/main/java/org/micabarrow/views/NamedTargets.java
@@ -81,12 +81,12 @@
      * The newest versions that are not known to lie in the store under a key of their own. What only a peer told is none of them:
      * a wrong word would outlast every process.
      */
-    List<Unkept> unkept(TopicCopy kept) {
-        List<Unkept> all = new ArrayList<>();
+    List<UnsavedItem> unkept(TopicCopy kept) {
+        List<UnsavedItem> all = new ArrayList<>();
         byOperator.forEach((model, newest) -> {
             if (kept.record(VersionKeys.of(model, newest.version())).isEmpty()) {
                 List<String> outdated = VersionKeys.outdated(kept.keys(), model, newest.version());
-                all.add(new Unkept.Weights(model, newest.version(), namedMillis(newest), outdated));
+                all.add(new UnsavedItem.Weights(model, newest.version(), namedMillis(newest), outdated));
             }
         });
         return all;
--- a/src/main/java/org/micabarrow/views/NewestEntries.java
+++ b/src/main/java/org/micabarrow/views/NewestEntries.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * The newest entry of each endpoint that was heard of, by its start and by how often it had written since. A write that got no
@@ -28,7 +28,7 @@
 
     private record Heard(long startedMillis, OptionalLong writes, long atMillis) {
 
-        private boolean after(EndpointEntry entry, long started) {
+        private boolean after(EndpointRegistration entry, long started) {
             boolean sameStart = startedMillis == started
                     && writes.isPresent()
                     && entry.writes().isPresent();
@@ -38,7 +38,7 @@
     }
 
     /** Whether an entry does not tell its endpoint's start, although the endpoint's entries do: another writer wrote it. */
-    boolean lacking(EndpointEntry entry) {
+    boolean lacking(EndpointRegistration entry) {
         return entry.startedMillis().isEmpty() && toldStart(entry.id());
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** Takes an entry into account, and tells whether it was written before one that was heard of lately. */
-    boolean over(EndpointEntry entry, long nowMillis) {
+    boolean over(EndpointRegistration entry, long nowMillis) {
         long started = entry.startedMillis().orElse(UNTOLD);
         Heard heard = newest.get(entry.id());
         if (heard != null && heard.after(entry, started) && nowMillis - heard.atMillis() <= HELD_MILLIS) {
--- a/src/main/java/org/micabarrow/views/OperatorBeliefs.java
+++ b/src/main/java/org/micabarrow/views/OperatorBeliefs.java
@@ -133,7 +133,7 @@
     }
 
     /** The newest versions that are not known to lie in the store under a key of their own. */
-    List<Unkept> unkept(TopicCopy lying) {
+    List<UnsavedItem> unkept(TopicCopy lying) {
         return targets.unkept(lying);
     }
 
@@ -148,15 +148,15 @@
         return unusable || manifests.lacking(readTo).isPresent();
     }
 
-    void manifestStands(ManifestPlace place) {
+    void manifestStands(ManifestPosition place) {
         manifests.stands(place);
     }
 
-    Optional<ManifestPlace> newestManifest() {
+    Optional<ManifestPosition> newestManifest() {
         return manifests.newest();
     }
 
-    Optional<Unkept> unkeptManifest(TopicCopy lying) {
+    Optional<UnsavedItem> unkeptManifest(TopicCopy lying) {
         return manifests.unkept(lying);
     }
 
--- a/src/main/java/org/micabarrow/views/NewsReader.java
+++ b/src/main/java/org/micabarrow/views/PeerFirstReader.java
@@ -16,9 +16,9 @@
  * the time in which a manifest must be in force. So one entry of a region reads the store for the other entries; agents are told by
  * all entries nearby, and of what they act on only.
  */
-public final class NewsReader implements TopicReader {
+public final class PeerFirstReader implements TopicReader {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NewsReader.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerFirstReader.class);
 
     /** How long an answer to an agent may take, as long as it keeps coming: a large manifest over a narrow link. */
     private static final Duration WHOLE_ANSWER = Duration.ofSeconds(10);
@@ -91,7 +91,7 @@
      * @param role whose word counts
      * @param steadyMillis a clock that never steps, in milliseconds
      */
-    public NewsReader(TopicReader store, Peers peers, Role role, LongSupplier steadyMillis) {
+    public PeerFirstReader(TopicReader store, Peers peers, Role role, LongSupplier steadyMillis) {
         this.store = Objects.requireNonNull(store, "store is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
         this.role = Objects.requireNonNull(role, "role is null");
@@ -108,7 +108,7 @@
      * @param changes where the last changes stand that it knows of
      * @param asOfMillis the moment on the steady clock up to which it knows all that operators wrote
      */
-    public synchronized void told(String peer, LastChanges changes, long asOfMillis) {
+    public synchronized void told(String peer, ChangeOffsets changes, long asOfMillis) {
         if (told.take(peer, changes, asOfMillis, steadyMillis.getAsLong())) {
             notifyAll();
         }
--- a/src/main/java/org/micabarrow/views/RecordDecoder.java
+++ b/src/main/java/org/micabarrow/views/RecordDecoder.java
@@ -1,7 +1,7 @@
 package org.micabarrow.views;
 
 import java.util.OptionalLong;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.state.Result;
 
@@ -61,5 +61,5 @@
      * @param record the record, not dropped
      * @return the entry, or why it cannot be read
      */
-    Result<EndpointEntry> endpoint(StoredRecord record);
+    Result<EndpointRegistration> endpoint(StoredRecord record);
 }
--- a/src/main/java/org/micabarrow/views/StoreFollower.java
+++ b/src/main/java/org/micabarrow/views/StoreFollower.java
@@ -31,7 +31,7 @@
 
     private final Topic topic;
     private final TopicReader reader;
-    private final ViewKeeper keeper;
+    private final ViewMaintainer keeper;
     private final Consumer<Topic> askPeer;
     private final Pace pace;
     private volatile boolean loaded;
@@ -62,7 +62,7 @@
      * @param askPeer asks a peer for what it knows, when the store cannot be read
      * @param pace how often to read
      */
-    public StoreFollower(Topic topic, TopicReader reader, ViewKeeper keeper, Consumer<Topic> askPeer, Pace pace) {
+    public StoreFollower(Topic topic, TopicReader reader, ViewMaintainer keeper, Consumer<Topic> askPeer, Pace pace) {
         this.topic = Objects.requireNonNull(topic, "topic is null");
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.keeper = Objects.requireNonNull(keeper, "keeper is null");
--- a/src/main/java/org/micabarrow/views/ToldNews.java
+++ b/src/main/java/org/micabarrow/views/ToldNews.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Stream;
-import org.micabarrow.views.NewsReader.Role;
+import org.micabarrow.views.PeerFirstReader.Role;
 
 /** What peers told of the store, and whose word counts for how long. Not safe for several threads at once. */
 final class ToldNews {
@@ -34,14 +34,14 @@
     /** Whether the store answered this process when it was last asked. */
     private boolean storeAnswers = true;
 
-    private record Told(String peer, LastChanges changes, long asOfMillis, long atMillis) {}
+    private record Told(String peer, ChangeOffsets changes, long asOfMillis, long atMillis) {}
 
     ToldNews(Role role) {
         this.role = role;
     }
 
     /** Takes note of what a peer tells, and tells whether it is something else than before. */
-    boolean take(String peer, LastChanges changes, long asOfMillis, long nowMillis) {
+    boolean take(String peer, ChangeOffsets changes, long asOfMillis, long nowMillis) {
         Told before = told.put(peer, new Told(peer, changes, asOfMillis, nowMillis));
         return before == null || !before.changes().equals(changes);
     }
@@ -128,7 +128,7 @@
     }
 
     /** Where the last change stands that this process needs. */
-    private long needed(LastChanges changes, Topic topic) {
+    private long needed(ChangeOffsets changes, Topic topic) {
         return topic == Topic.OPERATOR && role instanceof Role.Agent ? changes.weights() : changes.of(topic);
     }
 }
--- a/src/main/java/org/micabarrow/views/Unkept.java
+++ b/src/main/java/org/micabarrow/views/UnsavedItem.java
@@ -7,7 +7,7 @@
 /**
  * Something that operators wrote and that is not known to lie in {@link Topic#NAMED}, where it has a key of its own.
  */
-public sealed interface Unkept {
+public sealed interface UnsavedItem {
 
     /**
      * The key under which it is kept.
@@ -31,7 +31,7 @@
      * @param namedMillis the Unix millisecond at which this process learned that it was named; empty if it found it so
      * @param outdated keys of the model's versions that are of use no more
      */
-    record Weights(String model, long version, OptionalLong namedMillis, List<String> outdated) implements Unkept {
+    record Weights(String model, long version, OptionalLong namedMillis, List<String> outdated) implements UnsavedItem {
 
         /** Copies the keys. */
         public Weights {
@@ -53,7 +53,7 @@
      * @param offset its offset among what operators wrote
      * @param outdated keys of manifests that are of use no more
      */
-    record Manifest(long version, long offset, List<String> outdated) implements Unkept {
+    record Manifest(long version, long offset, List<String> outdated) implements UnsavedItem {
 
         /** Copies the keys. */
         public Manifest {
--- a/src/main/java/org/micabarrow/views/NamedVersions.java
+++ b/src/main/java/org/micabarrow/views/VersionPersistence.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.steps.Steps;
+import org.micabarrow.steps.RepeatedTasks;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -22,9 +22,9 @@
  * members are written. Guards against endpoints that take up, and go on answering by, an older version after every process has
  * started again, and against processes that start with an older manifest than the others go by.
  */
-public final class NamedVersions implements TopicReader {
+public final class VersionPersistence implements TopicReader {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NamedVersions.class);
+    private static final Logger LOG = LoggerFactory.getLogger(VersionPersistence.class);
 
     /**
      * The pause between two looks, in milliseconds: a version is written half a second after it is known, and a store that does
@@ -40,7 +40,7 @@
 
     private final TopicReader reader;
     private final VersionWriter writer;
-    private final ViewKeeper keeper;
+    private final ViewMaintainer keeper;
     private final Supplier<Duty> duty;
     private final Runnable askPeer;
     private final AtomicBoolean recalled = new AtomicBoolean();
@@ -68,7 +68,7 @@
          * @param unkept the version
          * @return the records as they lie in the topic, or why they may not lie there
          */
-        Result<List<StoredRecord>> write(Unkept unkept);
+        Result<List<StoredRecord>> write(UnsavedItem unkept);
     }
 
     /**
@@ -79,7 +79,7 @@
      * @param keeper knows which versions were named
      * @param writes whether this process is to write, else it stands in
      */
-    public NamedVersions(TopicReader reader, VersionWriter writer, ViewKeeper keeper, BooleanSupplier writes) {
+    public VersionPersistence(TopicReader reader, VersionWriter writer, ViewMaintainer keeper, BooleanSupplier writes) {
         this(reader, writer, keeper, () -> writes.getAsBoolean() ? Duty.WRITES : Duty.STANDS_IN, () -> {});
     }
 
@@ -90,10 +90,10 @@
      * @param writer writes versions
      * @param keeper knows which versions were named
      * @param duty what this process does for the versions
-     * @param askPeer asks a peer for what operators wrote, from {@link ViewKeeper#askFrom} on
+     * @param askPeer asks a peer for what operators wrote, from {@link ViewMaintainer#askFrom} on
      */
-    public NamedVersions(
-            TopicReader reader, VersionWriter writer, ViewKeeper keeper, Supplier<Duty> duty, Runnable askPeer) {
+    public VersionPersistence(
+            TopicReader reader, VersionWriter writer, ViewMaintainer keeper, Supplier<Duty> duty, Runnable askPeer) {
         this.reader = Objects.requireNonNull(reader, "reader is null");
         this.writer = Objects.requireNonNull(writer, "writer is null");
         this.keeper = Objects.requireNonNull(keeper, "keeper is null");
@@ -189,7 +189,7 @@
 
     /** Looks again and again, on a thread of its own, for as long as the process runs. */
     public void start() {
-        Steps.start("named-versions", LOOK_MILLIS, this::look);
+        RepeatedTasks.start("named-versions", LOOK_MILLIS, this::look);
     }
 
     /** Recalls the versions when it is time to, and writes those that are not known to lie in the store. */
@@ -244,7 +244,7 @@
                 && Long.numberOfTrailingZeros(looks) % 2 == 0;
     }
 
-    private void write(Unkept unkept) {
+    private void write(UnsavedItem unkept) {
         switch (writer.write(unkept)) {
             case Result.Success<List<StoredRecord>>(List<StoredRecord> records) -> {
                 keeper.apply(Topic.NAMED, records, 0);
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.stream.Stream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RouteManifest;
 
 /**
@@ -22,7 +22,7 @@
 public record View(
         Optional<RouteManifest> manifest,
         long manifestOffset,
-        Map<String, EndpointEntry> endpoints,
+        Map<String, EndpointRegistration> endpoints,
         Map<String, List<Target>> targets,
         Map<String, Target> found) {
 
@@ -71,7 +71,7 @@
     public View(
             Optional<RouteManifest> manifest,
             long manifestOffset,
-            Map<String, EndpointEntry> endpoints,
+            Map<String, EndpointRegistration> endpoints,
             Map<String, List<Target>> targets) {
         this(manifest, manifestOffset, endpoints, targets, Map.of());
     }
@@ -141,7 +141,7 @@
      * @param service the service
      * @return its endpoints, those that leave too
      */
-    public List<EndpointEntry> endpointsOf(String service) {
+    public List<EndpointRegistration> endpointsOf(String service) {
         return endpoints.values().stream()
                 .filter(entry -> entry.service().equals(service))
                 .toList();
@@ -157,7 +157,7 @@
         return new View(Optional.of(newManifest), offset, endpoints, targets, found);
     }
 
-    View withEndpoints(Map<String, EndpointEntry> newEndpoints) {
+    View withEndpoints(Map<String, EndpointRegistration> newEndpoints) {
         return new View(manifest, manifestOffset, newEndpoints, targets, found);
     }
 
--- a/src/main/java/org/micabarrow/views/ViewKeeper.java
+++ b/src/main/java/org/micabarrow/views/ViewMaintainer.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -19,16 +19,16 @@
  * Keeps copies of the store's two topics and publishes the view that follows from them. Records may come from the store
  * or from peers, in any order; changes are made under one lock and readers see immutable views.
  */
-public final class ViewKeeper {
+public final class ViewMaintainer {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ViewKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ViewMaintainer.class);
 
     private final LongSupplier steadyMillis;
     private final Map<Topic, TopicCopy> copies = new HashMap<>();
     private final EndpointEntries entries;
     private final OperatorBeliefs operator;
     private final OperatorKnowledge knowledge = new OperatorKnowledge();
-    private volatile LastChanges changes = new LastChanges(0, 0, 0);
+    private volatile ChangeOffsets changes = new ChangeOffsets(0, 0, 0);
     private volatile View view = View.empty();
     private volatile Consumer<List<StoredRecord>> crashNews = news -> {};
 
@@ -38,7 +38,7 @@
      * @param decoder reads records
      * @param steadyMillis a clock that never steps, in milliseconds
      */
-    public ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis) {
+    public ViewMaintainer(RecordDecoder decoder, LongSupplier steadyMillis) {
         this(decoder, steadyMillis, System::currentTimeMillis);
     }
 
@@ -49,7 +49,7 @@
      * @param steadyMillis a clock that never steps, in milliseconds
      * @param unixMillis the time of day, in milliseconds, which may be some seconds off
      */
-    ViewKeeper(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
+    ViewMaintainer(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
         Objects.requireNonNull(decoder, "decoder is null");
         this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
         this.operator =
@@ -74,7 +74,7 @@
      *
      * @return the offsets
      */
-    public LastChanges changes() {
+    public ChangeOffsets changes() {
         return changes;
     }
 
@@ -259,7 +259,7 @@
      *
      * @param place where it stands
      */
-    public synchronized void manifestStands(ManifestPlace place) {
+    public synchronized void manifestStands(ManifestPosition place) {
         operator.manifestStands(place);
     }
 
@@ -268,12 +268,12 @@
      *
      * @return the place, empty if none is known
      */
-    public synchronized Optional<ManifestPlace> newestManifest() {
+    public synchronized Optional<ManifestPosition> newestManifest() {
         return operator.newestManifest();
     }
 
     /** The newest manifest, if it is not known to be kept. */
-    synchronized Optional<Unkept> unkeptManifest() {
+    synchronized Optional<UnsavedItem> unkeptManifest() {
         return operator.unkeptManifest(copies.get(Topic.NAMED));
     }
 
@@ -283,14 +283,14 @@
     }
 
     /** The newest versions that are not known to lie in the store under a key of their own. */
-    synchronized List<Unkept> unkept() {
+    synchronized List<UnsavedItem> unkept() {
         return operator.unkept(copies.get(Topic.NAMED));
     }
 
     // -- endpoints
 
     private void endpointsSaid(List<StoredRecord> news) {
-        Map<String, EndpointEntry> endpoints = new HashMap<>(view.endpoints());
+        Map<String, EndpointRegistration> endpoints = new HashMap<>(view.endpoints());
         List<StoredRecord> changing = new ArrayList<>();
         List<String> lines = new ArrayList<>();
         long now = steadyMillis.getAsLong();
--- a/src/main/java/org/micabarrow/weights/ChunkSources.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSources.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * The agents from which one agent fetches each chunk of a version. All agents compute the same assignment without
@@ -42,7 +42,7 @@
          * @return the agents, without duplicates
          */
         public static List<Agent> besideEndpoints(
-                List<EndpointEntry> endpoints, int port, Map<String, String> regions) {
+                List<EndpointRegistration> endpoints, int port, Map<String, String> regions) {
             return endpoints.stream()
                     .filter(endpoint -> !endpoint.leaving())
                     .map(endpoint -> new Agent(
--- a/src/test/java/org/micabarrow/admission/AdmissionTest.java
+++ b/src/test/java/org/micabarrow/admission/AdmissionControlTest.java
@@ -10,20 +10,20 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.Admission.Decision;
+import org.micabarrow.admission.AdmissionControl.Decision;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.Wanted;
 
 /** What happens to a request now. */
-class AdmissionTest {
+class AdmissionControlTest {
 
     private static final int MODEL_TOKENS_PER_MILLI = 20;
-    private static final ModelService MODEL =
-            new ModelService("m", 4, MODEL_TOKENS_PER_MILLI, 10, 0, 5, 16, 64, 32_768);
+    private static final ModelProfile MODEL =
+            new ModelProfile("m", 4, MODEL_TOKENS_PER_MILLI, 10, 0, 5, 16, 64, 32_768);
     private static final long OBJECTIVE = 500;
     private static final long CLIENT_MILLIS = 6_000;
     private static final long NOW = 100_000;
@@ -31,12 +31,12 @@
     /** Two rounds of steps and 1,000 prompt tokens take 150 ms, and a fifth of the objective is kept. */
     private static final long SPARE = 250;
 
-    private final EndpointChoice choice = new EndpointChoice("r", Map.of("h", "r"));
-    private final Admission admission = new Admission(choice);
-    private final EndpointEntry endpoint =
-            EndpointEntry.of("a", "s", "10.0.0.1:80", "h", 4, false, Map.of("m", 1L), 16);
+    private final EndpointSelector choice = new EndpointSelector("r", Map.of("h", "r"));
+    private final AdmissionControl admission = new AdmissionControl(choice);
+    private final EndpointRegistration endpoint =
+            EndpointRegistration.of("a", "s", "10.0.0.1:80", "h", 4, false, Map.of("m", 1L), 16);
 
-    private static Wanted wanted(long millisToObjective, Optional<ModelService> model) {
+    private static Wanted wanted(long millisToObjective, Optional<ModelProfile> model) {
         return new Wanted(
                 model.isPresent() ? 1_000 : 0, OBJECTIVE, millisToObjective, CLIENT_MILLIS, model, 0, 0, Set.of());
     }
@@ -170,7 +170,7 @@
 
     @Test
     void shouldSendToOtherEndpointWhenLimitAllowsNothingNow() {
-        EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other = EndpointRegistration.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
         limitOf("a", 2);
         Decision decision = admission.decide(List.of(endpoint, other), wanted(OBJECTIVE, Optional.of(MODEL)), NOW);
         assertEquals(
@@ -183,7 +183,7 @@
 
     @Test
     void shouldWaitForRoomWhenEndpointWithoutLimitIsFull() {
-        EndpointEntry other = EndpointEntry.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other = EndpointRegistration.of("b", "s", "10.0.0.2:80", "h", 4, false, Map.of("m", 1L), 16);
         limitOf("a", 2);
         choice.load("b").told(new LoadReport(4, 0, false, 1, 0), 1, NOW);
         Decision decision = admission.decide(List.of(endpoint, other), wanted(OBJECTIVE, Optional.of(MODEL)), NOW);
--- a/src/test/java/org/micabarrow/admission/FirstTriesTest.java
+++ b/src/test/java/org/micabarrow/admission/FirstAttemptEstimatorTest.java
@@ -8,9 +8,9 @@
 import org.micabarrow.routing.Route;
 
 /** When clients first tried, as far as the time that they give tells it. */
-class FirstTriesTest {
+class FirstAttemptEstimatorTest {
 
-    private final FirstTries tries = new FirstTries();
+    private final FirstAttemptEstimator tries = new FirstAttemptEstimator();
 
     private static final long NOW = 100_000;
     private static final long TIMEOUT = 6_000;
--- a/src/test/java/org/micabarrow/admission/TakenRoomTest.java
+++ b/src/test/java/org/micabarrow/admission/OccupiedSlotTest.java
@@ -7,16 +7,16 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.micabarrow.limits.EndpointLimit;
-import org.micabarrow.limits.KnownEntries;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
 import org.micabarrow.routing.EndpointLoad;
 
 /** What one sending takes at its endpoint after each row of steps. */
-class TakenRoomTest {
+class OccupiedSlotTest {
 
     private static final int PROMPT = 70;
 
-    private final EndpointLoad load = new EndpointLoad(new EndpointLimit("a", new KnownEntries(), new Random(1)));
+    private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
     private final List<String> looks = new ArrayList<>();
 
     @ParameterizedTest
@@ -29,7 +29,7 @@
         "free,        true,  0,           true,  taken:0 free:0"
     })
     void shouldFreePromptFirstAndThenPlace(String steps, boolean idle, int prompt, boolean begun, String seen) {
-        TakenRoom room = new TakenRoom(
+        OccupiedSlot room = new OccupiedSlot(
                 load, PROMPT, () -> looks.add((load.idle() ? "free:" : "taken:") + load.ownPromptTokens()));
         for (String step : steps.split(" ")) {
             switch (step) {
--- a/src/test/java/org/micabarrow/admission/PlaceSharesTest.java
+++ b/src/test/java/org/micabarrow/admission/SlotAllotmentTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Free places as an agent deals them out. */
-class PlaceSharesTest {
+class SlotAllotmentTest {
 
-    private static PlaceShares seeded(long seed) {
-        return new PlaceShares(new Random(seed));
+    private static SlotAllotment seeded(long seed) {
+        return new SlotAllotment(new Random(seed));
     }
 
     @Test
@@ -24,22 +24,22 @@
 
     @Test
     void shouldNotDealAllPlacesAtOnceWhenEndpointIsEmpty() {
-        assertEquals(6, PlaceShares.dealable(16, 0));
-        assertEquals(4, PlaceShares.dealable(16, 12));
-        assertEquals(0, PlaceShares.dealable(16, 19));
-        assertEquals(1, PlaceShares.dealable(1, 0), "a single place is dealt out whole");
+        assertEquals(6, SlotAllotment.dealable(16, 0));
+        assertEquals(4, SlotAllotment.dealable(16, 12));
+        assertEquals(0, SlotAllotment.dealable(16, 19));
+        assertEquals(1, SlotAllotment.dealable(1, 0), "a single place is dealt out whole");
     }
 
     @Test
     void shouldDealNothingWhenNothingIsFree() {
-        PlaceShares shares = seeded(1);
+        SlotAllotment shares = seeded(1);
         assertEquals(0, shares.deal("a", 3, 0, 0));
         assertEquals(0, shares.deal("a", 3, -4, 10), "more requests than slots");
     }
 
     @Test
     void shouldDealInProportionToWhatEntriesTurnedAway() {
-        PlaceShares shares = seeded(1);
+        SlotAllotment shares = seeded(1);
         int toA = 0;
         int toB = 0;
         for (int round = 0; round < 400; round++) {
@@ -52,7 +52,7 @@
 
     @Test
     void shouldCountEntryNoMoreWhenItHasNotAskedForAWhile() {
-        PlaceShares shares = seeded(1);
+        SlotAllotment shares = seeded(1);
         shares.deal("gone", 99, 10, 0);
         assertTrue(shares.deal("a", 0, 10, 2_000) >= 10);
     }
@@ -60,7 +60,7 @@
     /** One place that stays free goes to one entry at a time, not to all of them at once. */
     @Property(tries = 200, seed = "7")
     void shouldNotDealOnePlaceToAllWhenManyAsk(@ForAll @IntRange(min = 2, max = 20) int entries, @ForAll long seed) {
-        PlaceShares shares = seeded(seed);
+        SlotAllotment shares = seeded(seed);
         int all = 0;
         int rounds = 40;
         for (int round = 0; round < rounds; round++) {
--- a/src/test/java/org/micabarrow/admission/RoomWaitTest.java
+++ b/src/test/java/org/micabarrow/admission/SlotWaitTest.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.WaitingLine.Place;
-import org.micabarrow.admission.WaitingLine.Waiter;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.WaitQueue.Place;
+import org.micabarrow.admission.WaitQueue.Waiter;
 
 /** How a request's wait for room begins and ends, played on the line itself. */
-class RoomWaitTest {
+class SlotWaitTest {
 
     private static final long LATEST = 100;
 
-    private final WaitingLine line = new WaitingLine();
+    private final WaitQueue line = new WaitQueue();
     private final List<String> told = new ArrayList<>();
     private Decision next = new Decision.Wait(50, 1);
-    private final RoomWait room = new RoomWait(new OneLine(), new Request());
+    private final SlotWait room = new SlotWait(new OneLine(), new Request());
 
-    private final class OneLine implements RoomWait.Line {
+    private final class OneLine implements SlotWait.Line {
 
         @Override
         public Place join(int rank, long latestStartMillis, Waiter waiter) {
@@ -33,7 +33,7 @@
         }
     }
 
-    private final class Request implements RoomWait.Request {
+    private final class Request implements SlotWait.Request {
 
         @Override
         public Decision decide() {
--- a/src/test/java/org/micabarrow/admission/WaitingLineTest.java
+++ b/src/test/java/org/micabarrow/admission/WaitQueueTest.java
@@ -5,18 +5,18 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.WaitingLine.Place;
+import org.micabarrow.admission.WaitQueue.Place;
 
 /** The order in which requests get room, and when they give up. */
-class WaitingLineTest {
+class WaitQueueTest {
 
-    private final WaitingLine line = new WaitingLine();
+    private final WaitQueue line = new WaitQueue();
     private final List<String> started = new ArrayList<>();
     private final List<String> gone = new ArrayList<>();
     private int room;
 
     private Place join(String name, int rank, long latestStartMillis) {
-        return line.join(rank, latestStartMillis, new WaitingLine.Waiter() {
+        return line.join(rank, latestStartMillis, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
                 if (room == 0) {
@@ -81,7 +81,7 @@
 
     @Test
     void shouldTryNextOnesWhenFirstFindsNoRoom() {
-        line.join(1, 100, new WaitingLine.Waiter() {
+        line.join(1, 100, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
                 return false;
@@ -99,7 +99,7 @@
 
     @Test
     void shouldServeOnceWhenStartingOneFreesRoom() {
-        line.join(1, 100, new WaitingLine.Waiter() {
+        line.join(1, 100, new WaitQueue.Waiter() {
             @Override
             public boolean tryStart() {
                 line.serve();
--- a/src/test/java/org/micabarrow/attempts/SendingsTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptHistoryTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** What is known of a request's sendings after each row of events. */
-class SendingsTest {
+class AttemptHistoryTest {
 
-    private final Sendings sendings = new Sendings();
+    private final AttemptHistory sendings = new AttemptHistory();
 
     /** Plays events: an upper-case letter is a sending to that endpoint. */
     private void play(String events) {
@@ -21,10 +21,10 @@
                 case "ask" -> sendings.ask();
                 case "withheld" -> sendings.withheld();
                 case "late-at-A" -> sendings.cameLateAt("A");
-                case "not-run" -> sendings.ended(AttemptEnd.NOT_RUN);
-                case "misdirected" -> sendings.ended(AttemptEnd.MISDIRECTED);
-                case "unknown" -> sendings.ended(AttemptEnd.UNKNOWN);
-                case "failed" -> sendings.ended(AttemptEnd.FAILED);
+                case "not-run" -> sendings.ended(AttemptOutcome.NOT_RUN);
+                case "misdirected" -> sendings.ended(AttemptOutcome.MISDIRECTED);
+                case "unknown" -> sendings.ended(AttemptOutcome.UNKNOWN);
+                case "failed" -> sendings.ended(AttemptOutcome.FAILED);
                 default -> sendings.sent(event);
             }
         }
--- a/src/test/java/org/micabarrow/clock/SteadyClockTest.java
+++ b/src/test/java/org/micabarrow/clock/MonotonicClockTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-class SteadyClockTest {
+class MonotonicClockTest {
 
     @Test
     void shouldNeverStepBack() {
-        long last = SteadyClock.millis();
+        long last = MonotonicClock.millis();
         for (int i = 0; i < 1_000; i++) {
-            long now = SteadyClock.millis();
+            long now = MonotonicClock.millis();
             assertTrue(now >= last);
             last = now;
         }
--- a/src/test/java/org/micabarrow/coordination/endpoint/FenceTest.java
+++ b/src/test/java/org/micabarrow/coordination/endpoint/FenceTest.java
@@ -10,7 +10,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.EndpointClient;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /** Orders of an agent's earlier process, or of an earlier configuration, come to nothing. */
 class FenceTest {
@@ -29,7 +29,7 @@
     void shouldRefuseOrderOfPausedProcessThatWakes() throws Exception {
         String address = Ports.freeAddress();
         EngineStandin engine = EngineStandin.start(address, new EngineStandin.Timing(2, 1, 1));
-        try (HttpCaller http = HttpCaller.start("test", 1)) {
+        try (HttpClient http = HttpClient.start("test", 1)) {
             EndpointClient client = new EndpointClient(http, "http://" + address);
             assertTrue(
                     client.order(order(2, 5, Endpoint.Action.LOAD)).toOptional().isPresent());
--- a/src/test/java/org/micabarrow/crashes/CrashBookTest.java
+++ b/src/test/java/org/micabarrow/crashes/CrashRegistryTest.java
@@ -4,19 +4,19 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static org.micabarrow.crashes.CulpritsTest.digest;
+import static org.micabarrow.crashes.PoisonRequestDetectorTest.digest;
 
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class CrashBookTest {
+class CrashRegistryTest {
 
     private static final long MEMORY_MILLIS = 600_000;
     private static final int MOST = 10;
     private static final RequestDigest HARMFUL = digest("a");
     private static final RequestDigest HARMLESS = digest("b");
 
-    private final CrashBook book = new CrashBook(MEMORY_MILLIS, MOST, () -> 30);
+    private final CrashRegistry book = new CrashRegistry(MEMORY_MILLIS, MOST, () -> 30);
 
     private void crash(String endpoint, long atMillis, RequestDigest... aboard) {
         book.crashed(new EndpointCrash(endpoint, Set.of(aboard), Set.of()), atMillis);
@@ -31,24 +31,24 @@
     @Test
     void shouldRefuseForAsLongAsCrashIsRememberedWhenThreeEndpointsEnded() {
         threeCrashes();
-        assertEquals(new Standing.Refused(3, MEMORY_MILLIS - 1_000), book.standing(HARMFUL, 10_000));
+        assertEquals(new SuspicionLevel.Refused(3, MEMORY_MILLIS - 1_000), book.standing(HARMFUL, 10_000));
         assertEquals(Set.of(HARMFUL), book.refused());
     }
 
     @Test
     void shouldClearOthersWhenCulpritExplainsTheirCrash() {
         crash("e1", 0, HARMFUL, HARMLESS);
-        assertEquals(new Standing.Suspected(1), book.standing(HARMLESS, 100));
+        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMLESS, 100));
         threeCrashes();
-        assertInstanceOf(Standing.Unsuspected.class, book.standing(HARMLESS, 10_000));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMLESS, 10_000));
     }
 
     @Test
     void shouldCountCrashOnceWhenSeveralProcessesTellOfIt() {
         crash("e1", 0, HARMFUL);
         crash("e1", 50, HARMFUL, HARMLESS);
-        assertEquals(new Standing.Suspected(1), book.standing(HARMFUL, 100));
-        assertEquals(new Standing.Suspected(1), book.standing(HARMLESS, 100));
+        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 100));
+        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMLESS, 100));
     }
 
     @Test
@@ -57,7 +57,7 @@
         crash("e2", 5_000, HARMFUL);
         assertEquals(2, book.cleared(HARMFUL, true));
         crash("e3", 9_000, HARMFUL);
-        assertEquals(new Standing.Suspected(1), book.standing(HARMFUL, 10_000));
+        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 10_000));
     }
 
     @Test
@@ -65,7 +65,7 @@
         crash("e1", 0, HARMFUL);
         book.cleared(HARMFUL, true);
         crash("e1", 50, HARMFUL);
-        assertInstanceOf(Standing.Unsuspected.class, book.standing(HARMFUL, 100));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 100));
     }
 
     @Test
@@ -73,17 +73,17 @@
         crash("e1", 0, HARMFUL);
         crash("e2", 5_000, HARMFUL);
         assertEquals(2, book.cleared(HARMFUL, false));
-        assertInstanceOf(Standing.Unsuspected.class, book.standing(HARMFUL, 6_000));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 6_000));
         crash("e3", 9_000, HARMFUL);
-        assertEquals(new Standing.Suspected(1), book.standing(HARMFUL, 10_000));
+        assertEquals(new SuspicionLevel.Suspected(1), book.standing(HARMFUL, 10_000));
     }
 
     @Test
     void shouldServeAgainWhenLastCrashIsForgotten() {
         threeCrashes();
         book.forgetOld(9_000 + MEMORY_MILLIS - 1);
-        assertInstanceOf(Standing.Refused.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS - 1));
-        assertInstanceOf(Standing.Unsuspected.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS));
+        assertInstanceOf(SuspicionLevel.Refused.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS - 1));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(HARMFUL, 9_000 + MEMORY_MILLIS));
         book.forgetOld(9_000 + MEMORY_MILLIS);
         assertEquals(0, book.known());
         assertFalse(book.suspectsAny());
@@ -95,7 +95,7 @@
             crash("e" + i, i * 10_000L, digest("c" + i));
         }
         assertEquals(MOST, book.known());
-        assertInstanceOf(Standing.Unsuspected.class, book.standing(digest("c1"), 1_000_000));
+        assertInstanceOf(SuspicionLevel.Unsuspected.class, book.standing(digest("c1"), 1_000_000));
         assertTrue(book.suspectsAny());
     }
 }
--- a/src/test/java/org/micabarrow/crashes/CulpritsTest.java
+++ b/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class CulpritsTest {
+class PoisonRequestDetectorTest {
 
     private static final int ENDPOINTS = 30;
 
@@ -25,7 +25,7 @@
     }
 
     /** Crashes as {@code time:requests}, such as {@code 0:ab 5:ac}; capital letters are requests that had begun to be answered. */
-    private static Culprits.Evidence evidence(String crashes) {
+    private static PoisonRequestDetector.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
         Map<String, Long> times = new HashMap<>();
         Set<RequestDigest> begun = new HashSet<>();
@@ -41,7 +41,7 @@
                 }
             }
         }
-        return new Culprits.Evidence(at, begun, times);
+        return new PoisonRequestDetector.Evidence(at, begun, times);
     }
 
     @ParameterizedTest
@@ -59,7 +59,7 @@
     })
     void shouldFindThoseThatExplainTheCrashes(String what, String crashes, String culprits) {
         Set<String> found = new TreeSet<>();
-        Culprits.of(evidence(crashes), ENDPOINTS).keySet().forEach(one -> found.add(name(one)));
+        PoisonRequestDetector.of(evidence(crashes), ENDPOINTS).keySet().forEach(one -> found.add(name(one)));
         assertEquals(culprits, String.join("", found), what);
     }
 }
--- a/src/test/java/org/micabarrow/crashes/SuspectPlacementTest.java
+++ b/src/test/java/org/micabarrow/crashes/SuspectIsolationTest.java
@@ -2,25 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.micabarrow.crashes.CulpritsTest.digest;
+import static org.micabarrow.crashes.PoisonRequestDetectorTest.digest;
 
 import java.util.List;
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
-class SuspectPlacementTest {
+class SuspectIsolationTest {
 
-    private static final Standing.Suspected ONCE = new Standing.Suspected(1);
-    private static final Standing.Suspected TWICE = new Standing.Suspected(2);
+    private static final SuspicionLevel.Suspected ONCE = new SuspicionLevel.Suspected(1);
+    private static final SuspicionLevel.Suspected TWICE = new SuspicionLevel.Suspected(2);
     private static final RequestDigest ONE = digest("1");
     private static final RequestDigest OTHER = digest("2");
 
-    private final List<EndpointEntry> endpoints = IntStream.range(0, 6)
-            .mapToObj(i -> EndpointEntry.of("e" + i, "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1))
+    private final List<EndpointRegistration> endpoints = IntStream.range(0, 6)
+            .mapToObj(i -> EndpointRegistration.of("e" + i, "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1))
             .toList();
-    private final SuspectPlacement placement = new SuspectPlacement();
+    private final SuspectIsolation placement = new SuspectIsolation();
 
     @Test
     void shouldLeaveOutEndpointsWithOtherSuspects() {
@@ -41,8 +41,8 @@
 
     @Test
     void shouldTryEndpointsInSameOrderEverywhereWhenAtMoreThanOneCrash() {
-        List<EndpointEntry> order = placement.free(endpoints, ONE, TWICE);
-        assertEquals(order, new SuspectPlacement().free(endpoints.reversed(), ONE, TWICE));
+        List<EndpointRegistration> order = placement.free(endpoints, ONE, TWICE);
+        assertEquals(order, new SuspectIsolation().free(endpoints.reversed(), ONE, TWICE));
         assertNotEquals(order, placement.free(endpoints, OTHER, TWICE));
     }
 }
--- a/src/test/java/org/micabarrow/limits/EndpointLimitTest.java
+++ b/src/test/java/org/micabarrow/limits/EndpointRateLimitTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class EndpointLimitTest {
+class EndpointRateLimitTest {
 
     private static final boolean AGENT_TELLS = true;
 
-    private final KnownEntries entries = new KnownEntries();
-    private final EndpointLimit limit = new EndpointLimit("a", entries, new Random(1));
+    private final EntryCount entries = new EntryCount();
+    private final EndpointRateLimit limit = new EndpointRateLimit("a", entries, new Random(1));
     private long now = 1_000_000;
 
     @BeforeEach
@@ -102,7 +102,7 @@
         limit.ranked(new EntryRank(4, 5));
         entries.told(5, now);
         name(1, now);
-        now += EndpointLimit.COUNTED_MILLIS + 1;
+        now += EndpointRateLimit.COUNTED_MILLIS + 1;
         assertTrue(sentIn(20_000) > 0, "or it never hears of the end");
     }
 
@@ -145,21 +145,21 @@
 
     @Test
     void shouldHearOfLimitAndOfItsEndFromAgent() {
-        assertTrue(limit.told(new LimitNews.Named(1, now)));
-        assertFalse(limit.told(new LimitNews.Named(1, now + 100)), "nothing new");
-        assertFalse(limit.told(new LimitNews.Ended(now)), "older than what is known");
-        assertTrue(limit.told(new LimitNews.Ended(now + 200)));
+        assertTrue(limit.told(new RateLimitObservation.Named(1, now)));
+        assertFalse(limit.told(new RateLimitObservation.Named(1, now + 100)), "nothing new");
+        assertFalse(limit.told(new RateLimitObservation.Ended(now)), "older than what is known");
+        assertTrue(limit.told(new RateLimitObservation.Ended(now + 200)));
         assertEquals(Optional.empty(), limit.limit());
     }
 
     @Test
     void shouldTellOthersOnlyWhatItHeardItself() {
-        limit.told(new LimitNews.Named(1, now));
+        limit.told(new RateLimitObservation.Named(1, now));
         assertEquals(Optional.empty(), limit.word(now));
         name(2, now);
-        LimitWord word = new LimitWord(LimitWord.token("a"), OptionalDouble.of(2), 70);
+        RateLimitUpdate word = new RateLimitUpdate(RateLimitUpdate.token("a"), OptionalDouble.of(2), 70);
         assertEquals(Optional.of(word), limit.word(now + 70));
-        assertEquals(Optional.empty(), limit.word(now + EndpointLimit.COUNTED_MILLIS + 1));
+        assertEquals(Optional.empty(), limit.word(now + EndpointRateLimit.COUNTED_MILLIS + 1));
     }
 
     @ParameterizedTest
--- a/src/test/java/org/micabarrow/limits/KnownEntriesTest.java
+++ b/src/test/java/org/micabarrow/limits/EntryCountTest.java
@@ -4,13 +4,13 @@
 
 import org.junit.jupiter.api.Test;
 
-class KnownEntriesTest {
+class EntryCountTest {
 
-    private final KnownEntries entries = new KnownEntries();
+    private final EntryCount entries = new EntryCount();
 
     @Test
     void shouldAssumeManyWhenNobodyTold() {
-        assertEquals(KnownEntries.ASSUMED, entries.count());
+        assertEquals(EntryCount.ASSUMED, entries.count());
     }
 
     @Test
--- a/src/test/java/org/micabarrow/limits/LimitRelayTest.java
+++ b/src/test/java/org/micabarrow/limits/RateLimitRelayTest.java
@@ -8,15 +8,15 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class LimitRelayTest {
+class RateLimitRelayTest {
 
-    private static final int ENDPOINT = LimitWord.token("a");
+    private static final int ENDPOINT = RateLimitUpdate.token("a");
     private static final long NOW = 1_000_000;
 
-    private final LimitRelay relay = new LimitRelay();
+    private final RateLimitRelay relay = new RateLimitRelay();
 
-    private static LimitWord named(double perSecond, int millisAgo) {
-        return new LimitWord(ENDPOINT, OptionalDouble.of(perSecond), millisAgo);
+    private static RateLimitUpdate named(double perSecond, int millisAgo) {
+        return new RateLimitUpdate(ENDPOINT, OptionalDouble.of(perSecond), millisAgo);
     }
 
     @Test
@@ -24,15 +24,15 @@
         relay.told(named(1, 50), NOW);
         relay.told(named(2, 100), NOW);
         assertEquals(Optional.of(named(1, 80)), relay.word(NOW + 30));
-        relay.told(new LimitWord(ENDPOINT, OptionalDouble.empty(), 10), NOW);
-        assertEquals(Optional.of(new LimitWord(ENDPOINT, OptionalDouble.empty(), 40)), relay.word(NOW + 30));
+        relay.told(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 10), NOW);
+        assertEquals(Optional.of(new RateLimitUpdate(ENDPOINT, OptionalDouble.empty(), 40)), relay.word(NOW + 30));
     }
 
     @Test
     void shouldPassNothingOnWhenNothingWasHeardForLong() {
         assertEquals(Optional.empty(), relay.word(NOW));
         relay.told(named(1, 0), NOW);
-        assertEquals(Optional.empty(), relay.word(NOW + EndpointLimit.COUNTED_MILLIS + 1));
+        assertEquals(Optional.empty(), relay.word(NOW + EndpointRateLimit.COUNTED_MILLIS + 1));
     }
 
     @Test
--- a/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/CrashRecordsTest.java
@@ -11,20 +11,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.RequestDigest;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.views.StoredRecord;
 
 class CrashRecordsTest {
 
     private static final RequestDigest ONE = new RequestDigest("1".repeat(32));
     private static final RequestDigest OTHER = new RequestDigest("2".repeat(32));
-    private static final CrashNews CRASH = new CrashNews.Crashed(new EndpointCrash("e@7", Set.of(ONE), Set.of(OTHER)));
+    private static final CrashUpdate CRASH = new CrashUpdate.Crashed(new EndpointCrash("e@7", Set.of(ONE), Set.of(OTHER)));
 
-    private final HttpCaller caller = HttpCaller.start("records", 1);
+    private final HttpClient caller = HttpClient.start("records", 1);
 
     @AfterEach
     void stop() {
@@ -37,8 +37,8 @@
 
     @Test
     void shouldReadWhatWasWritten() {
-        for (CrashNews news :
-                new CrashNews[] {CRASH, new CrashNews.Cleared(ONE, true), new CrashNews.Cleared(OTHER, false)}) {
+        for (CrashUpdate news :
+                new CrashUpdate[] {CRASH, new CrashUpdate.Cleared(ONE, true), new CrashUpdate.Cleared(OTHER, false)}) {
             Result<CrashRecords.Told> read = CrashRecords.read(of("entry-1").record(news, 99));
             assertEquals(Result.success(new CrashRecords.Told(news, 99)), read);
         }
--- a/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
+++ b/src/test/java/org/micabarrow/platform/EndpointCallsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.weights.ModelEndpoint.Report;
 
@@ -21,7 +21,7 @@
     private volatile String report = "";
     private String address;
     private HttpListener listener;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() throws Exception {
@@ -32,7 +32,7 @@
                 1,
                 Optional.empty(),
                 exchange -> exchange.getResponseSender().send(report, StandardCharsets.UTF_8));
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/platform/KnownMomentTest.java
+++ b/src/test/java/org/micabarrow/platform/KnownMomentTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.micabarrow.platform.standin.HostedStoreStandin;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
@@ -33,13 +33,13 @@
     private final AtomicLong clock = new AtomicLong(SENT);
     private long answerMillis;
     private Optional<byte[]> answer = Optional.empty();
-    private HttpCaller caller;
+    private HttpClient caller;
     private HttpListener listener;
     private StoreClient client;
 
     @BeforeEach
     void start() throws Exception {
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         String address = Ports.freeAddress();
         listener = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::answer);
         client = new StoreClient(caller, address, Duration.ofSeconds(30), clock::get);
--- a/src/test/java/org/micabarrow/platform/SilentStoreTest.java
+++ b/src/test/java/org/micabarrow/platform/SilentStoreTest.java
@@ -14,11 +14,11 @@
 import org.micabarrow.platform.standin.HostedStoreStandin;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.standin.Ports;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoreFollower;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** What is believed of a store whose open connections fall silent for good, while new ones work. */
 class SilentStoreTest {
@@ -30,18 +30,18 @@
     private static final Duration WITHIN = Duration.ofSeconds(3);
 
     private final HostedStoreStandin store = new HostedStoreStandin();
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> System.nanoTime() / 1_000_000);
     private final List<Topic> asked = new ArrayList<>();
     private HttpListener listener;
     private SilentRelay relay;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() throws Exception {
         String address = Ports.freeAddress();
         listener = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), store);
         relay = SilentRelay.to(address);
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/platform/StoreClientTest.java
+++ b/src/test/java/org/micabarrow/platform/StoreClientTest.java
@@ -28,7 +28,7 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
@@ -44,13 +44,13 @@
     private static final Duration WITHIN = Duration.ofSeconds(30);
 
     private final HostedStoreStandin store = new HostedStoreStandin();
-    private HttpCaller caller;
+    private HttpClient caller;
     private final List<HttpListener> listeners = new ArrayList<>();
     private StoreClient client;
 
     @BeforeEach
     void start() throws Exception {
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         client = serve(store);
     }
 
@@ -200,7 +200,7 @@
     })
     void shouldFailWhenBodyIsBroken(String hex) throws Exception {
         stop();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         client = serve(exchange -> exchange.getResponseSender()
                 .send(ByteBuffer.wrap(HexFormat.of().parseHex(hex)), IoCallback.END_EXCHANGE));
         Result<Read> read = client.read(Topic.OPERATOR, 0, Duration.ZERO);
--- a/src/test/java/org/micabarrow/platform/StoreRecordsProperties.java
+++ b/src/test/java/org/micabarrow/platform/StoreRecordsProperties.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.StoredRecord;
 
@@ -48,7 +48,7 @@
         return bytes;
     }
 
-    private static void whole(EndpointEntry entry) {
+    private static void whole(EndpointRegistration entry) {
         assertFalse(entry.service().isEmpty());
         assertTrue(entry.instanceHost().matches("[0-9]{1,3}([.][0-9]{1,3}){3}"), entry::address);
         assertTrue(entry.slots() > 0);
@@ -57,7 +57,7 @@
 
     @Property(tries = 5_000, seed = "7331")
     void shouldGiveWholeEntryOrReasonWhateverBytesAreChanged(@ForAll("changes") List<Change> changes) {
-        Result<EndpointEntry> read = records.endpoint(new StoredRecord("i-1", 0, changed(changes)));
+        Result<EndpointRegistration> read = records.endpoint(new StoredRecord("i-1", 0, changed(changes)));
         read.toOptional().ifPresent(StoreRecordsProperties::whole);
     }
 
--- a/src/test/java/org/micabarrow/platform/StoreRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/StoreRecordsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.state.CanonicalJson;
@@ -280,9 +280,9 @@
     @Test
     void shouldReadWhenEndpointWasStarted() {
         String json = ENTRY.replace("}", ",\"born\":1764718674123}");
-        EndpointEntry entry = records.endpoint(record("i-1", json)).toOptional().orElseThrow();
+        EndpointRegistration entry = records.endpoint(record("i-1", json)).toOptional().orElseThrow();
         assertEquals(OptionalLong.of(1_764_718_674_123L), entry.startedMillis());
-        EndpointEntry older =
+        EndpointRegistration older =
                 records.endpoint(record("i-1", ENTRY)).toOptional().orElseThrow();
         assertEquals(OptionalLong.empty(), older.startedMillis());
     }
@@ -309,7 +309,7 @@
 
     @Test
     void shouldReadEntryOfEndpoint() {
-        EndpointEntry entry = records.endpoint(record("i-1", """
+        EndpointRegistration entry = records.endpoint(record("i-1", """
                         {"service":"s","address":"10.0.0.1:80","zone":"z","slots":16,"state":"draining",
                         "models":[{"name":"m","version":2}],"layers":{"from":0,"target_version":5,"version":2}}""")).toOptional().orElseThrow();
         assertEquals("10.0.0.1", entry.instanceHost());
--- a/src/test/java/org/micabarrow/platform/VersionRecordsTest.java
+++ b/src/test/java/org/micabarrow/platform/VersionRecordsTest.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.views.Unkept;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.views.UnsavedItem;
 import org.micabarrow.views.VersionKeys;
 
 /** How weight versions that were named are written into the store. */
@@ -22,10 +22,10 @@
     @Test
     void shouldNotTakeVersionForKeptWhenKeyIsTooLong() throws Exception {
         try (HostedSystem platform = HostedSystem.start();
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpClient caller = HttpClient.start("test", 1)) {
             String store = platform.entry().store();
             boolean written = new VersionRecords(caller, store, WITHIN)
-                    .write(new Unkept.Weights(LONGEST_MODEL, 2, OptionalLong.empty(), List.of()))
+                    .write(new UnsavedItem.Weights(LONGEST_MODEL, 2, OptionalLong.empty(), List.of()))
                     .toOptional()
                     .isPresent();
             boolean there = platform.store().written("keyed.micabarrow.versions", VersionKeys.of(LONGEST_MODEL, 2));
--- a/src/test/java/org/micabarrow/play/CrashPlay.java
+++ b/src/test/java/org/micabarrow/play/CrashPlay.java
@@ -10,13 +10,13 @@
 import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.crashes.Standing;
-import org.micabarrow.crashes.SuspectPlacement;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.crashes.SuspectIsolation;
+import org.micabarrow.routing.EndpointRegistration;
 
 /**
  * Plays requests of which some end the endpoints that run them, beside endpoints that end for other reasons, with the books and the
@@ -210,9 +210,9 @@
         }
 
         private void begin() {
-            Standing standing = entry.book.standing(request, events.nowMillis());
+            SuspicionLevel standing = entry.book.standing(request, events.nowMillis());
             switch (standing) {
-                case Standing.Refused ignored -> {
+                case SuspicionLevel.Refused ignored -> {
                     if (harmless()) {
                         outcome.harmlessRefused++;
                         System.out.println(
@@ -220,14 +220,14 @@
                                         + " " + entry.book.standing(request, events.nowMillis()));
                     }
                 }
-                case Standing.Unsuspected ignored -> send(entry.anywhere(tried), false);
-                case Standing.Suspected suspected -> sendSuspect(suspected);
+                case SuspicionLevel.Unsuspected ignored -> send(entry.anywhere(tried), false);
+                case SuspicionLevel.Suspected suspected -> sendSuspect(suspected);
             }
         }
 
-        private void sendSuspect(Standing.Suspected suspected) {
-            List<EndpointEntry> free = entry.placement.free(entry.listed(tried), request, suspected);
-            Optional<Endpoint> chosen = SuspectPlacement.apart(suspected)
+        private void sendSuspect(SuspicionLevel.Suspected suspected) {
+            List<EndpointRegistration> free = entry.placement.free(entry.listed(tried), request, suspected);
+            Optional<Endpoint> chosen = SuspectIsolation.apart(suspected)
                     ? free.stream()
                             .map(entry::endpoint)
                             .filter(Endpoint::hasRoom)
@@ -341,7 +341,7 @@
 
         private final int number;
         private final Set<Run> there = new LinkedHashSet<>();
-        private EndpointEntry entry;
+        private EndpointRegistration entry;
         private int start;
         private boolean up;
 
@@ -352,7 +352,7 @@
 
         private void comeUp() {
             start = starts++;
-            entry = EndpointEntry.of("e-" + number + "-" + start, "s", "127.0.0.1:1", "h", SLOTS, false, Map.of(), 1);
+            entry = EndpointRegistration.of("e-" + number + "-" + start, "s", "127.0.0.1:1", "h", SLOTS, false, Map.of(), 1);
             up = true;
         }
 
@@ -365,7 +365,7 @@
             up = false;
             List<Run> broken = List.copyOf(there);
             there.clear();
-            EndpointEntry ended = entry;
+            EndpointRegistration ended = entry;
             events.after(BACK_MILLIS, this::comeUp);
             if (seen) {
                 for (Entry one : entries) {
@@ -407,20 +407,20 @@
 
     private final class Entry {
 
-        private final CrashBook book = new CrashBook(MEMORY_MILLIS, 4_000, setting::endpoints);
-        private final SuspectPlacement placement = new SuspectPlacement();
+        private final CrashRegistry book = new CrashRegistry(MEMORY_MILLIS, 4_000, setting::endpoints);
+        private final SuspectIsolation placement = new SuspectIsolation();
         private final Map<RequestDigest, Double> refusedSince = new HashMap<>();
         private final double writeMillis = 5 + random.nextInt(MOST_WRITE_MILLIS);
         private final double readMillis = 5 + random.nextInt(MOST_READ_MILLIS);
 
-        private List<EndpointEntry> listed(Set<Integer> tried) {
+        private List<EndpointRegistration> listed(Set<Integer> tried) {
             return endpoints.stream()
                     .filter(one -> one.up && !tried.contains(one.start))
                     .map(one -> one.entry)
                     .toList();
         }
 
-        private Endpoint endpoint(EndpointEntry listed) {
+        private Endpoint endpoint(EndpointRegistration listed) {
             return endpoints.stream()
                     .filter(one -> one.entry.equals(listed))
                     .findFirst()
@@ -441,7 +441,7 @@
             return best;
         }
 
-        private Optional<Endpoint> leastLoaded(List<EndpointEntry> free) {
+        private Optional<Endpoint> leastLoaded(List<EndpointRegistration> free) {
             return free.stream()
                     .map(this::endpoint)
                     .filter(Endpoint::hasRoom)
@@ -449,25 +449,25 @@
         }
 
         /** Tells the others as the store does: all read what was written in the order in which it was. */
-        private void tell(CrashNews news) {
+        private void tell(CrashUpdate news) {
             events.after(
                     writeMillis, () -> entries.forEach(one -> events.after(one.readMillis, () -> one.learn(news))));
         }
 
         private void saw(EndpointCrash crash) {
-            CrashNews news = new CrashNews.Crashed(crash);
+            CrashUpdate news = new CrashUpdate.Crashed(crash);
             learn(news);
             tell(news);
         }
 
-        private void learn(CrashNews news) {
+        private void learn(CrashUpdate news) {
             book.take(news, events.nowMillis());
             book.refused().forEach(request -> refusedSince.putIfAbsent(request, events.now()));
         }
 
         private void cleared(RequestDigest request, boolean whole) {
             if (book.suspectsAny() && book.cleared(request, whole) > 0) {
-                tell(new CrashNews.Cleared(request, whole));
+                tell(new CrashUpdate.Cleared(request, whole));
             }
         }
     }
--- a/src/test/java/org/micabarrow/play/EngineEmulator.java
+++ b/src/test/java/org/micabarrow/play/EngineEmulator.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 
 /**
  * An emulated engine of a model: it runs requests in one batch, in passes; each pass reads the prompts that have come and
@@ -12,13 +12,13 @@
 final class EngineEmulator {
 
     private final Events events;
-    private final ModelService model;
+    private final ModelProfile model;
     private final List<Work> queued = new ArrayList<>();
     private final List<Work> running = new ArrayList<>();
     private boolean inPass;
     private double slowness = 1;
 
-    EngineEmulator(Events events, ModelService model) {
+    EngineEmulator(Events events, ModelProfile model) {
         this.events = events;
         this.model = model;
     }
--- a/src/test/java/org/micabarrow/play/LimitPlay.java
+++ b/src/test/java/org/micabarrow/play/LimitPlay.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Random;
-import org.micabarrow.limits.EndpointLimit;
+import org.micabarrow.limits.EndpointRateLimit;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.KnownEntries;
-import org.micabarrow.limits.LimitRelay;
-import org.micabarrow.limits.LimitShare;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.EntryCount;
+import org.micabarrow.limits.RateLimitRelay;
+import org.micabarrow.limits.QuotaShare;
+import org.micabarrow.limits.RateLimitUpdate;
 
 /**
  * Plays entries that all want to send to one endpoint as often as it lets them, while it names a limit, and the agent beside it, with the
@@ -43,7 +43,7 @@
     private static final double TOLD_MILLIS = 2_000;
 
     /** How many entries share the smallest limits: the longest time in which none of them has its turn, in requests. */
-    static final int ENTRIES_AT_ONCE = LimitShare.ENTRIES_AT_ONCE;
+    static final int ENTRIES_AT_ONCE = QuotaShare.ENTRIES_AT_ONCE;
 
     static final double NAMED_AT_MILLIS = 10_000;
     static final double ENDED_AT_MILLIS = 70_000;
@@ -149,7 +149,7 @@
 
     private final class Agent {
 
-        private final LimitRelay relay = new LimitRelay();
+        private final RateLimitRelay relay = new RateLimitRelay();
         private final Map<String, Double> heard = new HashMap<>();
         private final double sinceMillis = events.nowMillis();
         private Map<String, EntryRank> ranks = Map.of();
@@ -161,13 +161,13 @@
             return ranks.get(entry.name);
         }
 
-        private void asked(Entry entry, Optional<LimitWord> word, double askedMillis) {
+        private void asked(Entry entry, Optional<RateLimitUpdate> word, double askedMillis) {
             double now = events.nowMillis();
             heard.put(entry.name, now);
             heard.values().removeIf(at -> now - at > HEARD_MILLIS);
             word.ifPresent(said -> relay.told(said, now()));
             Optional<EntryRank> rank = now - sinceMillis < HEARD_MILLIS ? Optional.empty() : Optional.of(rank(entry));
-            Optional<LimitWord> told = relay.word(now());
+            Optional<RateLimitUpdate> told = relay.word(now());
             events.after(way(), () -> entry.answered(rank, told, askedMillis));
         }
     }
@@ -177,8 +177,8 @@
     private final class Entry {
 
         private final String name;
-        private final KnownEntries known = new KnownEntries();
-        private final EndpointLimit limit = new EndpointLimit(ENDPOINT, known, random);
+        private final EntryCount known = new EntryCount();
+        private final EndpointRateLimit limit = new EndpointRateLimit(ENDPOINT, known, random);
         private double toldMillis = -TOLD_MILLIS - 1;
         private boolean cut;
         private boolean stands;
@@ -227,11 +227,11 @@
                 known.told(entries.size(), now());
                 return;
             }
-            Optional<LimitWord> word = limit.word(now());
+            Optional<RateLimitUpdate> word = limit.word(now());
             events.after(way(), () -> agent.asked(this, word, asked));
         }
 
-        private void answered(Optional<EntryRank> rank, Optional<LimitWord> told, double askedMillis) {
+        private void answered(Optional<EntryRank> rank, Optional<RateLimitUpdate> told, double askedMillis) {
             toldMillis = events.nowMillis();
             rank.ifPresent(one -> known.told(one.entries(), now()));
             rank.ifPresent(limit::ranked);
--- a/src/test/java/org/micabarrow/play/LoadPlay.java
+++ b/src/test/java/org/micabarrow/play/LoadPlay.java
@@ -8,14 +8,14 @@
 import java.util.Random;
 import java.util.Set;
 import org.micabarrow.Samples;
-import org.micabarrow.admission.Admission;
-import org.micabarrow.admission.Admission.Decision;
-import org.micabarrow.admission.FirstTries;
-import org.micabarrow.admission.PlaceShares;
-import org.micabarrow.admission.WaitingLine;
-import org.micabarrow.routing.Choice;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.FirstAttemptEstimator;
+import org.micabarrow.admission.SlotAllotment;
+import org.micabarrow.admission.WaitQueue;
+import org.micabarrow.routing.EndpointSelection;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.routing.Route;
@@ -157,13 +157,13 @@
     private final class Engine {
 
         private final EngineEmulator emulator = new EngineEmulator(events, setting.model());
-        private final PlaceShares shares = new PlaceShares(new Random(random.nextLong()));
-        private final EndpointEntry listed;
+        private final SlotAllotment shares = new SlotAllotment(new Random(random.nextLong()));
+        private final EndpointRegistration listed;
         private final Map<String, Integer> said = new HashMap<>();
         private int reported;
 
         private Engine(String id) {
-            this.listed = EndpointEntry.of(
+            this.listed = EndpointRegistration.of(
                     id,
                     "s",
                     "10.0.0.1:80",
@@ -185,7 +185,7 @@
                     .filter(one -> !one.getKey().equals(entry.name))
                     .mapToInt(Map.Entry::getValue)
                     .sum();
-            int free = PlaceShares.dealable(setting.model().slots(), reported);
+            int free = SlotAllotment.dealable(setting.model().slots(), reported);
             int places =
                     setting.dealt() ? shares.deal(entry.name, unmet, free, events.nowMillis()) : LoadReport.ANY_PLACES;
             return new LoadReport(reported, others, false, 1, places);
@@ -197,11 +197,11 @@
     private final class Entry {
 
         private final String name;
-        private final EndpointChoice choice = new EndpointChoice("region", Map.of("hall", "region"));
-        private final Admission admission = new Admission(choice);
-        private final WaitingLine line = new WaitingLine();
-        private final FirstTries firstTries = new FirstTries();
-        private final List<EndpointEntry> candidates =
+        private final EndpointSelector choice = new EndpointSelector("region", Map.of("hall", "region"));
+        private final AdmissionControl admission = new AdmissionControl(choice);
+        private final WaitQueue line = new WaitQueue();
+        private final FirstAttemptEstimator firstTries = new FirstAttemptEstimator();
+        private final List<EndpointRegistration> candidates =
                 engines.stream().map(engine -> engine.listed).toList();
 
         private Entry(String name) {
@@ -230,7 +230,7 @@
     }
 
     /** A request at an entry. */
-    private final class Run implements WaitingLine.Waiter {
+    private final class Run implements WaitQueue.Waiter {
 
         private final Entry entry;
         private final Caller caller;
@@ -261,7 +261,7 @@
 
         private void next() {
             switch (decide()) {
-                case Decision.Send(Choice.Send chosen) -> send(chosen);
+                case Decision.Send(EndpointSelection.Send chosen) -> send(chosen);
                 case Decision.Wait(long millis, int ignored) -> {
                     entry.line.join(1, events.nowMillis() + millis, this);
                     events.after(millis + 1, () -> entry.line.expire(events.nowMillis()));
@@ -274,8 +274,8 @@
             }
         }
 
-        private void send(Choice.Send chosen) {
-            EndpointEntry endpoint = chosen.endpoint();
+        private void send(EndpointSelection.Send chosen) {
+            EndpointRegistration endpoint = chosen.endpoint();
             long sentMillis = events.nowMillis();
             Engine engine = engines.stream()
                     .filter(one -> one.listed.id().equals(endpoint.id()))
--- a/src/test/java/org/micabarrow/play/LoadPlayTest.java
+++ b/src/test/java/org/micabarrow/play/LoadPlayTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.micabarrow.play.LoadSetting.Patience;
 import org.micabarrow.play.LoadSetting.Slow;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 
 /**
  * What callers get when loads are played on the decisions of entries and agents. Eight engines of these figures can begin
@@ -19,7 +19,7 @@
  */
 class LoadPlayTest {
 
-    private static final ModelService MODEL = new ModelService("m", 16, 30.6, 6.73, 0.03, 6, 16, 64, 32_768);
+    private static final ModelProfile MODEL = new ModelProfile("m", 16, 30.6, 6.73, 0.03, 6, 16, 64, 32_768);
     private static final List<Double> UNEVEN_ENTRIES = List.of(0.165, 0.165, 0.38, 0.145, 0.145);
     private static final double CAPACITY_PER_SECOND = 95;
     private static final double SECONDS = 30;
--- a/src/test/java/org/micabarrow/play/LoadSetting.java
+++ b/src/test/java/org/micabarrow/play/LoadSetting.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 
 /**
  * What is played.
@@ -22,7 +22,7 @@
 record LoadSetting(
         List<Double> entryShares,
         int engines,
-        ModelService model,
+        ModelProfile model,
         double perSecond,
         long askMillis,
         long lookMillis,
--- a/src/test/java/org/micabarrow/process/HostedSoakTest.java
+++ b/src/test/java/org/micabarrow/process/HostedSoakTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.micabarrow.Await;
-import org.micabarrow.clock.SteadyClock;
+import org.micabarrow.clock.MonotonicClock;
 import org.micabarrow.platform.standin.HostedEndpointStandin;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.platform.standin.Received;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * Entries over sockets while requests end endpoints, endpoints say that they leave, ask for rest, name limits, are killed and fail, entries
@@ -94,7 +94,7 @@
         private final long seed;
         private final Random random;
         private final HostedSystem platform = HostedSystem.start();
-        private final HttpCaller client = HttpCaller.start("client", 2);
+        private final HttpClient client = HttpClient.start("client", 2);
         private final HostedSettings beside;
         private final List<HostedSettings> settings = new ArrayList<>();
         private final List<HostedEntryProcess> entries = new ArrayList<>();
@@ -179,7 +179,7 @@
         private void silence(boolean on) {
             silent = on;
             platform.store().silent(on);
-            course.add(SteadyClock.millis() + " the store is " + (on ? "silent" : "there"));
+            course.add(MonotonicClock.millis() + " the store is " + (on ? "silent" : "there"));
         }
 
         private String path() {
@@ -212,8 +212,8 @@
             if (platform.endpoints().containsKey(id) && holding(id).isEmpty()) {
                 double perSecond = 0.5 + 4 * random.nextDouble();
                 platform.endpoint(id).limit(perSecond);
-                limits.add(new Limit(id, platform.endpoint(id), perSecond, SteadyClock.millis(), Long.MAX_VALUE));
-                course.add(SteadyClock.millis() + " " + id + " takes " + perSecond + " a second");
+                limits.add(new Limit(id, platform.endpoint(id), perSecond, MonotonicClock.millis(), Long.MAX_VALUE));
+                course.add(MonotonicClock.millis() + " " + id + " takes " + perSecond + " a second");
             }
         }
 
@@ -228,7 +228,7 @@
                 old.endpoint().endLimit();
                 limits.remove(old);
                 limits.add(
-                        new Limit(old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), SteadyClock.millis()));
+                        new Limit(old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), MonotonicClock.millis()));
             });
         }
 
--- a/src/test/java/org/micabarrow/process/LateWriteTest.java
+++ b/src/test/java/org/micabarrow/process/LateWriteTest.java
@@ -17,7 +17,7 @@
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /**
  * Users saw requests answered by weight version 2 although version 3 had been named 26 s before.
@@ -38,12 +38,12 @@
     private static final int UNAUTHORIZED = 401;
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/process/OldManifestTest.java
+++ b/src/test/java/org/micabarrow/process/OldManifestTest.java
@@ -24,8 +24,8 @@
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * Users saw 76 proper requests answered 401 and 404 by entries of two regions.
@@ -50,7 +50,7 @@
     private static final int TIMES = 20;
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     /** What becomes of the store. */
@@ -77,7 +77,7 @@
     void start() {
         platform = HostedSystem.start();
         platform.add("plain-1", "plain", 0);
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
     }
 
--- a/src/test/java/org/micabarrow/process/RecoveryTest.java
+++ b/src/test/java/org/micabarrow/process/RecoveryTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.standin.EngineStandin;
 import org.micabarrow.standin.Faults;
 import org.micabarrow.state.Digest;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Deaths, outages and lost answers on real sockets, step by step on one system. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
--- a/src/test/java/org/micabarrow/process/RegionalReadingTest.java
+++ b/src/test/java/org/micabarrow/process/RegionalReadingTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /**
  * Users saw proper requests refused with 401 and 404 in the two regions that the store is not in.
@@ -37,12 +37,12 @@
     private final List<HostedEntryProcess> entries = new ArrayList<>();
     private long version = 1;
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         platform.add("a", "models", 1);
         HostedSettings agent = platform.agent("a");
         HostedAgentProcess.start(agent);
--- a/src/test/java/org/micabarrow/process/SharedLimitTest.java
+++ b/src/test/java/org/micabarrow/process/SharedLimitTest.java
@@ -11,8 +11,8 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** What one entry hears of an endpoint's limit reaches the others through the agent beside it. */
 class SharedLimitTest {
@@ -20,13 +20,13 @@
     private static final Duration WITHIN = Duration.ofSeconds(10);
 
     private HostedSystem platform;
-    private HttpCaller client;
+    private HttpClient client;
     private HostedSettings beside;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        client = HttpCaller.start("client", 1);
+        client = HttpClient.start("client", 1);
         platform.add("model-1", "models", 1);
         beside = platform.agent("model-1");
         HostedAgentProcess.start(beside);
--- a/src/test/java/org/micabarrow/process/SystemFixture.java
+++ b/src/test/java/org/micabarrow/process/SystemFixture.java
@@ -16,7 +16,7 @@
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Fault;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 
 /** A small system for tests: two entries, four engines in two halls, two billing services. */
 final class SystemFixture implements AutoCloseable {
@@ -28,7 +28,7 @@
     private static final Duration WITHIN = Duration.ofSeconds(60);
 
     final LocalSystem system;
-    final HttpCaller http = HttpCaller.start("test-caller", 2);
+    final HttpClient http = HttpClient.start("test-caller", 2);
     final WeightsStandin.Done weights;
 
     SystemFixture(LocalOptions options) {
@@ -66,7 +66,7 @@
                 """.formatted(Digest.of(RIDERS), Digest.of(VANS), version, halls, replicas);
     }
 
-    HttpCaller.HttpAnswer operator(String entry, String token, String method, String path, String body) {
+    HttpClient.HttpAnswer operator(String entry, String token, String method, String path, String body) {
         HttpCall call = new HttpCall(
                         Fault.Step.READ,
                         method,
@@ -78,14 +78,14 @@
     }
 
     OperatorMessages.Planned plan(String entry, String intent) throws IOException {
-        HttpCaller.HttpAnswer answer = operator(entry, LocalSystem.OPERATOR_TOKEN, "POST", "/plan", intent);
+        HttpClient.HttpAnswer answer = operator(entry, LocalSystem.OPERATOR_TOKEN, "POST", "/plan", intent);
         if (answer.status() != 200) {
             throw new AssertionError(new String(answer.body(), StandardCharsets.UTF_8));
         }
         return CanonicalJson.read(answer.body(), OperatorMessages.Planned.class);
     }
 
-    HttpCaller.HttpAnswer confirm(String entry, String id) {
+    HttpClient.HttpAnswer confirm(String entry, String id) {
         return operator(entry, LocalSystem.OPERATOR_TOKEN, "POST", "/confirm", "{\"id\":\"" + id + "\"}");
     }
 
@@ -125,7 +125,7 @@
     /** Plans, confirms, and waits until every replica serves the version and both entries know it. */
     void rollOut(String version, String halls, int replicas) throws IOException {
         awaitListed();
-        HttpCaller.HttpAnswer confirmed = confirm(
+        HttpClient.HttpAnswer confirmed = confirm(
                 "entry-2", plan("entry-1", intent(version, halls, replicas)).id());
         if (confirmed.status() != 200) {
             throw new AssertionError(new String(confirmed.body(), StandardCharsets.UTF_8));
@@ -167,7 +167,7 @@
 
     // -- callers
 
-    HttpCaller.HttpAnswer call(String entry, String path, String token, String body, Map<String, String> headers) {
+    HttpClient.HttpAnswer call(String entry, String path, String token, String body, Map<String, String> headers) {
         Map<String, String> all = new HashMap<>(headers);
         all.put("Authorization", "Bearer " + token);
         HttpCall call = new HttpCall(
@@ -179,19 +179,19 @@
         return http.call(call, WITHIN).toOptional().orElseThrow();
     }
 
-    HttpCaller.HttpAnswer chat(String entry, String token, int tokens, boolean stream) {
+    HttpClient.HttpAnswer chat(String entry, String token, int tokens, boolean stream) {
         String body = "{\"model\":\"assistant\",\"max_tokens\":" + tokens + ",\"stream\":" + stream
                 + ",\"messages\":[{\"role\":\"user\",\"content\":\"the dock is jammed\"}]}";
         return call(entry, "/v1/chat/completions", token, body, Map.of());
     }
 
-    HttpCaller.HttpAnswer charge(String entry, String key, String body) {
+    HttpClient.HttpAnswer charge(String entry, String key, String body) {
         return call(entry, "/services/billing/charges", RIDERS, body, Map.of("Idempotency-Key", key));
     }
 
     /** Asks again while the key counts as just sent. */
-    HttpCaller.HttpAnswer chargeUntilSettled(String entry, String key, String body) {
-        HttpCaller.HttpAnswer[] answer = new HttpCaller.HttpAnswer[1];
+    HttpClient.HttpAnswer chargeUntilSettled(String entry, String key, String body) {
+        HttpClient.HttpAnswer[] answer = new HttpClient.HttpAnswer[1];
         Await.until("the key to be settled", () -> {
             answer[0] = charge(entry, key, body);
             return !text(answer[0]).contains("has just been sent");
@@ -205,7 +205,7 @@
                 + system.service("billing-2").runs().getOrDefault(digest, 0);
     }
 
-    static String text(HttpCaller.HttpAnswer answer) {
+    static String text(HttpClient.HttpAnswer answer) {
         return new String(answer.body(), StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/org/micabarrow/process/WholePathTest.java
+++ b/src/test/java/org/micabarrow/process/WholePathTest.java
@@ -27,7 +27,7 @@
 import org.micabarrow.standin.Faults;
 import org.micabarrow.standin.WeightsStandin;
 import org.micabarrow.state.CanonicalJson;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** The whole path over real sockets, step by step on one system. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
--- a/src/test/java/org/micabarrow/routing/RestsTest.java
+++ b/src/test/java/org/micabarrow/routing/BackoffTest.java
@@ -6,9 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class RestsTest {
+class BackoffTest {
 
-    private final Rest rest = new Rest();
+    private final Backoff rest = new Backoff();
 
     @Test
     void shouldAllowAnyNumberWhenNeverAsked() {
--- a/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.micabarrow.limits.EndpointLimit;
-import org.micabarrow.limits.KnownEntries;
+import org.micabarrow.limits.EndpointRateLimit;
+import org.micabarrow.limits.EntryCount;
 
 /** What is known of an endpoint whose agent has told nothing, or told late. */
 class EndpointLoadTest {
 
-    private final EndpointLoad load = new EndpointLoad(new EndpointLimit("a", new KnownEntries(), new Random(1)));
+    private final EndpointLoad load = new EndpointLoad(new EndpointRateLimit("a", new EntryCount(), new Random(1)));
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 999, 1_000, 100_000})
--- a/src/test/java/org/micabarrow/routing/EndpointChoiceTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointSelectorTest.java
@@ -13,25 +13,25 @@
 import org.junit.jupiter.api.Test;
 
 /** Where requests are sent. */
-class EndpointChoiceTest {
+class EndpointSelectorTest {
 
-    private static final ModelService MODEL = new ModelService("m", 4, 20, 10, 0, 5, 16, 64, 32_768);
+    private static final ModelProfile MODEL = new ModelProfile("m", 4, 20, 10, 0, 5, 16, 64, 32_768);
     private static final long NOW = 100_000;
 
-    private final EndpointChoice choice = new EndpointChoice("r1", Map.of("h1", "r1", "h2", "r2"));
+    private final EndpointSelector choice = new EndpointSelector("r1", Map.of("h1", "r1", "h2", "r2"));
 
-    private static EndpointEntry endpoint(String id, String hall, boolean leaving, long version, int layers) {
+    private static EndpointRegistration endpoint(String id, String hall, boolean leaving, long version, int layers) {
         Map<String, Long> models = version == 0 ? Map.of() : Map.of("m", version);
-        return EndpointEntry.of(id, "s", "10.0.0.1:80", hall, 4, leaving, models, layers);
+        return EndpointRegistration.of(id, "s", "10.0.0.1:80", hall, 4, leaving, models, layers);
     }
 
-    private static EndpointEntry endpoint(String id) {
+    private static EndpointRegistration endpoint(String id) {
         return endpoint(id, "h1", false, 1, 16);
     }
 
-    private static EndpointEntry started(long startedMillis, long version) {
+    private static EndpointRegistration started(long startedMillis, long version) {
         Map<String, Long> models = version == 0 ? Map.of() : Map.of("m", version);
-        return EndpointEntry.of("a", "s", "10.0.0.1:80", "h1", 4, false, models, 16)
+        return EndpointRegistration.of("a", "s", "10.0.0.1:80", "h1", 4, false, models, 16)
                 .withStart(OptionalLong.of(startedMillis));
     }
 
@@ -39,34 +39,34 @@
         return new Wanted(1_000, 500, Optional.of(MODEL), leastVersion, 0, tried);
     }
 
-    private Choice choose(EndpointEntry... endpoints) {
+    private EndpointSelection choose(EndpointRegistration... endpoints) {
         return choice.choose(List.of(endpoints), wanted(0, Set.of()), NOW);
     }
 
-    private static String chosen(Choice made) {
-        return assertInstanceOf(Choice.Send.class, made).endpoint().id();
+    private static String chosen(EndpointSelection made) {
+        return assertInstanceOf(EndpointSelection.Send.class, made).endpoint().id();
     }
 
     @Test
     void shouldPassOverEndpointsThatCannotServe() {
-        EndpointEntry leaving = endpoint("a", "h1", true, 1, 16);
-        EndpointEntry empty = endpoint("b", "h1", false, 0, 16);
-        EndpointEntry partial = endpoint("c", "h1", false, 1, 3);
-        assertInstanceOf(Choice.None.class, choose(leaving, empty, partial));
+        EndpointRegistration leaving = endpoint("a", "h1", true, 1, 16);
+        EndpointRegistration empty = endpoint("b", "h1", false, 0, 16);
+        EndpointRegistration partial = endpoint("c", "h1", false, 1, 3);
+        assertInstanceOf(EndpointSelection.None.class, choose(leaving, empty, partial));
         assertEquals("d", chosen(choose(leaving, empty, partial, endpoint("d"))));
     }
 
     @Test
     void shouldDemandNewestVersionOnceOlderOnesMayNotAnswer() {
-        EndpointEntry old = endpoint("a", "h1", false, 1, 16);
-        EndpointEntry renewed = endpoint("b", "h2", false, 2, 16);
+        EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
+        EndpointRegistration renewed = endpoint("b", "h2", false, 2, 16);
         assertEquals("b", chosen(choice.choose(List.of(old, renewed), wanted(2, Set.of()), NOW)));
     }
 
     @Test
     void shouldPreferOwnRegionUntilItsQueueCostsMore() {
-        EndpointEntry near = endpoint("a", "h1", false, 1, 16);
-        EndpointEntry far = endpoint("b", "h2", false, 1, 16);
+        EndpointRegistration near = endpoint("a", "h1", false, 1, 16);
+        EndpointRegistration far = endpoint("b", "h2", false, 1, 16);
         assertEquals("a", chosen(choose(near, far)));
         choice.load("a").began(3_000);
         assertEquals("b", chosen(choose(near, far)));
@@ -75,15 +75,15 @@
     @Test
     void shouldSayFullWhenObjectiveCannotBeMet() {
         choice.load("a").began(8_000);
-        assertInstanceOf(Choice.Full.class, choose(endpoint("a")));
+        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("a")));
     }
 
     @Test
     void shouldCountWhatOtherEntriesHaveThere() {
         choice.load("a").told(new LoadReport(4, 0, false, 1), 10, NOW);
-        assertInstanceOf(Choice.Full.class, choose(endpoint("a")));
+        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("a")));
         choice.load("b").told(new LoadReport(1, 9_000, false, 1), 10, NOW);
-        assertInstanceOf(Choice.Full.class, choose(endpoint("b")));
+        assertInstanceOf(EndpointSelection.Full.class, choose(endpoint("b")));
     }
 
     @Test
@@ -117,9 +117,9 @@
     void shouldSendNothingThroughSlowLinkWhenNewerVersionIsNamed() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 2_200, NOW);
         Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
-        EndpointEntry renewed = endpoint("a", "h1", false, 2, 16);
-        assertInstanceOf(Choice.Send.class, choice.choose(List.of(renewed), wanted, NOW));
+        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
+        EndpointRegistration renewed = endpoint("a", "h1", false, 2, 16);
+        assertInstanceOf(EndpointSelection.Send.class, choice.choose(List.of(renewed), wanted, NOW));
     }
 
     @Test
@@ -127,10 +127,10 @@
         choice.load("a").told(new LoadReport(0, 0, false, 1), 900, NOW - 500);
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), newer, NOW));
+        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), newer, NOW));
         assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW + 5_000);
-        assertInstanceOf(Choice.Send.class, choice.choose(List.of(endpoint("a")), newer, NOW + 5_000));
+        assertInstanceOf(EndpointSelection.Send.class, choice.choose(List.of(endpoint("a")), newer, NOW + 5_000));
     }
 
     @Test
@@ -138,7 +138,7 @@
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("a").heard(NOW - 50);
         Wanted wanted = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
+        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted, NOW));
         assertEquals("a", chosen(choose(endpoint("a"))), "no newer version is named");
     }
 
@@ -146,7 +146,7 @@
     void shouldNotUseSilentEndpointWhileOthersAreHeard() {
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW - 1_000);
         choice.load("b").told(new LoadReport(0, 0, true, 1), 10, NOW - 100);
-        assertInstanceOf(Choice.None.class, choose(endpoint("a"), endpoint("b")), "b takes up weights, a stands still");
+        assertInstanceOf(EndpointSelection.None.class, choose(endpoint("a"), endpoint("b")), "b takes up weights, a stands still");
     }
 
     @Test
@@ -162,7 +162,7 @@
         choice.load("a").failures().broke(NOW);
         assertEquals("b", chosen(choose(endpoint("a"), endpoint("b"))));
         choice.load("b").failures().broke(NOW);
-        assertInstanceOf(Choice.Send.class, choose(endpoint("a"), endpoint("b")), "all are out, so one must do");
+        assertInstanceOf(EndpointSelection.Send.class, choose(endpoint("a"), endpoint("b")), "all are out, so one must do");
     }
 
     @Test
@@ -180,13 +180,13 @@
 
     @Test
     void shouldNotSendTwiceToTheSameEndpoint() {
-        assertInstanceOf(Choice.None.class, choice.choose(List.of(endpoint("a")), wanted(0, Set.of("a")), NOW));
+        assertInstanceOf(EndpointSelection.None.class, choice.choose(List.of(endpoint("a")), wanted(0, Set.of("a")), NOW));
     }
 
     @Test
     void shouldAskAgentFirstOnlyWhenItsEndpointHoldsOlderVersionThanWasNamed() {
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        EndpointEntry old = endpoint("a", "h1", false, 1, 16);
+        EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
         assertFalse(choice.mustAsk(old, newer), "no agent was ever heard beside it");
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         assertTrue(choice.mustAsk(old, newer));
@@ -198,7 +198,7 @@
     @Test
     void shouldSendNothingWhereAgentLeftQuestionUnansweredWhenNewerVersionIsNamed() {
         Wanted newer = new Wanted(1_000, 500, Optional.of(MODEL), 0, 2, Set.of());
-        EndpointEntry old = endpoint("a", "h1", false, 1, 16);
+        EndpointRegistration old = endpoint("a", "h1", false, 1, 16);
         choice.load("a").told(new LoadReport(0, 0, false, 1), 10, NOW);
         choice.load("a").notAnswered();
         assertFalse(choice.able(old, newer, NOW));
@@ -213,7 +213,7 @@
     void shouldNotBelieveThatEndpointHoldsWhatItsFormerStartHeld() {
         choice.load(started(5_000, 1).start()).told(new LoadReport(0, 0, false, 3), 10, NOW);
         choice.load(started(5_000, 1).start()).answeredBy(3);
-        assertInstanceOf(Choice.None.class, choose(started(9_000, 0)));
+        assertInstanceOf(EndpointSelection.None.class, choose(started(9_000, 0)));
         choice.load(started(9_000, 0).start()).told(new LoadReport(0, 0, false, 1), 10, NOW);
         assertEquals("a", chosen(choose(started(9_000, 0))));
     }
@@ -242,7 +242,7 @@
         EndpointLoad load = choice.load(started(5_000, 1).start());
         load.told(new LoadReport(0, 0, false, 1), 10, NOW);
         load.toldOfAnotherStart();
-        assertInstanceOf(Choice.None.class, choose(started(5_000, 1)));
+        assertInstanceOf(EndpointSelection.None.class, choose(started(5_000, 1)));
         load.told(new LoadReport(0, 0, false, 1), 10, NOW);
         assertEquals("a", chosen(choose(started(5_000, 1))), "the agent was behind the entry for a moment");
     }
--- a/src/test/java/org/micabarrow/serving/AbsurdNumbersTest.java
+++ b/src/test/java/org/micabarrow/serving/AbsurdNumbersTest.java
@@ -15,8 +15,8 @@
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Clients that claim what cannot be: they are answered, and harm nobody. */
 class AbsurdNumbersTest {
@@ -24,13 +24,13 @@
     private static final Duration WITHIN = Duration.ofSeconds(10);
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
         platform.add("model-1", "models", 1);
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
--- a/src/test/java/org/micabarrow/serving/CrashWatchTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashWatchTest.java
@@ -8,30 +8,30 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.crashes.CrashBook;
-import org.micabarrow.crashes.CrashNews;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.CrashUpdate;
 import org.micabarrow.crashes.EndpointCrash;
 import org.micabarrow.crashes.LazyDigest;
 import org.micabarrow.crashes.RequestDigest;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 
 class CrashWatchTest {
 
     private static final RequestDigest ONE = new RequestDigest("1".repeat(32));
     private static final RequestDigest OTHER = new RequestDigest("2".repeat(32));
-    private static final EndpointEntry ENDPOINT =
-            EndpointEntry.of("e", "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1);
+    private static final EndpointRegistration ENDPOINT =
+            EndpointRegistration.of("e", "s", "127.0.0.1:1", "h", 16, false, Map.of(), 1);
 
     private final List<Consumer<Boolean>> asked = new ArrayList<>();
-    private final List<CrashNews> told = new ArrayList<>();
-    private final CrashBook book = new CrashBook(600_000, 100, () -> 8);
+    private final List<CrashUpdate> told = new ArrayList<>();
+    private final CrashRegistry book = new CrashRegistry(600_000, 100, () -> 8);
     private long clockMillis = 1_000;
     private int goneOn;
     private final CrashWatch watch =
-            new CrashWatch(new Crashes(book, (endpoint, then) -> asked.add(then), told::add), () -> clockMillis);
+            new CrashWatch(new CrashTracking(book, (endpoint, then) -> asked.add(then), told::add), () -> clockMillis);
 
-    private static CrashNews crash(Set<RequestDigest> aboard, Set<RequestDigest> begun) {
-        return new CrashNews.Crashed(new EndpointCrash("e", aboard, begun));
+    private static CrashUpdate crash(Set<RequestDigest> aboard, Set<RequestDigest> begun) {
+        return new CrashUpdate.Crashed(new EndpointCrash("e", aboard, begun));
     }
 
     @Test
@@ -101,6 +101,6 @@
         watch.answered(LazyDigest.of(OTHER), true);
         assertEquals(List.of(), told);
         watch.answered(LazyDigest.of(ONE), true);
-        assertEquals(List.of(new CrashNews.Cleared(ONE, true)), told);
+        assertEquals(List.of(new CrashUpdate.Cleared(ONE, true)), told);
     }
 }
--- a/src/test/java/org/micabarrow/serving/CrashingRequestTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashingRequestTest.java
@@ -22,8 +22,8 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * A request that ends every endpoint that begins to run it.
@@ -48,13 +48,13 @@
     private static final String HARMLESS = "harms nobody";
 
     private HostedSystem platform;
-    private HttpCaller client;
+    private HttpClient client;
     private int attempts;
 
     @BeforeEach
     void start() {
         platform = HostedSystem.start();
-        client = HttpCaller.start("client", 1);
+        client = HttpClient.start("client", 1);
         IntStream.range(0, ENDPOINTS).forEach(number -> platform.add("plain-" + number, "plain", 0));
         IntStream.range(0, ENDPOINTS).forEach(number -> platform.add("model-" + number, "models", 1));
         platform.crashOn(CRASHING);
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -38,8 +38,8 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** The whole path of an entry on the users' platform, against stand-ins over real sockets. */
 class HostedEntryTest {
@@ -53,13 +53,13 @@
     private static final String PATIENT_MILLIS = "60000";
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         settings = platform.entry();
     }
 
@@ -234,7 +234,7 @@
         platform.add("plain-1", "plain", 0);
         HostedEntryProcess entry = beginPatient();
         platform.next(Behaviour.HANG);
-        HttpCaller leaving = HttpCaller.start("leaving", 1);
+        HttpClient leaving = HttpClient.start("leaving", 1);
         HttpCall call = call("/again/x", Map.of("Key", PATIENT_KEY, "Deadline-Ms", PATIENT_MILLIS), "a body");
         assertTrue(leaving.call(call, Duration.ofMillis(300)).cause().isPresent());
         leaving.close();
--- a/src/test/java/org/micabarrow/serving/LateSendingTest.java
+++ b/src/test/java/org/micabarrow/serving/LateSendingTest.java
@@ -26,7 +26,7 @@
 import org.micabarrow.serving.ServingHandler.VersionTimes;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * What leaves an entry that stood still between its decision and the first byte of the request. The standstill is played on
--- a/src/test/java/org/micabarrow/serving/LeavingAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/LeavingAnswerTest.java
@@ -17,8 +17,8 @@
 import org.micabarrow.process.HostedAgentProcess;
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * An endpoint that says in its answers that it leaves.
@@ -35,12 +35,12 @@
     private static final long FIRST_START = 1_764_718_000_000L;
 
     private HostedSystem platform;
-    private HttpCaller client;
+    private HttpClient client;
 
     @BeforeEach
     void start() {
         platform = HostedSystem.start();
-        client = HttpCaller.start("client", 1);
+        client = HttpClient.start("client", 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/serving/LimitTest.java
+++ b/src/test/java/org/micabarrow/serving/LimitTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.Await;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** Guards against sending an endpoint more requests a second than it says that it takes. */
 class LimitTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/OlderVersionTest.java
+++ b/src/test/java/org/micabarrow/serving/OlderVersionTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.serving.ServingHandler.AgentQuestions;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** What is sent to an endpoint that still holds an older weight version than was named. */
 class OlderVersionTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
+++ b/src/test/java/org/micabarrow/serving/OverdueAnswerTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** An endpoint that takes a request and never answers it, while its agent tells that all is well. */
 class OverdueAnswerTest extends ServingFixture {
--- a/src/test/java/org/micabarrow/serving/RawAnswersTest.java
+++ b/src/test/java/org/micabarrow/serving/RawAnswersTest.java
@@ -17,8 +17,8 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** What an entry makes of an endpoint's answer, byte by byte. */
 class RawAnswersTest {
@@ -27,14 +27,14 @@
     private static final String OTHER = HEAD.replace("attempt-1", "attempt-0");
 
     private HostedSystem platform;
-    private HttpCaller caller;
+    private HttpClient caller;
     private ServerSocket endpoint;
     private HostedSettings settings;
 
     @BeforeEach
     void start() throws IOException {
         platform = HostedSystem.start();
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         endpoint = new ServerSocket(0);
         settings = platform.entry();
         platform.place("raw-1", "127.0.0.1:" + endpoint.getLocalPort());
--- a/src/test/java/org/micabarrow/serving/RestTest.java
+++ b/src/test/java/org/micabarrow/serving/RestTest.java
@@ -8,8 +8,8 @@
 import org.micabarrow.Await;
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * An endpoint that turns a request away and asks for rest.
@@ -83,7 +83,7 @@
         ask("/again/x");
         clockMillis.addAndGet(REST_MILLIS);
         platform.next(Behaviour.HANG);
-        Runnable leave = client.send(HostedSystem.request(clients(), "/again/x", "attempt-2"), new Ignoring());
+        Runnable leave = client.send(HostedSystem.request(clients(), "/again/x", "attempt-2"), new IgnoringListener());
         Await.until("the first", () -> platform.endpoint("plain-1").hanging() == 1);
         assertEquals(503, ask("/again/x").status(), "no other before the endpoint has answered");
         leave.run();
--- a/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
+++ b/src/test/java/org/micabarrow/serving/RestartedEndpointTest.java
@@ -16,8 +16,8 @@
 import org.micabarrow.process.HostedAgentProcess;
 import org.micabarrow.process.HostedEntryProcess;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** An endpoint of a model that starts again under its id, seen by an entry and an agent, over real sockets. */
 class RestartedEndpointTest {
@@ -29,7 +29,7 @@
 
     private HostedSystem platform;
     private HostedEndpointStandin endpoint;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HostedSettings settings;
 
     @BeforeEach
@@ -39,7 +39,7 @@
         platform.startedAt(ID, FIRST_START);
         platform.enter(ID, "models", 1, "ready");
         endpoint = platform.endpoint(ID);
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
         HostedSettings beside = platform.agent(ID);
         settings = platform.entryAsking(beside);
         HostedAgentProcess.start(beside);
--- a/src/test/java/org/micabarrow/serving/RoomLineTest.java
+++ b/src/test/java/org/micabarrow/serving/RoomLineTest.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.admission.WaitingLine.Waiter;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.admission.WaitQueue.Waiter;
+import org.micabarrow.transport.HttpClient;
 import org.xnio.XnioWorker;
 
 /** When the line of requests that wait for room is looked through. */
@@ -31,7 +31,7 @@
 
     @Test
     void shouldLookOnWhenOneLookFails() throws Exception {
-        XnioWorker worker = HttpCaller.worker("room-line", 1);
+        XnioWorker worker = HttpClient.worker("room-line", 1);
         try {
             AtomicLong clockMillis = new AtomicLong();
             RoomLine line = new RoomLine(clockMillis::get);
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -16,13 +16,13 @@
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.platform.StoreRecords;
 import org.micabarrow.platform.standin.HostedSystem;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.settings.HostedSettings;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 import org.micabarrow.transport.HttpListener;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /**
@@ -36,21 +36,21 @@
     static final long NEVER_MILLIS = 1_000_000;
 
     final AtomicLong clockMillis = new AtomicLong(1_000_000);
-    final EndpointChoice choice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-    final ViewKeeper views = new ViewKeeper(new StoreRecords(), clockMillis::get);
+    final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+    final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clockMillis::get);
 
     HostedSystem platform;
     HostedSettings settings;
     XnioWorker worker;
-    HttpCaller client;
+    HttpClient client;
     ServingHandler handler;
 
     @BeforeEach
     final void startPlatform() throws IOException {
         platform = HostedSystem.start();
         settings = platform.entry();
-        worker = HttpCaller.worker("serving", 1);
-        client = HttpCaller.start("client", 1);
+        worker = HttpClient.worker("serving", 1);
+        client = HttpClient.start("client", 1);
     }
 
     @AfterEach
@@ -75,7 +75,7 @@
         handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
                 choice,
-                HttpCaller.on(worker, 0),
+                HttpClient.on(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 budget,
@@ -84,7 +84,7 @@
                 questions,
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
+                CrashTracking.unnoticed()));
         HttpListener.on(clients(), HttpListener.Bounds.usual(), worker, handler);
         FollowedStore.follow(client, settings, WITHIN, views);
     }
--- a/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/StandingInstanceTest.java
@@ -14,9 +14,9 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
-import org.micabarrow.transport.Ignoring;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.IgnoringListener;
 
 /**
  * Users saw requests begin on weights that had been replaced, and requests reach an endpoint that had long said it was
@@ -92,8 +92,8 @@
     @Test
     void shouldTakeBackWhatWaitsWhenClientLeaves() throws Exception {
         serve(NEVER_MILLIS);
-        try (HttpCaller leaving = HttpCaller.start("leaving", 1)) {
-            Runnable leave = leaving.send(HostedSystem.request(clients(), "/stream/x", "attempt-1"), new Ignoring());
+        try (HttpClient leaving = HttpClient.start("leaving", 1)) {
+            Runnable leave = leaving.send(HostedSystem.request(clients(), "/stream/x", "attempt-1"), new IgnoringListener());
             Await.until("the request", () -> standing.waiting() == 1);
             leave.run();
             Await.until("the end of the request", () -> handler.connections().busy() == 0);
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -31,14 +31,14 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.process.HostedEntryProcess;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
-import org.micabarrow.transport.Ignoring;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.transport.IgnoringListener;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /** What an entry that stops has read is answered, and what it does not answer it does not read. */
@@ -54,7 +54,7 @@
 
     private HostedSystem platform;
     private HostedSettings settings;
-    private HttpCaller client;
+    private HttpClient client;
 
     @BeforeEach
     void start() {
@@ -62,7 +62,7 @@
         platform.manifest(2, "key-a", WITHIN.toMillis());
         platform.add("plain-1", "plain", 0);
         settings = platform.entry();
-        client = HttpCaller.start("client", 1);
+        client = HttpClient.start("client", 1);
     }
 
     @AfterEach
@@ -171,7 +171,7 @@
         platform.next(Behaviour.HANG);
         String clients = settings.listen().clients().orElseThrow();
         HttpCall open = HostedSystem.request(clients, "/again/x", "attempt-1").withHeader("Deadline-Ms", "9000");
-        Runnable leave = client.send(open, new Ignoring());
+        Runnable leave = client.send(open, new IgnoringListener());
         Await.until("the open request", () -> platform.endpoint("plain-1").hanging() == 1);
         CompletableFuture<Void> stopped = stopping(entry);
         HttpCall other = HostedSystem.request(clients, "/once/x", "attempt-2");
@@ -224,13 +224,13 @@
 
     /** What a client reads that sends some requests at once, while the entry begins to stop before it answers the first. */
     private String answersWhenStopBegins(int requests) throws IOException {
-        XnioWorker worker = HttpCaller.worker("stopping-entry", 1);
-        ViewKeeper views = new ViewKeeper(new StoreRecords(), StoppingEntryTest::steadyMillis);
+        XnioWorker worker = HttpClient.worker("stopping-entry", 1);
+        ViewMaintainer views = new ViewMaintainer(new StoreRecords(), StoppingEntryTest::steadyMillis);
         Answering protocol = new Answering();
         ServingHandler handler = ServingHandler.of(new ServingHandler.Parts(
                 views::view,
-                new EndpointChoice("region-a", Map.of("hall-a", "region-a")),
-                HttpCaller.on(worker, 0),
+                new EndpointSelector("region-a", Map.of("hall-a", "region-a")),
+                HttpClient.on(worker, 0),
                 protocol,
                 new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                 new RetryBudget(0, 0),
@@ -239,7 +239,7 @@
                 (endpoint, then) -> then.accept(true),
                 new ServingHandler.VersionTimes(GRACE_MILLIS, GRACE_MILLIS, GRACE_MILLIS),
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
+                CrashTracking.unnoticed()));
         protocol.first.set(handler.connections()::leave);
         String clients = settings.listen().clients().orElseThrow();
         HttpListener.on(clients, HttpListener.Bounds.usual(), worker, handler);
--- a/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
+++ b/src/test/java/org/micabarrow/serving/SuspendedInstanceTest.java
@@ -13,7 +13,7 @@
 import org.micabarrow.platform.standin.HostedEndpointStandin.Behaviour;
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.serving.ServingHandler.VersionTimes;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /**
  * An entry whose instance was suspended for seconds. Timers do not count that time, and go off as much too late.
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
@@ -23,17 +23,17 @@
 import org.micabarrow.platform.EndpointHeaders;
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointChoice;
+import org.micabarrow.routing.EndpointSelector;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 import org.micabarrow.transport.HttpListener;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.VersionKeys;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.xnio.XnioWorker;
 
 /** What an entry calls wrong by a manifest of which it knows how old it is, or does not. */
@@ -51,24 +51,24 @@
     private static final long LATE = 6;
 
     private final AtomicLong clock = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), clock::get);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), clock::get);
     private final String clients = Ports.freeAddress();
     private XnioWorker worker;
-    private HttpCaller caller;
+    private HttpClient caller;
     private HttpListener listener;
 
     @BeforeEach
     void start() throws IOException {
-        worker = HttpCaller.worker("traffic", 1);
-        caller = HttpCaller.start("test", 1);
+        worker = HttpClient.worker("traffic", 1);
+        caller = HttpClient.start("test", 1);
         listener = HttpListener.on(
                 clients,
                 HttpListener.Bounds.usual(),
                 worker,
                 ServingHandler.of(new ServingHandler.Parts(
                         views::view,
-                        new EndpointChoice("region-a", Map.of()),
-                        HttpCaller.on(worker, 0),
+                        new EndpointSelector("region-a", Map.of()),
+                        HttpClient.on(worker, 0),
                         new EndpointHeaders(),
                         new RequestHeaders(RandomGenerator.of("L64X128MixRandom")),
                         new RetryBudget(0, 0),
@@ -77,7 +77,7 @@
                         (endpoint, then) -> then.accept(true),
                         new ServingHandler.VersionTimes(WITHIN.toMillis(), WITHIN.toMillis(), WITHIN.toMillis()),
                         new ManifestAge(views::operatorAsOfMillis, MOST_MILLIS),
-                        Crashes.unnoticed())));
+                        CrashTracking.unnoticed())));
         views.apply(Topic.OPERATOR, List.of(manifest(1, LATE)), LATE + 1);
     }
 
--- a/src/test/java/org/micabarrow/steps/StepsTest.java
+++ b/src/test/java/org/micabarrow/steps/RepeatedTasksTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Work that goes on whatever happens. */
-class StepsTest {
+class RepeatedTasksTest {
 
     /** Decides nothing but a hang. */
     private static final Duration LONGEST = Duration.ofSeconds(10);
@@ -35,7 +35,7 @@
     @EnumSource
     void shouldGoOnWhenStepsFail(Ending ending) throws Exception {
         CountDownLatch taken = new CountDownLatch(STEPS);
-        Thread work = Steps.start("steps-test", 1, () -> {
+        Thread work = RepeatedTasks.start("steps-test", 1, () -> {
             taken.countDown();
             ending.end();
         });
@@ -46,7 +46,7 @@
 
     @Test
     void shouldEndWhenInterruptedWithinStep() throws Exception {
-        Thread work = Steps.start("steps-test", 1, () -> {
+        Thread work = RepeatedTasks.start("steps-test", 1, () -> {
             throw new InterruptedException("the thread is to end");
         });
         assertTrue(work.join(LONGEST));
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -18,7 +18,7 @@
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.TopicReader.Batch;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 
 /** What processes tell each other of the store's records while they read on, and how old it is. */
 class HostedPeerServerTest {
@@ -26,7 +26,7 @@
     /** Enough that a pair taken at two moments shows: each answer is made while records are taken without a pause. */
     private static final int QUESTIONS = 200;
 
-    private final ViewKeeper views = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewMaintainer views = new ViewMaintainer(new StoreRecords(), () -> 0);
     private final AtomicBoolean ends = new AtomicBoolean();
 
     /** Whoever asks reads on from the end, so that a record before it that is not told is never read. */
@@ -38,8 +38,8 @@
         Thread follower = Thread.ofPlatform().daemon().start(this::takeRecords);
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
-            PeerRecords peers = new PeerRecords(caller);
+                HttpClient caller = HttpClient.start("test", 1)) {
+            PeerRecordClient peers = new PeerRecordClient(caller);
             for (int i = 0; i < QUESTIONS; i++) {
                 Batch batch = peers.ask(address, Topic.OPERATOR, 0).toOptional().orElseThrow();
                 long last = batch.records().stream()
@@ -81,8 +81,8 @@
         String address = Ports.freeAddress();
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), server);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
-            return new PeerRecords(caller, askersClock::get)
+                HttpClient caller = HttpClient.start("test", 1)) {
+            return new PeerRecordClient(caller, askersClock::get)
                     .ask(address, topic, 0)
                     .toOptional()
                     .orElseThrow();
--- a/src/test/java/org/micabarrow/transport/HttpCallerTest.java
+++ b/src/test/java/org/micabarrow/transport/HttpClientTest.java
@@ -24,7 +24,7 @@
 import org.micabarrow.state.Fault;
 
 /** What a server sees of a caller, byte by byte. */
-class HttpCallerTest {
+class HttpClientTest {
 
     /** Ends a test that hangs, in milliseconds; under the ten seconds in which a server gives up a silent connection. */
     private static final int HANG_MILLIS = 8_000;
@@ -60,11 +60,11 @@
     @Test
     void shouldResetConnectionWhenCancelledBeforeAnswer() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpClient caller = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
             byte[] body = WaitingCaller.BODY.getBytes(StandardCharsets.US_ASCII);
             HttpCall call = new HttpCall(Fault.Step.RUN, "POST", uri, Optional.of("/x"), Map.of(), body);
-            Runnable cancel = caller.send(call, new Ignoring());
+            Runnable cancel = caller.send(call, new IgnoringListener());
             try (Socket connection = server.accept()) {
                 connection.setSoTimeout(HANG_MILLIS);
                 readRequest(connection.getInputStream());
@@ -90,7 +90,7 @@
     }
 
     /** Sends nothing after all, since its request was overtaken while the connection came up. */
-    private static final class Withholding extends Ignoring {
+    private static final class Withholding extends IgnoringListener {
 
         private final CountDownLatch asked = new CountDownLatch(1);
 
@@ -104,7 +104,7 @@
     @Test
     void shouldSendNothingWhenListenerWithholdsRequest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpClient caller = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort());
             Withholding listener = new Withholding();
             caller.send(HttpCall.get(Fault.Step.RUN, uri), listener);
@@ -155,9 +155,9 @@
         String address = Ports.freeAddress();
         HttpListener server = answering(address, new CountDownLatch(KEPT));
         try (SilentRelay relay = SilentRelay.to(address);
-                HttpCaller caller = HttpCaller.start("test", 1)) {
+                HttpClient caller = HttpClient.start("test", 1)) {
             HttpCall call = HttpCall.get(Fault.Step.READ, URI.create("http://" + relay.address() + "/x"));
-            List<HttpCaller.Pending> together =
+            List<HttpClient.Pending> together =
                     Stream.generate(() -> caller.begin(call)).limit(KEPT).toList();
             together.forEach(
                     one -> assertTrue(one.await(HANG).toOptional().isPresent(), "each is answered on its connection"));
--- a/src/test/java/org/micabarrow/transport/Ignoring.java
+++ b/src/test/java/org/micabarrow/transport/IgnoringListener.java
@@ -2,10 +2,10 @@
 
 import java.util.Map;
 import org.micabarrow.state.Fault;
-import org.micabarrow.transport.HttpCaller.Listener;
+import org.micabarrow.transport.HttpClient.Listener;
 
 /** Does nothing with an answer. */
-public class Ignoring implements Listener {
+public class IgnoringListener implements Listener {
 
     @Override
     public void onHead(int status, Map<String, String> headers) {}
--- a/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadMessagesTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.Answer;
 import org.micabarrow.transport.LoadMessages.Question;
 import org.micabarrow.transport.LoadMessages.ReaderNews;
 import org.micabarrow.transport.LoadMessages.Received;
-import org.micabarrow.views.LastChanges;
-import org.micabarrow.views.ManifestPlace;
+import org.micabarrow.views.ChangeOffsets;
+import org.micabarrow.views.ManifestPosition;
 
 class LoadMessagesTest {
 
@@ -54,8 +54,8 @@
 
     @Test
     void shouldReadNewsOfStoreWhenQuestionTellsThem() throws IOException {
-        StoreNews news = new StoreNews(
-                8_000, new LastChanges(17, 1L << 40, 16), Optional.of(new ManifestPlace(7, 16)), 30, true);
+        StoreUpdate news = new StoreUpdate(
+                8_000, new ChangeOffsets(17, 1L << 40, 16), Optional.of(new ManifestPosition(7, 16)), 30, true);
         Question question = new Question("entry-a", 1_200, 17, 30, true, Optional.of(news), OptionalLong.of(1L << 40));
         assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
     }
@@ -64,7 +64,7 @@
     @ValueSource(doubles = {0, 0.3, 1e9, -1})
     void shouldReadWhatIsSaidOfLimitWhenWritten(double perSecond) throws IOException {
         OptionalDouble limit = perSecond < 0 ? OptionalDouble.empty() : OptionalDouble.of(perSecond);
-        Optional<LimitWord> word = Optional.of(new LimitWord(LimitWord.token("a"), limit, 1_200));
+        Optional<RateLimitUpdate> word = Optional.of(new RateLimitUpdate(RateLimitUpdate.token("a"), limit, 1_200));
         Question question = new Question("entry-a", 0, 17, 0, false, Optional.empty(), OptionalLong.empty(), word);
         assertEquals(question, LoadMessages.question(bytes(LoadMessages.write(question))));
         Optional<EntryRank> rank = Optional.of(new EntryRank(59, 60));
@@ -75,10 +75,10 @@
     /** Anything may be sent to the port; it must not end the thread that reads, nor be taken for a message. */
     @Test
     void shouldRefuseDatagramsThatBreakOffOrGoOn() {
-        StoreNews news =
-                new StoreNews(8_000, new LastChanges(17, 18), Optional.of(new ManifestPlace(7, 16)), 30, false);
+        StoreUpdate news =
+                new StoreUpdate(8_000, new ChangeOffsets(17, 18), Optional.of(new ManifestPosition(7, 16)), 30, false);
         ReaderNews reader = new ReaderNews("10.0.0.1:8000", 17, 40);
-        Optional<LimitWord> limit = Optional.of(new LimitWord(1, OptionalDouble.of(2), 3));
+        Optional<RateLimitUpdate> limit = Optional.of(new RateLimitUpdate(1, OptionalDouble.of(2), 3));
         Optional<EntryRank> rank = Optional.of(new EntryRank(1, 2));
         LoadReport report = new LoadReport(3, 8, true, 7, 5, OptionalInt.of(9));
         byte[] question = bytes(LoadMessages.write(
--- a/src/test/java/org/micabarrow/transport/LoadFeedTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadPollerTest.java
@@ -26,19 +26,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.micabarrow.routing.EndpointChoice;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.routing.EndpointLoad;
 import org.micabarrow.routing.EndpointStart;
 import org.micabarrow.routing.LoadReport;
-import org.micabarrow.routing.ModelService;
+import org.micabarrow.routing.ModelProfile;
 import org.micabarrow.routing.RouteManifest;
 import org.micabarrow.settings.Common;
 import org.micabarrow.views.View;
 import org.xnio.XnioWorker;
 
 /** Questions on which a request waits, over real sockets. */
-class LoadFeedTest {
+class LoadPollerTest {
 
     /** Decides nothing but a hang. */
     private static final long LONGEST_SECONDS = 30;
@@ -46,28 +46,28 @@
     /** As above, for what a socket waits, in milliseconds. */
     private static final int HANG_MILLIS = 10_000;
 
-    private final EndpointChoice choice = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
-    private final EndpointEntry endpoint =
-            EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
-    private final List<StoreNews.Heard> heard = new CopyOnWriteArrayList<>();
+    private final EndpointSelector choice = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
+    private final EndpointRegistration endpoint =
+            EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of("m", 1L), 16);
+    private final List<StoreUpdate.Heard> heard = new CopyOnWriteArrayList<>();
     private DatagramSocket agent;
     private XnioWorker worker;
-    private LoadFeed feed;
+    private LoadPoller feed;
 
     @BeforeEach
     void start() throws IOException {
         agent = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-        worker = HttpCaller.worker("load-feed-test", 1);
+        worker = HttpClient.worker("load-feed-test", 1);
         feed = feed(View.empty(), choice);
         feed.start(() -> {});
     }
 
-    private LoadFeed feed(View view, EndpointChoice choice) throws IOException {
+    private LoadPoller feed(View view, EndpointSelector choice) throws IOException {
         return feed(() -> view, choice);
     }
 
-    private LoadFeed feed(Supplier<View> view, EndpointChoice choice) throws IOException {
-        return LoadFeed.open(new LoadFeed.Parts(
+    private LoadPoller feed(Supplier<View> view, EndpointSelector choice) throws IOException {
+        return LoadPoller.open(new LoadPoller.Parts(
                 new Common.Place("entry-a", "region-a", "hall-a"),
                 "127.0.0.1:8000",
                 Map.of("hall-a", "region-a"),
@@ -94,11 +94,11 @@
 
     /** A view of two endpoints at one host, as there are for a while after a restart. */
     private View twoAtOneHost() {
-        ModelService model = new ModelService("m", 16, 1, 1, 1, 1, 4, 8, 1_000);
+        ModelProfile model = new ModelProfile("m", 16, 1, 1, 1, 1, 4, 8, 1_000);
         RouteManifest.Service service = new RouteManifest.Service("models", 100, Optional.of(model), Optional.empty());
         RouteManifest manifest =
                 RouteManifest.of(new RouteManifest.Parts(1, List.of(), Map.of("models", service), Map.of(), false, 1));
-        EndpointEntry other = EndpointEntry.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
+        EndpointRegistration other = EndpointRegistration.of("b", "models", "127.0.0.1:81", "hall-a", 4, false, Map.of("m", 1L), 16);
         return new View(Optional.of(manifest), 0, Map.of("a", endpoint, "b", other), Map.of());
     }
 
@@ -143,10 +143,10 @@
 
     @Test
     void shouldTellPromptTokensOfAllEndpointsAtHostWhenOneIsAskedFor() throws Exception {
-        EndpointChoice ofTwo = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector ofTwo = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         ofTwo.load("a").began(100);
         ofTwo.load("b").began(20);
-        LoadFeed withTwo = feed(twoAtOneHost(), ofTwo);
+        LoadPoller withTwo = feed(twoAtOneHost(), ofTwo);
         withTwo.start(() -> withTwo.ask(endpoint, inTime -> {}));
         for (int number = 0; number < 2; number++) {
             DatagramPacket packet = question();
@@ -159,7 +159,7 @@
     void shouldGoOnAskingWhenEndpointIsListedNoMoreButRequestsWaitThere() throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
         AtomicReference<View> view = new AtomicReference<>(twoAtOneHost());
-        EndpointChoice waiting = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector waiting = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         waiting.load("a").began(100);
         feed(view::get, waiting).start(() -> view.set(View.empty()));
         for (int number = 0; number < 3; number++) {
@@ -211,7 +211,7 @@
     }
 
     /** Answers one question after the other with the same until a belief about the listed start is held. */
-    private void answerUntil(EndpointChoice choice, LoadReport told, Predicate<EndpointLoad> belief) throws Exception {
+    private void answerUntil(EndpointSelector choice, LoadReport told, Predicate<EndpointLoad> belief) throws Exception {
         agent.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LONGEST_SECONDS));
         boolean held = false;
         while (!held) {
@@ -225,11 +225,11 @@
     @Test
     @Timeout(LONGEST_SECONDS)
     void shouldCountNothingThatAgentTellsOfAnotherStart() throws Exception {
-        EndpointEntry listed = EndpointEntry.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
+        EndpointRegistration listed = EndpointRegistration.of("a", "models", "127.0.0.1:80", "hall-a", 4, false, Map.of(), 16)
                 .withStart(LISTED.startedMillis());
         View both = twoAtOneHost();
         // The feed of all tests, which lists no endpoint, makes its own choice forget them.
-        EndpointChoice own = new EndpointChoice("region-a", Map.of("hall-a", "region-a"));
+        EndpointSelector own = new EndpointSelector("region-a", Map.of("hall-a", "region-a"));
         feed(new View(both.manifest(), 0, Map.of("a", listed), Map.of()), own).start(() -> {});
         answerUntil(own, new LoadReport(0, 0, false, 5, 1, OptionalInt.of(123_456)), EndpointLoad::startedAgain);
         answerUntil(own, new LoadReport(0, 0, false, 2, 1, OptionalInt.of(674_123)), load -> !load.startedAgain());
--- a/src/test/java/org/micabarrow/transport/LoadQuestionsTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadQuestionsTest.java
@@ -32,7 +32,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        worker = HttpCaller.worker("load-questions", 1);
+        worker = HttpClient.worker("load-questions", 1);
         traffic = worker.getIoThread();
         questions = new LoadQuestions(traffic, now::get);
     }
--- a/src/test/java/org/micabarrow/transport/LoadServerTest.java
+++ b/src/test/java/org/micabarrow/transport/LoadServerTest.java
@@ -20,10 +20,10 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.limits.EntryRank;
-import org.micabarrow.limits.LimitWord;
+import org.micabarrow.limits.RateLimitUpdate;
 import org.micabarrow.routing.LoadReport;
 import org.micabarrow.transport.LoadMessages.ReaderNews;
-import org.micabarrow.views.LastChanges;
+import org.micabarrow.views.ChangeOffsets;
 
 /** What an agent answers to entries, over real sockets. */
 class LoadServerTest {
@@ -96,7 +96,7 @@
         }
 
         private ByteBuffer question(long knownMillisAgo) {
-            StoreNews news = new StoreNews(port, new LastChanges(17, 0), Optional.empty(), knownMillisAgo, direct);
+            StoreUpdate news = new StoreUpdate(port, new ChangeOffsets(17, 0), Optional.empty(), knownMillisAgo, direct);
             return LoadMessages.write(new LoadMessages.Question(
                     name, 0, 0, 0, near, near ? Optional.of(news) : Optional.empty(), stamp.get()));
         }
@@ -199,7 +199,7 @@
         return LoadMessages.answer(Arrays.copyOf(answer.getData(), answer.getLength()));
     }
 
-    private static LoadMessages.Question question(String entry, Optional<LimitWord> limit) {
+    private static LoadMessages.Question question(String entry, Optional<RateLimitUpdate> limit) {
         return new LoadMessages.Question(entry, 0, 0, 0, false, Optional.empty(), OptionalLong.empty(), limit);
     }
 
@@ -211,10 +211,10 @@
             assertEquals(
                     Optional.empty(),
                     ask(entry, agent, question("a", Optional.empty())).limit());
-            LimitWord word = new LimitWord(LimitWord.token("endpoint"), OptionalDouble.of(2), 100);
+            RateLimitUpdate word = new RateLimitUpdate(RateLimitUpdate.token("endpoint"), OptionalDouble.of(2), 100);
             ask(entry, agent, question("b", Optional.of(word)));
             now.addAndGet(50);
-            LimitWord older = new LimitWord(word.endpoint(), word.perSecond(), 150);
+            RateLimitUpdate older = new RateLimitUpdate(word.endpoint(), word.perSecond(), 150);
             assertEquals(
                     Optional.of(older),
                     ask(entry, agent, question("a", Optional.empty())).limit());
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.transport.HttpCaller.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpAnswer;
 
 /** A chunk on its way over a link that others use too. */
 @Timeout(30)
@@ -52,7 +52,7 @@
 
     @Test
     void shouldArriveWholeWhenSentInPieces() throws Exception {
-        try (HttpCaller caller = HttpCaller.start("test", 1)) {
+        try (HttpClient caller = HttpClient.start("test", 1)) {
             URI uri = URI.create("http://" + address.getHostString() + ":" + address.getPort() + "/");
             HttpAnswer answer = caller.call(HttpCall.get(Step.FETCH, uri), Duration.ofSeconds(10))
                     .toOptional()
--- a/src/test/java/org/micabarrow/transport/PeerChunksTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunkClientTest.java
@@ -17,7 +17,7 @@
 import org.micabarrow.weights.ChunkPeers.IndexedChunk;
 
 /** What is made of an agent that leaves a question for chunks without an answer. */
-class PeerChunksTest {
+class PeerChunkClientTest {
 
     /** Each question without an answer costs a test this once; a busy machine answers within it. */
     private static final Duration WITHIN = Duration.ofSeconds(3);
@@ -29,7 +29,7 @@
 
     private HttpListener agent;
     private SilentRelay relay;
-    private HttpCaller caller;
+    private HttpClient caller;
     private volatile boolean givesChunks = true;
     private volatile boolean givesDigests = true;
 
@@ -38,7 +38,7 @@
         String address = Ports.freeAddress();
         agent = HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), this::answer);
         relay = SilentRelay.to(address);
-        caller = HttpCaller.start("test", 1);
+        caller = HttpClient.start("test", 1);
     }
 
     @AfterEach
@@ -49,9 +49,9 @@
     }
 
     private void answer(HttpServerExchange exchange) {
-        boolean chunk = exchange.getRequestPath().startsWith(PeerChunks.CHUNKS);
+        boolean chunk = exchange.getRequestPath().startsWith(PeerChunkClient.CHUNKS);
         if (chunk && givesChunks) {
-            exchange.getResponseHeaders().put(new HttpString(PeerChunks.INDEX), 3);
+            exchange.getResponseHeaders().put(new HttpString(PeerChunkClient.INDEX), 3);
             exchange.getResponseSender().send("a chunk");
         } else if (!chunk && givesDigests) {
             exchange.getResponseSender().send("[]");
@@ -60,7 +60,7 @@
         }
     }
 
-    private Result<IndexedChunk> ask(PeerChunks peers) {
+    private Result<IndexedChunk> ask(PeerChunkClient peers) {
         BitSet wanted = new BitSet();
         wanted.set(3);
         return peers.fetchAnyOf(relay.address(), "m", 2, wanted);
@@ -76,7 +76,7 @@
 
     @Test
     void shouldAskAgentOnWhenOnlyItsConnectionFellSilent() {
-        PeerChunks peers = new PeerChunks(caller, WITHIN, LONG);
+        PeerChunkClient peers = new PeerChunkClient(caller, WITHIN, LONG);
         assertEquals(Optional.of(3), given(ask(peers)));
         relay.silence();
         assertEquals(Reason.NOT_READY, reason(ask(peers)), "it answers on a new connection, so it is not passed over");
@@ -89,13 +89,13 @@
     void shouldCallAgentSilentWhenItDoesNotAnswerOnNewConnectionEither() {
         givesChunks = false;
         givesDigests = false;
-        assertEquals(Reason.TIMEOUT, reason(ask(new PeerChunks(caller, SHORT, SHORT))));
+        assertEquals(Reason.TIMEOUT, reason(ask(new PeerChunkClient(caller, SHORT, SHORT))));
     }
 
     @Test
     void shouldCallAgentSilentWhenItLeavesNextQuestionWithoutAnswerToo() {
         givesChunks = false;
-        PeerChunks peers = new PeerChunks(caller, SHORT, LONG);
+        PeerChunkClient peers = new PeerChunkClient(caller, SHORT, LONG);
         assertEquals(Reason.NOT_READY, reason(ask(peers)));
         assertEquals(Reason.TIMEOUT, reason(ask(peers)));
     }
--- a/src/test/java/org/micabarrow/transport/WaitingCaller.java
+++ b/src/test/java/org/micabarrow/transport/WaitingCaller.java
@@ -24,7 +24,7 @@
         URI uri = URI.create("http://127.0.0.1:" + arguments[0]);
         byte[] body = BODY.getBytes(StandardCharsets.US_ASCII);
         HttpCall call = new HttpCall(Fault.Step.RUN, "POST", uri, Optional.of("/x"), Map.of(), body);
-        HttpCaller.start("waiting", 1).send(call, new Ignoring());
+        HttpClient.start("waiting", 1).send(call, new IgnoringListener());
         Thread.currentThread().join();
     }
 }
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.transport.HttpCall;
-import org.micabarrow.transport.HttpCaller;
+import org.micabarrow.transport.HttpClient;
 import org.micabarrow.transport.HttpListener;
 
 /**
@@ -58,7 +58,7 @@
         String address = Ports.freeAddress();
         try (HttpListener listener =
                         HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callerServer());
-                HttpCaller client = HttpCaller.start("test", 1)) {
+                HttpClient client = HttpClient.start("test", 1)) {
             HttpCall chatRequest = new HttpCall(
                     Step.READ,
                     "POST",
--- a/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
+++ b/src/test/java/org/micabarrow/views/DropWhileAwayTest.java
@@ -20,7 +20,7 @@
  */
 class DropWhileAwayTest {
 
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 1_000_000);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> 1_000_000);
 
     private static StoredRecord record(String id, long offset, String value) {
         return new StoredRecord(id, offset, value.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/micabarrow/views/FakeKeyedStore.java
+++ b/src/test/java/org/micabarrow/views/FakeKeyedStore.java
@@ -10,7 +10,7 @@
 import org.micabarrow.state.Result;
 
 /** A store of keyed topics, whose answers may fail. */
-final class FakeKeyedStore implements TopicReader, NamedVersions.VersionWriter {
+final class FakeKeyedStore implements TopicReader, VersionPersistence.VersionWriter {
 
     final Map<Topic, List<StoredRecord>> topics = new LinkedHashMap<>();
     final List<Topic> readNewest = new ArrayList<>();
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public Result<List<StoredRecord>> write(Unkept unkept) {
+    public Result<List<StoredRecord>> write(UnsavedItem unkept) {
         writes++;
         if (down || refusesWrites) {
             return failed();
@@ -68,15 +68,15 @@
         return Result.failure(Fault.of(Fault.Step.LOG, "store", Fault.Reason.TIMEOUT, "no answer"));
     }
 
-    private static String kept(Unkept unkept) {
+    private static String kept(UnsavedItem unkept) {
         return switch (unkept) {
-            case Unkept.Weights weights -> {
+            case UnsavedItem.Weights weights -> {
                 String named = weights.namedMillis().isPresent()
                         ? ",\"namedMillis\":" + weights.namedMillis().getAsLong()
                         : "";
                 yield named(weights.model(), weights.version()).replace("}", named + "}");
             }
-            case Unkept.Manifest manifest ->
+            case UnsavedItem.Manifest manifest ->
                 "{\"version\":" + manifest.version() + ",\"offset\":" + manifest.offset() + "}";
         };
     }
--- a/src/test/java/org/micabarrow/views/LeavingDelayTest.java
+++ b/src/test/java/org/micabarrow/views/LeavingDelayTest.java
@@ -55,7 +55,7 @@
         private final Trouble trouble;
         private final long troubleAtMillis;
         private final boolean firstPeerDead;
-        private final ViewKeeper keeper;
+        private final ViewMaintainer keeper;
         private final StoreFollower follower;
         private long nowMillis;
         private boolean known;
@@ -67,13 +67,13 @@
             this.nowMillis = startedMillis;
             this.troubleAtMillis = troubleAtMillis;
             this.firstPeerDead = firstPeerDead;
-            this.keeper = new ViewKeeper(new StoreRecords(), () -> nowMillis);
+            this.keeper = new ViewMaintainer(new StoreRecords(), () -> nowMillis);
             this.follower = new StoreFollower(
                     Topic.ENDPOINTS,
                     this,
                     keeper,
                     topic -> askPeers(),
-                    LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
+                    DrainTimeBudget.pace(Duration.ofMillis(BOUND_MILLIS)));
         }
 
         /** How long after the endpoint's entry went the entry believes it. */
@@ -138,7 +138,7 @@
 
         @Override
         public Result<Read> read(Topic topic, long from, Duration wait) {
-            long silence = wait.plus(LeavingBound.STORE_ANSWER).toMillis();
+            long silence = wait.plus(DrainTimeBudget.STORE_ANSWER).toMillis();
             long answered = answeredMillis(from, wait);
             boolean begins = troubleAtMillis > nowMillis && troubleAtMillis <= answered;
             if (begins || troubled()) {
@@ -170,7 +170,7 @@
         }
 
         private void askPeers() {
-            pass((firstPeerDead ? LeavingBound.PEER_ANSWER.toMillis() : 0) + ROUND_TRIP_MILLIS);
+            pass((firstPeerDead ? DrainTimeBudget.PEER_ANSWER.toMillis() : 0) + ROUND_TRIP_MILLIS);
             Batch batch = from(keeper.end(Topic.ENDPOINTS), nowMillis);
             keeper.apply(Topic.ENDPOINTS, batch.records(), batch.end());
         }
@@ -221,7 +221,7 @@
 
         private long nowMillis = GONE_AT_MILLIS;
         private int reads;
-        private ViewKeeper keeper;
+        private ViewMaintainer keeper;
         private long knownAtMillis = Long.MAX_VALUE;
 
         private void pass(long millis) {
@@ -260,10 +260,10 @@
     @Test
     void shouldTakeEndpointForGoneWhenDoubtEndsBetweenReads() {
         LapsedEntries store = new LapsedEntries();
-        ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> store.nowMillis);
+        ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> store.nowMillis);
         store.keeper = keeper;
         StoreFollower follower = new StoreFollower(
-                Topic.ENDPOINTS, store, keeper, topic -> {}, LeavingBound.pace(Duration.ofMillis(BOUND_MILLIS)));
+                Topic.ENDPOINTS, store, keeper, topic -> {}, DrainTimeBudget.pace(Duration.ofMillis(BOUND_MILLIS)));
         store.pass(follower.once());
         store.pass(follower.once());
         long regained = store.nowMillis;
@@ -280,6 +280,6 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 500, 1_600, 2_000, 10_000})
     void shouldHoldReadsWhateverTheBound(long boundMillis) {
-        assertTrue(LeavingBound.pace(Duration.ofMillis(boundMillis)).hold().toMillis() >= 100);
+        assertTrue(DrainTimeBudget.pace(Duration.ofMillis(boundMillis)).hold().toMillis() >= 100);
     }
 }
--- a/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
+++ b/src/test/java/org/micabarrow/views/OperatorKnowledgeTest.java
@@ -18,7 +18,7 @@
     private static final Duration HOLD = Duration.ofMillis(10);
     private static final Duration REST = Duration.ofMillis(5);
 
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), () -> 0);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), () -> 0);
 
     private static StoredRecord manifest(long version, long offset) {
         String json = "{\"version\":" + version + ",\"routes\":[],\"services\":[]}";
@@ -111,8 +111,8 @@
     private final LaidOut store = new LaidOut();
 
     private StoreFollower follower(Topic topic) {
-        NamedVersions versions = new NamedVersions(
-                store, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
+        VersionPersistence versions = new VersionPersistence(
+                store, unkept -> Result.success(List.of()), keeper, () -> VersionPersistence.Duty.NONE, () -> {});
         return new StoreFollower(topic, versions, keeper, asked -> {}, new StoreFollower.Pace(HOLD, REST));
     }
 
@@ -208,7 +208,7 @@
     void shouldLackManifestWhenPeerToldItsPlaceOnly() {
         keeper.replace(Topic.OPERATOR, List.of(manifest(1, 6)), 7);
         keeper.confirmOperator(90);
-        keeper.manifestStands(new ManifestPlace(2, 5));
+        keeper.manifestStands(new ManifestPosition(2, 5));
         keeper.apply(Topic.NAMED, List.of(kept(2, 5)), 1);
         assertEquals(OptionalLong.of(5), keeper.lackingManifest());
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
@@ -230,8 +230,8 @@
                 return store.read(topic, from, wait);
             }
         };
-        NamedVersions versions = new NamedVersions(
-                withoutKept, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
+        VersionPersistence versions = new VersionPersistence(
+                withoutKept, unkept -> Result.success(List.of()), keeper, () -> VersionPersistence.Duty.NONE, () -> {});
         new StoreFollower(Topic.OPERATOR, versions, keeper, asked -> {}, new StoreFollower.Pace(HOLD, REST)).once();
         assertEquals(1, keeper.view().manifest().orElseThrow().version());
         assertEquals(OptionalLong.empty(), keeper.operatorAsOfMillis());
--- a/src/test/java/org/micabarrow/views/NewsReaderTest.java
+++ b/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
@@ -24,7 +24,7 @@
  * agents are told must neither cost them news nor keep them from the store when nobody tells.
  */
 @Timeout(30)
-class NewsReaderTest {
+class PeerFirstReaderTest {
 
     private static final Duration HOLD = Duration.ofMillis(50);
     private static final String PEER = "10.0.0.1:8000";
@@ -54,13 +54,13 @@
         }
     };
 
-    private final NewsReader reader = new NewsReader(
+    private final PeerFirstReader reader = new PeerFirstReader(
             store,
             (peer, topic, from, within) -> {
                 asked.add(peer);
                 return told;
             },
-            new NewsReader.Role.Agent(),
+            new PeerFirstReader.Role.Agent(),
             now::get);
 
     private Batch read(long from) {
@@ -80,22 +80,22 @@
 
     @Test
     void shouldAskNobodyWhenThereIsNoNews() {
-        reader.told(PEER, new LastChanges(7, 90), now.get());
+        reader.told(PEER, new ChangeOffsets(7, 90), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), asked);
     }
 
     @Test
     void shouldAskPeerThatKnowsMost() {
-        reader.told(OTHER, new LastChanges(8, 0), now.get());
-        reader.told(PEER, new LastChanges(9, 0), now.get());
+        reader.told(OTHER, new ChangeOffsets(8, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(9, 0), now.get());
         assertEquals(new Batch(List.of(RECORD), 8), read(7));
         assertEquals(List.of(PEER), asked);
     }
 
     @Test
     void shouldReadStoreWhenPeersFellSilent() {
-        reader.told(PEER, new LastChanges(7, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(7, 0), now.get());
         now.addAndGet(1_000);
         read(7);
         assertEquals(List.of("store"), asked);
@@ -104,7 +104,7 @@
     @Test
     void shouldReadStoreWhenPeerDoesNotAnswer() {
         told = Result.failure(Fault.of(Fault.Step.READ, PEER, Fault.Reason.TIMEOUT, "no answer"));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
         assertEquals(List.of(PEER, "store"), asked);
     }
@@ -113,7 +113,7 @@
     @Test
     void shouldReadStoreWhenPeerKnowsOnlyPart() {
         told = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
         read(7);
         assertEquals(List.of(PEER, "store"), asked);
     }
@@ -121,8 +121,8 @@
     @Test
     void shouldNotAskPeerAgainWhenItDidNotGiveWhatItTold() {
         told = Result.success(new Batch(List.of(), 7));
-        reader.told(PEER, new LastChanges(8, 0), now.get());
-        reader.told(OTHER, new LastChanges(7, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.told(OTHER, new ChangeOffsets(7, 0), now.get());
         read(7);
         read(7);
         assertEquals(List.of(PEER, "store"), asked);
@@ -131,8 +131,8 @@
     /** The last a peer told counts, also if it is less: a peer that started again knows less at first. */
     @Test
     void shouldGoByWhatPeerToldLast() {
-        reader.told(PEER, new LastChanges(8, 0), now.get());
-        reader.told(PEER, new LastChanges(0, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(0, 0), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), asked);
     }
@@ -140,14 +140,14 @@
     @Test
     void shouldTellTopicsApart() {
         told = Result.success(new Batch(List.of(), 90));
-        reader.told(PEER, new LastChanges(7, 90), now.get());
+        reader.told(PEER, new ChangeOffsets(7, 90), now.get());
         reader.read(Topic.ENDPOINTS, 80, Duration.ZERO);
         assertEquals(List.of(PEER), asked);
     }
 
     @Test
     void shouldReadStoreAtStartAndForVersionsThatAreKept() {
-        reader.told(PEER, new LastChanges(8, 8), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 8), now.get());
         reader.newest(Topic.OPERATOR);
         reader.newest(Topic.NAMED);
         assertEquals(List.of("newest", "newest"), asked);
@@ -155,21 +155,21 @@
 
     @Test
     void shouldReadAtOnceWhenNewsIsToldWhileItWaits() throws Exception {
-        reader.told(PEER, new LastChanges(7, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(7, 0), now.get());
         CompletableFuture<Read> waiting = CompletableFuture.supplyAsync(() ->
                 reader.read(Topic.OPERATOR, 7, Duration.ofDays(1)).toOptional().orElseThrow());
-        reader.told(PEER, new LastChanges(8, 0), now.get());
+        reader.told(PEER, new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), waiting.get(20, TimeUnit.SECONDS));
     }
 
     @Test
     void shouldEndWaitWhenItsTimeIsOver() {
-        NewsReader onRealTime = new NewsReader(
+        PeerFirstReader onRealTime = new PeerFirstReader(
                 store,
                 (peer, topic, from, within) -> told,
-                new NewsReader.Role.Agent(),
+                new PeerFirstReader.Role.Agent(),
                 () -> System.nanoTime() / 1_000_000);
-        onRealTime.told(PEER, new LastChanges(7, 0), now.get());
+        onRealTime.told(PEER, new ChangeOffsets(7, 0), now.get());
         assertEquals(
                 new Read.Records(new Batch(List.of(), 7)),
                 onRealTime.read(Topic.OPERATOR, 7, HOLD).toOptional().orElseThrow());
@@ -180,7 +180,7 @@
     /** A change of routes or keys is no news to an agent; each was a copy of the manifest for each of 30 agents of a region. */
     @Test
     void shouldNotReadManifestWhenItChangesNothingThatAgentsActOn() {
-        reader.told(PEER, new LastChanges(9, 0, 7), now.get());
+        reader.told(PEER, new ChangeOffsets(9, 0, 7), now.get());
         assertEquals(new Batch(List.of(), 7), read(7));
         assertEquals(List.of(), asked);
     }
@@ -188,7 +188,7 @@
     /** The newest record of a model alone may name an older version, which was written late. */
     @Test
     void shouldReadAllThatWasPassedOverWhenNobodyTells() {
-        reader.told(PEER, new LastChanges(9, 0, 7), now.get());
+        reader.told(PEER, new ChangeOffsets(9, 0, 7), now.get());
         now.addAndGet(1_000);
         read(7);
         read(9);
@@ -200,13 +200,13 @@
     private static final String SELF = "10.0.0.1:9000";
     private static final long TRUST_MILLIS = 1_500;
 
-    private final NewsReader entry = new NewsReader(
+    private final PeerFirstReader entry = new PeerFirstReader(
             store,
             (peer, topic, from, within) -> {
                 asked.add(peer);
                 return told;
             },
-            new NewsReader.Role.Entry(SELF, TRUST_MILLIS),
+            new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS),
             now::get);
 
     private Read readByEntry(long from) {
@@ -215,7 +215,7 @@
 
     @Test
     void shouldGoByReaderOfRegionWhenItComesBefore() {
-        entry.told(PEER, new LastChanges(8, 0, 0), now.get());
+        entry.told(PEER, new ChangeOffsets(8, 0, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
         assertEquals(List.of(PEER), asked);
         assertFalse(entry.direct());
@@ -224,7 +224,7 @@
     /** Two entries that went by each other would both learn nothing. */
     @Test
     void shouldReadStoreWhenReaderOfRegionComesAfter() {
-        entry.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+        entry.told("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         readByEntry(7);
         assertEquals(List.of("store"), asked);
         assertTrue(entry.direct());
@@ -233,14 +233,14 @@
     /** The reader still tells, but has not heard of the store for long: its connection may have fallen silent. */
     @Test
     void shouldReadStoreWhenWhatReaderKnowsIsOld() {
-        entry.told(PEER, new LastChanges(7, 0), now.get() - TRUST_MILLIS);
+        entry.told(PEER, new ChangeOffsets(7, 0), now.get() - TRUST_MILLIS);
         readByEntry(7);
         assertEquals(List.of("store"), asked);
     }
 
     @Test
     void shouldReadStoreWhenReaderTellsNoMore() {
-        entry.told(PEER, new LastChanges(7, 0), now.get());
+        entry.told(PEER, new ChangeOffsets(7, 0), now.get());
         readByEntry(7);
         now.addAndGet(1_000);
         readByEntry(7);
@@ -252,7 +252,7 @@
     void shouldGoByAnyReaderWhenStoreDoesNotAnswer() {
         storeDown = true;
         entry.read(Topic.OPERATOR, 7, Duration.ZERO);
-        entry.told("10.0.0.2:8000", new LastChanges(8, 0), now.get());
+        entry.told("10.0.0.2:8000", new ChangeOffsets(8, 0), now.get());
         assertEquals(new Read.Records(new Batch(List.of(RECORD), 8)), readByEntry(7));
         assertEquals(List.of("store", "10.0.0.2:8000"), asked);
         assertFalse(entry.direct());
@@ -279,10 +279,10 @@
                 return Result.success(new Read.Records(new Batch(List.of(), from)));
             }
         };
-        NewsReader led = new NewsReader(
-                quiet, (peer, topic, from, within) -> told, new NewsReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
+        PeerFirstReader led = new PeerFirstReader(
+                quiet, (peer, topic, from, within) -> told, new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
         long asOf = now.get();
-        led.told(PEER, new LastChanges(7, 0), asOf);
+        led.told(PEER, new ChangeOffsets(7, 0), asOf);
         now.addAndGet(TRUST_MILLIS);
         led.read(Topic.OPERATOR, 7, hold);
         long age = now.get() + waited.get() - asOf;
@@ -296,12 +296,12 @@
     @Test
     void shouldReadStoreWhenReaderOfRegionDoesNotEndItsAnswerWhileItsWordCounts() {
         List<Duration> allowed = new ArrayList<>();
-        NewsReader.Peers slow = (peer, topic, from, within) -> {
+        PeerFirstReader.Peers slow = (peer, topic, from, within) -> {
             allowed.add(within);
             return Result.failure(Fault.of(Fault.Step.READ, peer, Fault.Reason.TIMEOUT, "the answer stopped"));
         };
-        NewsReader led = new NewsReader(store, slow, new NewsReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
-        led.told(PEER, new LastChanges(8, 0), now.get() - 1_000);
+        PeerFirstReader led = new PeerFirstReader(store, slow, new PeerFirstReader.Role.Entry(SELF, TRUST_MILLIS), now::get);
+        led.told(PEER, new ChangeOffsets(8, 0), now.get() - 1_000);
         led.read(Topic.OPERATOR, 7, HOLD);
         assertEquals(List.of(Duration.ofMillis(TRUST_MILLIS - 1_000)), allowed);
         assertEquals(List.of("store"), asked);
@@ -310,7 +310,7 @@
     /** Entries whose own reads trickle are in touch and tell on, of what was known long ago, without a weight version named since. */
     @Test
     void shouldReadStoreByAgentWhenWhatEntriesKnowIsOld() {
-        reader.told(PEER, new LastChanges(7, 0), now.get() - 10_000);
+        reader.told(PEER, new ChangeOffsets(7, 0), now.get() - 10_000);
         read(7);
         assertEquals(List.of("store"), asked);
     }
@@ -321,7 +321,7 @@
      */
     @Test
     void shouldFindHiddenManifestByAgentWhenEntriesTellThatServicesChangedBeforeIt() {
-        ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), now::get);
         StoredRecord third = new StoredRecord("config", 2, manifest(3));
         TopicReader history = new TopicReader() {
             @Override
@@ -338,14 +338,14 @@
                 return Result.success(new Read.Records(new Batch(List.of(third), 3)));
             }
         };
-        NewsReader agent = new NewsReader(
+        PeerFirstReader agent = new PeerFirstReader(
                 history,
                 (peer, topic, from, within) -> Result.success(new Batch(List.of(third), 4)),
-                new NewsReader.Role.Agent(),
+                new PeerFirstReader.Role.Agent(),
                 now::get);
-        NamedVersions versions = new NamedVersions(
-                agent, unkept -> Result.success(List.of()), keeper, () -> NamedVersions.Duty.NONE, () -> {});
-        agent.told(PEER, new LastChanges(4, 0, 2), now.get());
+        VersionPersistence versions = new VersionPersistence(
+                agent, unkept -> Result.success(List.of()), keeper, () -> VersionPersistence.Duty.NONE, () -> {});
+        agent.told(PEER, new ChangeOffsets(4, 0, 2), now.get());
         Batch newest = versions.newest(Topic.OPERATOR).toOptional().orElseThrow();
         assertTrue(newest.records().contains(third), "found: " + newest.records());
     }
--- a/src/test/java/org/micabarrow/views/StoreFollowerTest.java
+++ b/src/test/java/org/micabarrow/views/StoreFollowerTest.java
@@ -22,7 +22,7 @@
 class StoreFollowerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/micabarrow/views/NamedVersionsTest.java
+++ b/src/test/java/org/micabarrow/views/VersionPersistenceTest.java
@@ -15,7 +15,7 @@
 import org.micabarrow.platform.StoreRecords;
 
 /** Which weight versions were named, through writes that come late, lost answers and processes that start again. */
-class NamedVersionsTest {
+class VersionPersistenceTest {
 
     private final FakeKeyedStore store = new FakeKeyedStore();
     private final AtomicBoolean writes = new AtomicBoolean(true);
@@ -33,8 +33,8 @@
     /** A process that has read what operators wrote. */
     private final class Node {
 
-        private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), steady::get, unix::get);
-        private final NamedVersions versions = new NamedVersions(store, store, keeper, writes::get);
+        private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), steady::get, unix::get);
+        private final VersionPersistence versions = new VersionPersistence(store, store, keeper, writes::get);
         private final StoreFollower follower = new StoreFollower(
                 Topic.OPERATOR,
                 versions,
@@ -314,7 +314,7 @@
         store.append(Topic.OPERATOR, "config", "{\"version\":" + version + ",\"routes\":[],\"services\":[]}");
     }
 
-    private static long manifest(ViewKeeper keeper) {
+    private static long manifest(ViewMaintainer keeper) {
         return keeper.view().manifest().orElseThrow().version();
     }
 
@@ -327,12 +327,12 @@
         operatorSets(1);
         running.follower.once();
         store.historyGone = true;
-        ViewKeeper fresh = new ViewKeeper(new StoreRecords(), steady::get, unix::get);
+        ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), steady::get, unix::get);
         Runnable askPeer = () -> {
             TopicReader.Batch told = running.keeper.since(Topic.OPERATOR, fresh.askFrom(Topic.OPERATOR));
             fresh.apply(Topic.OPERATOR, told.records(), told.end());
         };
-        NamedVersions versions = new NamedVersions(store, store, fresh, () -> NamedVersions.Duty.NONE, askPeer);
+        VersionPersistence versions = new VersionPersistence(store, store, fresh, () -> VersionPersistence.Duty.NONE, askPeer);
         fresh.replace(
                 Topic.OPERATOR,
                 versions.newest(Topic.OPERATOR).toOptional().orElseThrow().records(),
@@ -361,8 +361,8 @@
         new Node().versions.look();
         operatorSets(1);
         for (int i = 0; i < 200; i++) {
-            ViewKeeper fresh = new ViewKeeper(new StoreRecords(), steady::get, unix::get);
-            NamedVersions versions = new NamedVersions(store, store, fresh, writes::get);
+            ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), steady::get, unix::get);
+            VersionPersistence versions = new VersionPersistence(store, store, fresh, writes::get);
             CompletableFuture<Long> first = CompletableFuture.supplyAsync(() -> {
                 while (fresh.view().manifest().isEmpty()) {
                     Thread.onSpinWait();
@@ -418,7 +418,7 @@
 
     @Test
     void shouldStillStopVersionsBeforeReplacedOneInTime() {
-        ViewKeeper fresh = new ViewKeeper(new StoreRecords(), steady::get, unix::get);
+        ViewMaintainer fresh = new ViewMaintainer(new StoreRecords(), steady::get, unix::get);
         fresh.replace(Topic.NAMED, List.of(record("version/m/3", 0, named("m", 3))), 1);
         pass(5_000);
         fresh.replace(Topic.OPERATOR, List.of(record("version/m", 0, named("m", 4))), 1);
--- a/src/test/java/org/micabarrow/views/ViewKeeperTest.java
+++ b/src/test/java/org/micabarrow/views/ViewMaintainerTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.micabarrow.platform.StoreRecords;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.views.TopicReader.Batch;
 import org.slf4j.LoggerFactory;
 
 /** What is believed of the store, through outages, expired history and peers. */
-class ViewKeeperTest {
+class ViewMaintainerTest {
 
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper keeper = new ViewKeeper(new StoreRecords(), now::get);
+    private final ViewMaintainer keeper = new ViewMaintainer(new StoreRecords(), now::get);
 
     private static StoredRecord record(String key, long offset, String value) {
         return new StoredRecord(key, offset, value.getBytes(StandardCharsets.UTF_8));
@@ -99,14 +99,14 @@
     @Test
     void shouldLearnNewestVersionFromPeerWhenOlderOneWasWrittenLate() {
         keeper.apply(Topic.OPERATOR, List.of(named(3, 5), named(2, 6)), 7);
-        ViewKeeper asker = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer asker = new ViewMaintainer(new StoreRecords(), now::get);
         TopicReader.Batch told = keeper.since(Topic.OPERATOR, 0);
         asker.apply(Topic.OPERATOR, told.records(), told.end());
         assertEquals(3, asker.view().newestTarget("m").orElseThrow().version());
         assertEquals(
                 List.of(3L),
                 asker.unkept().stream()
-                        .map(one -> ((Unkept.Weights) one).version())
+                        .map(one -> ((UnsavedItem.Weights) one).version())
                         .toList());
     }
 
@@ -182,7 +182,7 @@
                         + "}");
     }
 
-    private EndpointEntry entry(String id) {
+    private EndpointRegistration entry(String id) {
         return keeper.view().endpoints().get(id);
     }
 
@@ -239,7 +239,7 @@
     @Test
     void shouldLearnOfDroppedEntryWhenPeerStartedAfterIt() {
         endpoints(6, endpoint("a", 5));
-        ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer peer = new ViewMaintainer(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("b", 7)), 8);
         Batch told = peer.since(Topic.ENDPOINTS, keeper.end(Topic.ENDPOINTS));
         keeper.apply(Topic.ENDPOINTS, told.records(), told.end());
@@ -250,7 +250,7 @@
     @Test
     void shouldReadOnWherePeerStandsWhenPeerHasFollowedSinceBefore() {
         endpoints(6, endpoint("a", 5));
-        ViewKeeper peer = new ViewKeeper(new StoreRecords(), now::get);
+        ViewMaintainer peer = new ViewMaintainer(new StoreRecords(), now::get);
         peer.replace(Topic.ENDPOINTS, List.of(endpoint("a", 5)), 6);
         peer.apply(Topic.ENDPOINTS, List.of(record("a", 6, ""), endpoint("b", 7)), 8);
         Batch told = peer.since(Topic.ENDPOINTS, keeper.end(Topic.ENDPOINTS));
@@ -324,7 +324,7 @@
 
     @Test
     void shouldSayOnceThatEntryIsRefusedHoweverOftenItIsWritten() {
-        Logger logger = (Logger) LoggerFactory.getLogger(ViewKeeper.class);
+        Logger logger = (Logger) LoggerFactory.getLogger(ViewMaintainer.class);
         ListAppender<ILoggingEvent> lines = new ListAppender<>();
         lines.start();
         logger.addAppender(lines);
--- a/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
+++ b/src/test/java/org/micabarrow/weights/ChunkSourcesTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Digest;
 import org.micabarrow.weights.ChunkSources.Agent;
 
@@ -225,9 +225,9 @@
 
     @Test
     void shouldExcludeAgentWhenItsEndpointIsDraining() {
-        EndpointEntry serving = EndpointEntry.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
-        EndpointEntry draining = EndpointEntry.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
-        EndpointEntry sameInstance = EndpointEntry.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
+        EndpointRegistration serving = EndpointRegistration.of("a", "s", "10.0.0.1:80", "hall-a", 4, false, Map.of(), 16);
+        EndpointRegistration draining = EndpointRegistration.of("b", "s", "10.0.0.2:80", "hall-a", 4, true, Map.of(), 16);
+        EndpointRegistration sameInstance = EndpointRegistration.of("c", "s", "10.0.0.1:81", "hall-a", 4, false, Map.of(), 16);
         assertEquals(
                 List.of(new Agent("10.0.0.1:7000", "region-a")),
                 Agent.besideEndpoints(List.of(serving, draining, sameInstance), 7_000, Map.of("hall-a", "region-a")));
--- a/src/test/java/org/micabarrow/weights/OverlapSimulation.java
+++ b/src/test/java/org/micabarrow/weights/OverlapSimulation.java
@@ -10,13 +10,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.IntStream;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
 import org.micabarrow.views.StoredRecord;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
@@ -85,7 +85,7 @@
     private final Policy policy;
     private final Random random;
     private final AtomicLong now = new AtomicLong(1_000_000);
-    private final ViewKeeper views = new ViewKeeper(new EmptyDecoder(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new EmptyDecoder(), now::get);
     private final List<SimulatedAgent> simulatedAgents = new ArrayList<>();
     private final Map<Long, BitSet> servedByOrigin = Map.of(2L, new BitSet(), 3L, new BitSet());
     private double originCredit;
@@ -116,7 +116,7 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
             return notFound();
         }
     }
--- a/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
+++ b/src/test/java/org/micabarrow/weights/OverlappingFetchTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /**
@@ -39,7 +39,7 @@
     private final AtomicLong now = new AtomicLong(1_000_000);
     private final FakeOrigin origin = new FakeOrigin(now);
     private final Peer peer = new Peer();
-    private final ViewKeeper views = new ViewKeeper(new OverlapSimulation.EmptyDecoder(), now::get);
+    private final ViewMaintainer views = new ViewMaintainer(new OverlapSimulation.EmptyDecoder(), now::get);
     private final VersionDeadlines deadlines =
             new VersionDeadlines(views::view, () -> FakeEndpoint.LAYERS, MAX_STALENESS_MILLIS, now::get);
     private final VersionFetches fetches = new VersionFetches(
--- a/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
+++ b/src/test/java/org/micabarrow/weights/ReplicaControllerFixture.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.AfterEach;
-import org.micabarrow.routing.EndpointEntry;
+import org.micabarrow.routing.EndpointRegistration;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 import org.micabarrow.views.RecordDecoder;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.Topic;
-import org.micabarrow.views.ViewKeeper;
+import org.micabarrow.views.ViewMaintainer;
 import org.micabarrow.weights.ChunkSources.Agent;
 
 /** A controller with its own endpoint, origin and clock, without other agents. */
@@ -24,7 +24,7 @@
     final AtomicLong now = new AtomicLong(1_000_000);
     final FakeEndpoint endpoint = new FakeEndpoint();
     final FakeOrigin origin = new FakeOrigin(now);
-    final ViewKeeper views = new ViewKeeper(new EndpointDecoder(), now::get);
+    final ViewMaintainer views = new ViewMaintainer(new EndpointDecoder(), now::get);
     volatile int throttledBytes;
     int cordonNotifications;
     volatile ReplicaController.RegionPosition position = new ReplicaController.RegionPosition(0, 3);
@@ -65,8 +65,8 @@
         }
 
         @Override
-        public Result<EndpointEntry> endpoint(StoredRecord record) {
-            return Result.success(EndpointEntry.of(
+        public Result<EndpointRegistration> endpoint(StoredRecord record) {
+            return Result.success(EndpointRegistration.of(
                     record.key(), "s", "10.0.0.1:80", "h", 1, false, Map.of("m", record.offset()), record.value()[0]));
         }
     }
