--- a/src/main/java/org/micabarrow/admission/OccupiedSlot.java
+++ b/src/main/java/org/micabarrow/admission/OccupiedSlot.java
@@ -4,52 +4,53 @@
 import org.micabarrow.routing.EndpointLoad;
 
 /**
- * The room that one sending of a request takes at its endpoint: it is taken, the prompt is read when the answer begins, and it
- * is free again. Each step that frees something has the line of waiting requests looked through. Used by one thread.
+ * The slot that one attempt of a request occupies at its endpoint. The prompt stops counting as pending when the
+ * response begins, and the slot is released when the attempt ends; each of these steps triggers another pass over the
+ * wait queue. Not thread-safe: confined to one thread.
  */
 public final class OccupiedSlot {
 
     private final EndpointLoad load;
     private final int promptTokens;
-    private final Runnable roomMayBe;
+    private final Runnable onCapacityFreed;
     private boolean promptRead;
 
     /**
-     * Takes the room.
+     * Occupies a slot.
      *
      * @param load the endpoint's load
      * @param promptTokens the tokens of the request's prompt
-     * @param roomMayBe run whenever something has been freed
+     * @param onCapacityFreed run whenever capacity has been freed
      */
-    public OccupiedSlot(EndpointLoad load, int promptTokens, Runnable roomMayBe) {
+    public OccupiedSlot(EndpointLoad load, int promptTokens, Runnable onCapacityFreed) {
         this.load = Objects.requireNonNull(load, "load is null");
         this.promptTokens = promptTokens;
-        this.roomMayBe = Objects.requireNonNull(roomMayBe, "roomMayBe is null");
-        load.began(promptTokens);
+        this.onCapacityFreed = Objects.requireNonNull(onCapacityFreed, "onCapacityFreed is null");
+        load.requestSent(promptTokens);
     }
 
-    /** The endpoint has read the prompt; nothing happens if it had already. */
+    /** Records that the endpoint has processed the prompt. Idempotent. */
     public void promptRead() {
         if (!promptRead) {
             promptRead = true;
             load.promptRead(promptTokens);
-            roomMayBe.run();
+            onCapacityFreed.run();
         }
     }
 
     /**
-     * Whether the endpoint has begun the request.
+     * Returns whether the endpoint has started the request.
      *
-     * @return true once its prompt is read, or the room is free
+     * @return true once its prompt is processed or the slot is released
      */
-    public boolean begun() {
+    public boolean started() {
         return promptRead;
     }
 
-    /** The sending is over; called once. */
-    public void free() {
+    /** Releases the slot at the end of the attempt. Must be called once. */
+    public void release() {
         promptRead();
-        load.ended();
-        roomMayBe.run();
+        load.requestEnded();
+        onCapacityFreed.run();
     }
 }
--- a/src/main/java/org/micabarrow/command/RehearseCommand.java
+++ b/src/main/java/org/micabarrow/command/RehearseCommand.java
@@ -13,7 +13,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Runs an entry and an agent against stand-ins on loopback and sends a few requests, so that the build can archive the
@@ -89,7 +89,7 @@
     private static boolean served(HttpClient caller, String clients, String path) throws InterruptedException {
         for (int i = 0; i < TRIES; i++) {
             HttpCall call = HostedSystem.request(clients, path, "attempt-" + i);
-            Result<HttpAnswer> answer = caller.call(call, WITHIN);
+            Result<HttpResponse> answer = caller.call(call, WITHIN);
             if (answer.toOptional().filter(one -> one.status() == OK).isPresent()) {
                 return true;
             }
--- a/src/main/java/org/micabarrow/coordination/claims/Claims.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Claims.java
@@ -144,7 +144,7 @@
     // -- writing
 
     private void writeAll() {
-        while (!writer.closing()) {
+        while (!writer.isClosing()) {
             try {
                 List<Waiting> batch = new ArrayList<>();
                 batch.add(queue.take());
@@ -159,7 +159,7 @@
     /** Appends until an append is acknowledged or nobody waits; the same claim twice counts once. */
     private void write(List<Waiting> batch) {
         List<Waiting> left = new ArrayList<>(batch);
-        while (!writer.closing()) {
+        while (!writer.isClosing()) {
             left.removeIf(one -> one.verdict().isDone() || one.untilMillis() <= clock.millis());
             if (left.isEmpty()) {
                 return;
@@ -173,21 +173,21 @@
                     "claims={} not acknowledged: {}",
                     left.size(),
                     appended.cause().orElseThrow());
-            writer.rest(PAUSE);
+            writer.pause(PAUSE);
         }
     }
 
     // -- reading
 
     private void readAll() {
-        while (!reader.closing()) {
+        while (!reader.isClosing()) {
             Result<PlatformLog.Page> page = log.read(stream, nextOffset, caughtUp ? READ_WAIT : Duration.ZERO);
             switch (page) {
                 case Result.Success<PlatformLog.Page>(PlatformLog.Page read) -> foldPage(read);
                 case Result.Failure<PlatformLog.Page>(Fault fault) -> {
-                    if (!reader.closing()) {
+                    if (!reader.isClosing()) {
                         LOG.warn("claims not read: {}", fault);
-                        reader.rest(PAUSE);
+                        reader.pause(PAUSE);
                     }
                 }
             }
--- a/src/main/java/org/micabarrow/platform/EndpointCalls.java
+++ b/src/main/java/org/micabarrow/platform/EndpointCalls.java
@@ -17,7 +17,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.weights.ModelEndpoint;
 
 /** The platform's calls to the endpoint on the agent's own instance. */
@@ -85,7 +85,7 @@
                 EndpointHeaders.limit(headers));
     }
 
-    private static <T> Result<T> refused(HttpCall call, HttpAnswer answer) {
+    private static <T> Result<T> refused(HttpCall call, HttpResponse answer) {
         return Result.failure(Fault.of(
                 call.step(), call.peer(), Reason.UNKNOWN, call.uri().getPath() + " answered " + answer.status()));
     }
--- a/src/main/java/org/micabarrow/platform/KeyedWriter.java
+++ b/src/main/java/org/micabarrow/platform/KeyedWriter.java
@@ -15,7 +15,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 import org.micabarrow.views.StoredRecord;
 
 /** Writes keyed records into one of the system's own topics of the platform's store. */
@@ -75,7 +75,7 @@
         return body.toByteArray();
     }
 
-    private static Result<Long> offset(HttpCall call, HttpAnswer answer) {
+    private static Result<Long> offset(HttpCall call, HttpResponse answer) {
         if (answer.status() != OK) {
             return Result.failure(
                     Fault.of(call.step(), call.peer(), Reason.OVERLOADED, "the store answered " + answer.status()));
--- a/src/main/java/org/micabarrow/platform/VersionRecords.java
+++ b/src/main/java/org/micabarrow/platform/VersionRecords.java
@@ -9,10 +9,10 @@
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Result;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.views.VersionPersistence;
 import org.micabarrow.views.RecordDecoder.OperatorRecord;
 import org.micabarrow.views.StoredRecord;
 import org.micabarrow.views.UnsavedItem;
+import org.micabarrow.views.VersionPersistence;
 
 /**
  * Writes named weight versions into the system's own topic of the platform's store, as operators write them into theirs, and
@@ -65,7 +65,7 @@
 
     /** Reads what says where a manifest stands. */
     static OperatorRecord manifestKept(JsonNode json) {
-        return new OperatorRecord.ManifestKept(JsonFields.whole(json, VERSION, 0), JsonFields.whole(json, OFFSET, 0));
+        return new OperatorRecord.SavedManifest(JsonFields.whole(json, VERSION, 0), JsonFields.whole(json, OFFSET, 0));
     }
 
     /** The Unix millisecond at which the writer of a record learned of its version; empty if it does not tell. */
--- a/src/main/java/org/micabarrow/process/HostedAgentProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedAgentProcess.java
@@ -22,9 +22,9 @@
 import org.micabarrow.transport.LoadServer;
 import org.micabarrow.transport.PeerChunkClient;
 import org.micabarrow.transport.StoreUpdate;
-import org.micabarrow.views.VersionPersistence.Duty;
 import org.micabarrow.views.PeerFirstReader;
-import org.micabarrow.views.StoreFollower.Pace;
+import org.micabarrow.views.StoreFollower.PollTiming;
+import org.micabarrow.views.VersionPersistence.WriteRole;
 import org.micabarrow.views.View;
 import org.micabarrow.weights.ChunkFetcher;
 import org.micabarrow.weights.ChunkSources;
@@ -81,20 +81,20 @@
     private volatile Placed placed = new Placed(View.empty(), new ReplicaController.RegionPosition(0, 1));
 
     /** Tells entries: a datagram waits while a narrow link is full, and what stops the endpoint in time must not. */
-    private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::tellAll));
+    private final NudgedThread teller = NudgedThread.start("teller", () -> loadServer.ifPresent(LoadServer::sendToAll));
 
     private HostedAgentProcess(HostedSettings settings) throws IOException {
         this.settings = settings;
         this.node = new HostedNode(settings);
-        this.news =
-                new PeerFirstReader(node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
+        this.news = new PeerFirstReader(
+                node.store(), node.peerRecords(), new PeerFirstReader.Role.Agent(), HostedNode::steadyMillis);
         this.self = new Agent(settings.listen().peers(), settings.instance().region());
         ChunkFetcher fetcher = new ChunkFetcher(new ChunkFetcher.Dependencies(
                 new PeerChunkClient(node.kept()),
                 new OriginCalls(node.fresh()),
                 () -> view().manifest().flatMap(RouteManifest::origin),
                 ChunkSources.cached(self, this::agents),
-                node.weightPacer(this::serves)::take,
+                node.weightPacer(this::serves)::acquire,
                 HostedNode::steadyMillis));
         this.keeper = new ReplicaController(new ReplicaController.Dependencies(
                 this::model,
@@ -124,9 +124,9 @@
     private void begin() throws IOException {
         HostedPeerServer peers =
                 new HostedPeerServer(node.views(), keeper::chunkSet, node.metrics(), node.weightPacer(this::serves));
-        HttpListener.Bounds usual = HttpListener.Bounds.usual();
-        HttpListener.on(settings.listen().peers(), usual, node.worker(), peers);
-        HttpListener.on(settings.listen().metrics(), usual, node.worker(), peers);
+        HttpListener.Limits usual = HttpListener.Limits.defaults();
+        HttpListener.startOnWorker(settings.listen().peers(), usual, node.worker(), peers);
+        HttpListener.startOnWorker(settings.listen().metrics(), usual, node.worker(), peers);
         loadServer = Optional.of(LoadServer.start(
                 settings.listen().peers(),
                 this::told,
@@ -135,7 +135,8 @@
                 HostedNode.readerTrustMillis(settings.bounds())));
         // After the listeners, so that no connection of our own takes one of their ports.
         Paces paces = new Paces(
-                new Pace(HostedNode.STORE_WAIT, Duration.ZERO), new Pace(HostedNode.STORE_WAIT, ENDPOINTS_REST));
+                new PollTiming(HostedNode.STORE_WAIT, Duration.ZERO),
+                new PollTiming(HostedNode.STORE_WAIT, ENDPOINTS_REST));
         node.follow(news, news, paces, settings::seeds, this::duty);
         node.metrics().registerGauge("weights.secondsNotRetired", keeper::secondsNotRetired);
         RepeatedTasks.start("report", REPORT_MILLIS, new Reports());
@@ -146,27 +147,27 @@
         LOG.info(
                 "event=started role=agent instance={} countsSuspensions={}",
                 settings.instance().id(),
-                MonotonicClock.countsSuspensions());
+                MonotonicClock.includesSuspendedTime());
     }
 
     /**
      * Asks the endpoint how it is, and tells entries at once when it takes requests again, or no more. Asked by an entry of
      * another region only every 450 ms, it would stand idle for half of that after each change of versions.
      */
-    private final class Reports implements RepeatedTasks.Step {
+    private final class Reports implements RepeatedTasks.Task {
 
         private Optional<Serving> toldLast = Optional.empty();
 
         private record Serving(boolean loading, boolean leaving, long version, OptionalInt start) {}
 
         @Override
-        public void take() {
+        public void run() {
             keeper.refresh();
             keeper.report()
                     .ifPresent(report -> loadServer.ifPresent(
-                            server -> server.limits().reported(report.rateLimit(), HostedNode.steadyMillis())));
+                            server -> server.limitRelay().reported(report.rateLimit(), HostedNode.steadyMillis())));
             Optional<Serving> now =
-                    told().map(told -> new Serving(told.loading(), told.leaving(), told.version(), told.start()));
+                    told().map(told -> new Serving(told.loading(), told.draining(), told.version(), told.start()));
             if (!now.equals(toldLast)) {
                 toldLast = now;
                 tellEntries();
@@ -175,12 +176,12 @@
     }
 
     /** Says that the instance stood still, so that what entries and endpoints tell of that time can be explained. */
-    private final class StandstillWatch implements RepeatedTasks.Step {
+    private final class StandstillWatch implements RepeatedTasks.Task {
 
         private long lastMillis = HostedNode.steadyMillis();
 
         @Override
-        public void take() {
+        public void run() {
             long now = HostedNode.steadyMillis();
             long stood = now - lastMillis - STANDSTILL_LOOK_MILLIS;
             lastMillis = now;
@@ -195,11 +196,11 @@
 
     /** An entry told where the last changes in the store stand. */
     private void heard(String entry, StoreUpdate told) {
-        news.told(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
+        news.onUpdate(entry, told.changes(), HostedNode.steadyMillis() - told.knownMillisAgo());
         // A place beyond all that the entry has read would be kept for good, and be lacking everywhere.
         told.manifest()
                 .filter(place -> place.offset() < told.changes().operator())
-                .ifPresent(node.views()::manifestStands);
+                .ifPresent(node.views()::recordManifestPosition);
     }
 
     /** A version that is named is fetched at once, since the origin may go away; what follows takes seconds to come about. */
@@ -224,8 +225,8 @@
     /** The places that may be dealt out; any number while the manifest, which says how many there are, is not known. */
     private int freePlaces(ModelEndpoint.Report report) {
         return modelService()
-                .map(service -> SlotAllotment.dealable(service.slots(), report.running() + report.queued()))
-                .orElse(LoadReport.ANY_PLACES);
+                .map(service -> SlotAllotment.allottable(service.slots(), report.running() + report.queued()))
+                .orElse(LoadReport.UNLIMITED_SLOTS);
     }
 
     private boolean serves() {
@@ -287,12 +288,12 @@
         return new ReplicaController.RegionPosition(region.indexOf(self.address()), region.size());
     }
 
-    private Duty duty() {
+    private WriteRole duty() {
         int position = place().index();
         if (position < VERSION_KEEPERS) {
-            return Duty.WRITES;
+            return WriteRole.PRIMARY;
         }
-        return position < KEEPERS_AND_STAND_INS ? Duty.STANDS_IN : Duty.NONE;
+        return position < KEEPERS_AND_STAND_INS ? WriteRole.BACKUP : WriteRole.NONE;
     }
 
     @Override
--- a/src/main/java/org/micabarrow/routing/Backoff.java
+++ b/src/main/java/org/micabarrow/routing/Backoff.java
@@ -1,70 +1,71 @@
 package org.micabarrow.routing;
 
 /**
- * The rest that an endpoint has asked this process for, and how it is sent to again afterwards: one request first, and twice as many
- * with each answer, since all that waits would otherwise reach it in the same instant. Used by one thread.
+ * The backoff that an endpoint has asked this process for, and the ramp-up after it. The ramp-up starts with one
+ * request in flight and doubles the limit with each response; without it all waiting requests would reach the endpoint
+ * at once. Not thread-safe: confined to one thread.
  */
 public final class Backoff {
 
-    /** With how many requests at once an endpoint counts as sent to as before. */
-    private static final int AS_BEFORE = 32;
+    /** Number of requests in flight at which the ramp-up is complete. */
+    private static final int RAMP_UP_END = 32;
 
-    /** Stands for any number of requests. */
-    private static final int ANY = 0;
+    /** Stands for an unlimited number of requests. */
+    private static final int UNLIMITED = 0;
 
     private long untilMillis = Long.MIN_VALUE;
-    private int most = ANY;
+    private int maxInFlight = UNLIMITED;
 
     /**
-     * The endpoint asks for rest.
+     * Records that the endpoint asked for a backoff.
      *
-     * @param millis for how long, in milliseconds; a shorter time than is left changes nothing
-     * @param nowMillis the time on the steady clock
+     * @param millis its duration in milliseconds; ignored if the active backoff lasts longer
+     * @param nowMillis the time on the monotonic clock
      */
-    public void asked(long millis, long nowMillis) {
+    public void requested(long millis, long nowMillis) {
         untilMillis = Math.max(untilMillis, nowMillis + millis);
-        most = 1;
+        maxInFlight = 1;
     }
 
     /**
-     * Whether the endpoint wants nothing now.
+     * Returns whether the backoff is active.
      *
-     * @param nowMillis the time on the steady clock
-     * @return true until the rest is over
+     * @param nowMillis the time on the monotonic clock
+     * @return true until the backoff ends
      */
-    public boolean lasts(long nowMillis) {
+    public boolean active(long nowMillis) {
         return nowMillis < untilMillis;
     }
 
     /**
-     * How long the rest lasts.
+     * Returns the remaining time of the backoff.
      *
-     * @param nowMillis the time on the steady clock
-     * @return milliseconds from now; not above 0 if it is over
+     * @param nowMillis the time on the monotonic clock
+     * @return milliseconds; 0 if it has ended
      */
-    public long leftMillis(long nowMillis) {
-        return lasts(nowMillis) ? untilMillis - nowMillis : 0;
+    public long remainingMillis(long nowMillis) {
+        return active(nowMillis) ? untilMillis - nowMillis : 0;
     }
 
     /**
-     * Whether one more request may be sent.
+     * Returns whether one more request may be sent.
      *
-     * @param requests how many of this process are there
-     * @param nowMillis the time on the steady clock
-     * @return false while the rest lasts, and after it while as many are there as may be
+     * @param requests the number of requests that this process has in flight at the endpoint
+     * @param nowMillis the time on the monotonic clock
+     * @return false during the backoff, and after it while the ramp-up limit is reached
      */
     public boolean allows(int requests, long nowMillis) {
-        return !lasts(nowMillis) && (most == ANY || requests < most);
+        return !active(nowMillis) && (maxInFlight == UNLIMITED || requests < maxInFlight);
     }
 
     /**
-     * The endpoint answered a request.
+     * Records that the endpoint responded to a request.
      *
-     * @param nowMillis the time on the steady clock
+     * @param nowMillis the time on the monotonic clock
      */
-    public void answered(long nowMillis) {
-        if (most != ANY && !lasts(nowMillis)) {
-            most = most >= AS_BEFORE ? ANY : 2 * most;
+    public void responded(long nowMillis) {
+        if (maxInFlight != UNLIMITED && !active(nowMillis)) {
+            maxInFlight = maxInFlight >= RAMP_UP_END ? UNLIMITED : 2 * maxInFlight;
         }
     }
 }
--- a/src/main/java/org/micabarrow/serving/CrashTracking.java
+++ b/src/main/java/org/micabarrow/serving/CrashTracking.java
@@ -7,27 +7,27 @@
 import org.micabarrow.crashes.PortProbe;
 
 /**
- * What a handler works with to recognise requests that end endpoints.
+ * What a handler uses to detect requests that crash endpoints.
  *
- * @param book what is known of crashes
- * @param probe finds out whether an endpoint has ended
- * @param sharing takes what other processes are to know
+ * @param registry the crashes known so far
+ * @param probe checks whether an endpoint has crashed
+ * @param publisher receives updates for other processes
  */
-public record CrashTracking(CrashRegistry book, PortProbe probe, Consumer<CrashUpdate> sharing) {
+public record CrashTracking(CrashRegistry registry, PortProbe probe, Consumer<CrashUpdate> publisher) {
 
-    /** Checks that nothing is missing. */
+    /** Checks that no component is null. */
     public CrashTracking {
-        Objects.requireNonNull(book, "book is null");
+        Objects.requireNonNull(registry, "registry is null");
         Objects.requireNonNull(probe, "probe is null");
-        Objects.requireNonNull(sharing, "sharing is null");
+        Objects.requireNonNull(publisher, "publisher is null");
     }
 
     /**
-     * Parts for a handler that notices no crash.
+     * Creates an instance that detects no crashes.
      *
-     * @return the parts
+     * @return the instance
      */
-    public static CrashTracking unnoticed() {
-        return new CrashTracking(new CrashRegistry(1, 1, () -> 1), (endpoint, then) -> {}, news -> {});
+    public static CrashTracking disabled() {
+        return new CrashTracking(new CrashRegistry(1, 1, () -> 1), (endpoint, callback) -> {}, update -> {});
     }
 }
--- a/src/main/java/org/micabarrow/steps/RepeatedTasks.java
+++ b/src/main/java/org/micabarrow/steps/RepeatedTasks.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Work that goes on for as long as the process runs, step by step: a fault of the program costs one step and a line of the
- * log, not all steps that were to follow.
+ * Repeats tasks for as long as the process runs. An unexpected exception fails a single run of a task and is logged;
+ * later runs are not affected.
  *
  * <pre>{@code
  * RepeatedTasks.start("report", 150, endpoint::refresh);
@@ -19,73 +19,73 @@
 
     private RepeatedTasks() {}
 
-    /** A step of the work of a thread. */
+    /** A task that is run repeatedly. */
     @FunctionalInterface
-    public interface Step {
+    public interface Task {
 
         /**
-         * Takes the step.
+         * Runs the task once.
          *
          * @throws InterruptedException if the thread is to end
          */
-        void take() throws InterruptedException;
+        void run() throws InterruptedException;
     }
 
     /**
-     * Takes a step again and again on a thread of its own, until that is interrupted.
+     * Runs a task repeatedly on a separate thread until the thread is interrupted.
      *
-     * @param name the work's name, for the thread and the log
-     * @param restMillis the rest after each step, in milliseconds
-     * @param step the step
+     * @param name the name of the task, for the thread and the log
+     * @param pauseMillis the pause after each run, in milliseconds
+     * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, long restMillis, Step step) {
-        return start(name, () -> restMillis, step);
+    public static Thread start(String name, long pauseMillis, Task task) {
+        return start(name, () -> pauseMillis, task);
     }
 
     /**
-     * Takes a step again and again on a thread of its own, until that is interrupted, and asks each time how long to rest.
+     * Runs a task repeatedly on a separate thread until the thread is interrupted, with a variable pause between runs.
      *
-     * @param name the work's name, for the thread and the log
-     * @param restMillis the rest after the step that was just taken, in milliseconds
-     * @param step the step
+     * @param name the name of the task, for the thread and the log
+     * @param pauseMillis returns the pause after the latest run, in milliseconds
+     * @param task the task
      * @return the running thread
      */
-    public static Thread start(String name, LongSupplier restMillis, Step step) {
+    public static Thread start(String name, LongSupplier pauseMillis, Task task) {
         Objects.requireNonNull(name, "name is null");
-        Objects.requireNonNull(restMillis, "restMillis is null");
-        Objects.requireNonNull(step, "step is null");
-        return Thread.ofPlatform().name(name).daemon().start(() -> run(name, restMillis, step));
+        Objects.requireNonNull(pauseMillis, "pauseMillis is null");
+        Objects.requireNonNull(task, "task is null");
+        return Thread.ofPlatform().name(name).daemon().start(() -> runRepeatedly(name, pauseMillis, task));
     }
 
     /**
-     * Takes one step of work that something else repeats.
+     * Runs a task that the caller repeats, and logs unexpected exceptions.
      *
-     * @param name the work's name, for the log
-     * @param step the step
+     * @param name the name of the task, for the log
+     * @param task the task
      */
-    public static void guarded(String name, Runnable step) {
+    public static void runGuarded(String name, Runnable task) {
         try {
-            step.run();
+            task.run();
         } catch (RuntimeException | Error e) {
             LOG.error("event=step_failed work={}", name, e);
         }
     }
 
-    private static void run(String name, LongSupplier restMillis, Step step) {
+    private static void runRepeatedly(String name, LongSupplier pauseMillis, Task task) {
         try {
             while (true) {
-                guarded(name, step);
-                Thread.sleep(restMillis.getAsLong());
+                runGuarded(name, task);
+                Thread.sleep(pauseMillis.getAsLong());
             }
         } catch (InterruptedException e) {
             LOG.info("event=thread_stopped thread={}", name);
         }
     }
 
-    private static void guarded(String name, Step step) throws InterruptedException {
+    private static void runGuarded(String name, Task task) throws InterruptedException {
         try {
-            step.take();
+            task.run();
         } catch (RuntimeException | Error e) {
             LOG.error("event=step_failed work={}", name, e);
         }
--- /dev/null
+++ b/src/main/java/org/micabarrow/transport/ResponseCollector.java
@@ -0,0 +1,77 @@
+package org.micabarrow.transport;
+
+import java.io.ByteArrayOutputStream;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Result;
+import org.micabarrow.transport.HttpClient.HttpResponse;
+
+/** Collects a response until it is complete. */
+final class ResponseCollector implements HttpClient.Listener {
+
+    private final CompletableFuture<Result<HttpResponse>> done = new CompletableFuture<>();
+    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private volatile boolean begun;
+    private volatile long lastPartNanos;
+    private int status;
+    private Map<String, String> headers = Map.of();
+
+    /** Whether any part of the response has arrived. */
+    boolean hasBegun() {
+        return begun;
+    }
+
+    /**
+     * Waits for the complete response.
+     *
+     * @param timeouts the timeouts for the response, counted from now
+     * @throws TimeoutException if a timeout expired before the response was complete
+     */
+    Result<HttpResponse> await(ResponseTimeouts timeouts)
+            throws InterruptedException, ExecutionException, TimeoutException {
+        long startNanos = System.nanoTime();
+        while (true) {
+            long remaining = timeouts.deadlineNanos(startNanos, begun ? lastPartNanos : startNanos) - System.nanoTime();
+            try {
+                return done.get(Math.max(0, remaining), TimeUnit.NANOSECONDS);
+            } catch (TimeoutException e) {
+                if (timeouts.deadlineNanos(startNanos, begun ? lastPartNanos : startNanos) - System.nanoTime() <= 0) {
+                    throw e;
+                }
+            }
+        }
+    }
+
+    private void onPart() {
+        lastPartNanos = System.nanoTime();
+        begun = true;
+    }
+
+    @Override
+    public void onHead(int receivedStatus, Map<String, String> receivedHeaders) {
+        onPart();
+        status = receivedStatus;
+        headers = receivedHeaders;
+    }
+
+    @Override
+    public void onData(byte[] data, Runnable requestMore) {
+        onPart();
+        body.writeBytes(data);
+        requestMore.run();
+    }
+
+    @Override
+    public void onComplete() {
+        done.complete(Result.success(new HttpResponse(status, headers, body.toByteArray())));
+    }
+
+    @Override
+    public void onFailed(Fault fault, boolean sent) {
+        done.complete(Result.failure(fault));
+    }
+}
--- a/src/main/java/org/micabarrow/views/View.java
+++ b/src/main/java/org/micabarrow/views/View.java
@@ -11,62 +11,66 @@
 import org.micabarrow.routing.RouteManifest;
 
 /**
- * What a process believes at one moment. Immutable.
+ * An immutable snapshot of what a process knows of the store.
  *
- * @param manifest the manifest in force, empty until one is known
- * @param manifestOffset where it stands in the store
+ * @param manifest the active manifest, empty until one is known
+ * @param manifestOffset the offset of its record in the store
  * @param endpoints the endpoints that the store lists, by id
- * @param targets the weight versions wanted of each model, in the order in which they were named
- * @param found the first version of each model that was found named and that a newer one replaced before it was wanted for long
+ * @param targets the target weight versions of each model, in the order in which they were named
+ * @param supersededTargets for each model, the first target that was already named when this process read it and that
+ *     was superseded by another such target
  */
 public record View(
         Optional<RouteManifest> manifest,
         long manifestOffset,
         Map<String, EndpointRegistration> endpoints,
         Map<String, List<Target>> targets,
-        Map<String, Target> found) {
+        Map<String, Target> supersededTargets) {
 
-    /** How many named versions of a model are remembered: more are never on their way at once. */
-    private static final int TARGETS_KEPT = 8;
+    /** The maximum number of targets that are remembered per model: there are never more in transit at once. */
+    private static final int MAX_TARGETS = 8;
 
     /**
-     * A wanted weight version.
+     * A weight version that endpoints should load.
      *
      * @param version the version
-     * @param learnedMillis when this process learned of it, on its steady clock
-     * @param learned how this process learned of it
+     * @param learnedAtMillis when this process learned of it, on its monotonic clock
+     * @param source how this process learned of it
      */
-    public record Target(long version, long learnedMillis, Learned learned) {
+    public record Target(long version, long learnedAtMillis, TargetSource source) {
 
         /**
-         * Whether this process saw the version being named, rather than finding it named at its start.
+         * Whether this process observed that the version was named, as opposed to reading at startup that it was
+         * already named.
          *
          * @return whether it did
          */
-        public boolean seenNamed() {
-            return learned == Learned.SEEN_NAMED;
+        public boolean namingObserved() {
+            return source == TargetSource.OBSERVED;
         }
     }
 
-    /** How a process learned of a weight version. */
-    public enum Learned {
-        /** It ran when the version was named. */
-        SEEN_NAMED,
-        /** It found the version named, with the time at which that was. */
-        TOLD_WHEN,
-        /** A peer told of it before this process had read what operators wrote. */
-        TOLD_BY_PEER,
-        /** It found the version named, nobody knows since when. */
-        FOUND
+    /** How a process learned of a target. */
+    public enum TargetSource {
+        /** The process was running when the version was named. */
+        OBSERVED,
+        /**
+         * The version was already named when the process first read it, and the time at which it was named is known.
+         */
+        FOUND_WITH_TIME,
+        /** A peer reported it before this process had read the operator records. */
+        REPORTED_BY_PEER,
+        /** The version was already named when the process first read it, at an unknown time. */
+        FOUND_WITHOUT_TIME
     }
 
     /**
-     * A view in which no version was replaced by another that was found named.
+     * Creates a view without superseded targets.
      *
-     * @param manifest the manifest in force, empty until one is known
-     * @param manifestOffset where it stands in the store
+     * @param manifest the active manifest, empty until one is known
+     * @param manifestOffset the offset of its record in the store
      * @param endpoints the endpoints that the store lists, by id
-     * @param targets the weight versions wanted of each model, in the order in which they were named
+     * @param targets the target weight versions of each model, in the order in which they were named
      */
     public View(
             Optional<RouteManifest> manifest,
@@ -81,11 +85,11 @@
         Objects.requireNonNull(manifest, "manifest is null");
         endpoints = Map.copyOf(endpoints);
         targets = Map.copyOf(targets);
-        found = Map.copyOf(found);
+        supersededTargets = Map.copyOf(supersededTargets);
     }
 
     /**
-     * A view that knows nothing.
+     * Returns a view that contains nothing.
      *
      * @return the view
      */
@@ -93,53 +97,54 @@
         return new View(Optional.empty(), -1, Map.of(), Map.of());
     }
 
-    // -- questions
+    // -- queries
 
     /**
-     * The newest weight version that was named for a model.
+     * Returns the newest weight version that was named for a model.
      *
      * @param model the model
-     * @return the version, empty if none was named
+     * @return the target, empty if none was named
      */
     public Optional<Target> newestTarget(String model) {
-        List<Target> named = named(model);
-        return named.isEmpty() ? Optional.empty() : Optional.of(named.getLast());
+        List<Target> existing = targetsOf(model);
+        return existing.isEmpty() ? Optional.empty() : Optional.of(existing.getLast());
     }
 
     /**
-     * The least weight version that may still answer: the newest of those that were named long enough ago.
+     * Returns the minimum weight version that may still serve requests: the newest of those that were named long enough
+     * ago.
      *
      * @param model the model
-     * @param boundMillis how long after a version was named older ones may answer
-     * @param nowMillis the time on the steady clock
-     * @return the version, 0 if any may answer
+     * @param boundMillis for how long older versions may serve after a version was named
+     * @param nowMillis the time on the monotonic clock
+     * @return the version, 0 if any may serve
      */
-    public long leastVersion(String model, long boundMillis, long nowMillis) {
-        return Stream.concat(named(model).stream(), Optional.ofNullable(found.get(model)).stream())
-                .filter(target -> nowMillis - target.learnedMillis() > boundMillis)
+    public long minVersion(String model, long boundMillis, long nowMillis) {
+        return Stream.concat(targetsOf(model).stream(), Optional.ofNullable(supersededTargets.get(model)).stream())
+                .filter(target -> nowMillis - target.learnedAtMillis() > boundMillis)
                 .mapToLong(Target::version)
                 .max()
                 .orElse(0);
     }
 
     /**
-     * The oldest of the versions that are newer than one.
+     * Returns the oldest target that is newer than a version.
      *
      * @param model the model
-     * @param version the version that is held
-     * @return the version named first after it; empty if none is newer
+     * @param version the version that is loaded
+     * @return the first target named after it; empty if none is newer
      */
-    public Optional<Target> newerNamed(String model, long version) {
-        return named(model).stream()
+    public Optional<Target> nextTarget(String model, long version) {
+        return targetsOf(model).stream()
                 .filter(target -> target.version() > version)
                 .findFirst();
     }
 
     /**
-     * The endpoints of a service.
+     * Returns the endpoints of a service.
      *
      * @param service the service
-     * @return its endpoints, those that leave too
+     * @return its endpoints, including draining ones
      */
     public List<EndpointRegistration> endpointsOf(String service) {
         return endpoints.values().stream()
@@ -147,45 +152,46 @@
                 .toList();
     }
 
-    private List<Target> named(String model) {
+    private List<Target> targetsOf(String model) {
         return targets.getOrDefault(model, List.of());
     }
 
-    // -- views that follow from this one
+    // -- derived views
 
     View withManifest(RouteManifest newManifest, long offset) {
-        return new View(Optional.of(newManifest), offset, endpoints, targets, found);
+        return new View(Optional.of(newManifest), offset, endpoints, targets, supersededTargets);
     }
 
     View withEndpoints(Map<String, EndpointRegistration> newEndpoints) {
-        return new View(manifest, manifestOffset, newEndpoints, targets, found);
+        return new View(manifest, manifestOffset, newEndpoints, targets, supersededTargets);
     }
 
     /**
-     * The same view with one more weight version wanted. One that was found named and a newer one that was found so too were both
-     * named nobody knows when: the older must not seem good to answer, and be fetched, for as long as the newer is not due. It
-     * still tells by when those before it must have stopped.
+     * Returns this view with a target added. If both the existing and the new target were already named when they were
+     * read, it is unknown when either was named. The older one must not be considered allowed to serve, and be fetched,
+     * until the newer one is due, so it is removed from the targets. It is retained as a superseded target, because it
+     * still determines by when earlier versions must have stopped.
      *
      * @param model the model
-     * @param target the version
-     * @return the new view; this one if the version is not newer than those known
+     * @param target the target
+     * @return the new view; this one if the version is not newer than the known ones
      */
     View withTarget(String model, Target target) {
-        List<Target> named = named(model);
-        if (!named.isEmpty() && named.getLast().version() >= target.version()) {
+        List<Target> existing = targetsOf(model);
+        if (!existing.isEmpty() && existing.getLast().version() >= target.version()) {
             return this;
         }
-        List<Target> more = new ArrayList<>(named);
-        Map<String, Target> replaced = new HashMap<>(found);
-        if (target.learned() == Learned.FOUND) {
-            more.stream()
-                    .filter(one -> one.learned() == Learned.FOUND)
-                    .forEach(one -> replaced.putIfAbsent(model, one));
-            more.removeIf(one -> one.learned() == Learned.FOUND);
+        List<Target> updated = new ArrayList<>(existing);
+        Map<String, Target> superseded = new HashMap<>(supersededTargets);
+        if (target.source() == TargetSource.FOUND_WITHOUT_TIME) {
+            updated.stream()
+                    .filter(knownTarget -> knownTarget.source() == TargetSource.FOUND_WITHOUT_TIME)
+                    .forEach(knownTarget -> superseded.putIfAbsent(model, knownTarget));
+            updated.removeIf(knownTarget -> knownTarget.source() == TargetSource.FOUND_WITHOUT_TIME);
         }
-        more.add(target);
-        Map<String, List<Target>> all = new HashMap<>(targets);
-        all.put(model, List.copyOf(more.subList(Math.max(0, more.size() - TARGETS_KEPT), more.size())));
-        return new View(manifest, manifestOffset, endpoints, all, replaced);
+        updated.add(target);
+        Map<String, List<Target>> allTargets = new HashMap<>(targets);
+        allTargets.put(model, List.copyOf(updated.subList(Math.max(0, updated.size() - MAX_TARGETS), updated.size())));
+        return new View(manifest, manifestOffset, endpoints, allTargets, superseded);
     }
 }
--- a/src/main/java/org/micabarrow/views/ViewMaintainer.java
+++ b/src/main/java/org/micabarrow/views/ViewMaintainer.java
@@ -16,52 +16,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps copies of the store's two topics and publishes the view that follows from them. Records may come from the store
- * or from peers, in any order; changes are made under one lock and readers see immutable views.
+ * Maintains copies of the store's topics and publishes the resulting view. Records may come from the store or from
+ * peers, in any order. Changes are made under one lock; readers see immutable views.
  */
 public final class ViewMaintainer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ViewMaintainer.class);
 
-    private final LongSupplier steadyMillis;
+    private final LongSupplier monotonicMillis;
     private final Map<Topic, TopicCopy> copies = new HashMap<>();
-    private final EndpointEntries entries;
-    private final OperatorBeliefs operator;
-    private final OperatorKnowledge knowledge = new OperatorKnowledge();
+    private final EndpointListUpdater endpointList;
+    private final OperatorState operatorState;
+    private final OperatorFreshness freshness = new OperatorFreshness();
     private volatile ChangeOffsets changes = new ChangeOffsets(0, 0, 0);
     private volatile View view = View.empty();
-    private volatile Consumer<List<StoredRecord>> crashNews = news -> {};
+    private volatile Consumer<List<StoredRecord>> crashListener = newRecords -> {};
 
     /**
-     * Makes a keeper that knows nothing yet.
+     * Creates an instance without any records.
      *
-     * @param decoder reads records
-     * @param steadyMillis a clock that never steps, in milliseconds
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
      */
-    public ViewMaintainer(RecordDecoder decoder, LongSupplier steadyMillis) {
-        this(decoder, steadyMillis, System::currentTimeMillis);
+    public ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis) {
+        this(decoder, monotonicMillis, System::currentTimeMillis);
     }
 
     /**
-     * Makes a keeper that knows nothing yet, with a time of day of its own.
+     * Creates an instance without any records, with a given time of day.
      *
-     * @param decoder reads records
-     * @param steadyMillis a clock that never steps, in milliseconds
-     * @param unixMillis the time of day, in milliseconds, which may be some seconds off
+     * @param decoder decodes records
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param unixMillis the time of day, in milliseconds, which may be off by some seconds
      */
-    ViewMaintainer(RecordDecoder decoder, LongSupplier steadyMillis, LongSupplier unixMillis) {
+    ViewMaintainer(RecordDecoder decoder, LongSupplier monotonicMillis, LongSupplier unixMillis) {
         Objects.requireNonNull(decoder, "decoder is null");
-        this.steadyMillis = Objects.requireNonNull(steadyMillis, "steadyMillis is null");
-        this.operator =
-                new OperatorBeliefs(decoder, steadyMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
-        this.entries = new EndpointEntries(decoder);
+        this.monotonicMillis = Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+        this.operatorState =
+                new OperatorState(decoder, monotonicMillis, Objects.requireNonNull(unixMillis, "unixMillis is null"));
+        this.endpointList = new EndpointListUpdater(decoder);
         for (Topic topic : Topic.values()) {
             copies.put(topic, new TopicCopy());
         }
     }
 
     /**
-     * The view now.
+     * The current view.
      *
      * @return an immutable view
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Up to where the records are known that changed the view.
+     * The offsets up to which the records that changed the view are known.
      *
      * @return the offsets
      */
@@ -79,61 +79,61 @@
     }
 
     /**
-     * Has somebody learn of news in {@link Topic#CRASHES}, which change no view.
+     * Sets the listener for new records of {@link Topic#CRASHES}, which do not change the view.
      *
-     * @param learns takes the records; called under the keeper's lock, so it must not wait
+     * @param listener receives the records; it is called under the lock of this object and must not block
      */
-    public void onCrashNews(Consumer<List<StoredRecord>> learns) {
-        crashNews = Objects.requireNonNull(learns, "learns is null");
+    public void onCrashRecords(Consumer<List<StoredRecord>> listener) {
+        crashListener = Objects.requireNonNull(listener, "listener is null");
     }
 
     // -- records
 
     /**
-     * Takes records of a topic.
+     * Applies records of a topic.
      *
      * @param topic the topic
      * @param records the records
      * @param readTo the offset up to which the topic is now known
      */
     public synchronized void apply(Topic topic, Collection<StoredRecord> records, long readTo) {
-        takeLacking(topic, records);
+        applyMissingManifest(topic, records);
         publish(topic, copies.get(topic).apply(records, readTo));
-        knowledge.manifestLacking(operator.misses(end(Topic.OPERATOR)));
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
     }
 
     /**
-     * Takes the newest records of all keys of a topic.
+     * Applies the latest records of all keys of a topic.
      *
      * @param topic the topic
      * @param records the records
-     * @param takenAt the topic's end before the first of them was read
+     * @param endBeforeRead the end of the topic before the first of them was read
      */
-    public synchronized void replace(Topic topic, Collection<StoredRecord> records, long takenAt) {
-        takeLacking(topic, records);
-        publish(topic, copies.get(topic).replace(records, takenAt));
+    public synchronized void replace(Topic topic, Collection<StoredRecord> records, long endBeforeRead) {
+        applyMissingManifest(topic, records);
+        publish(topic, copies.get(topic).replace(records, endBeforeRead));
         if (topic == Topic.OPERATOR) {
-            operator.loaded();
+            operatorState.markLoaded();
         }
-        knowledge.manifestLacking(operator.misses(end(Topic.OPERATOR)));
+        freshness.setManifestMissing(operatorState.lacksManifest(end(Topic.OPERATOR)));
     }
 
     /**
-     * Takes note that all that operators wrote up to a moment has been taken; to be called after the records were.
+     * Records that all operator records up to a time have been applied. Must be called after the records were applied.
      *
-     * @param asOfMillis the moment on the steady clock; an earlier one than is known changes nothing
+     * @param asOfMillis the time on the monotonic clock; an earlier time than the known one has no effect
      */
     public void confirmOperator(long asOfMillis) {
-        knowledge.confirm(asOfMillis);
+        freshness.confirm(asOfMillis);
     }
 
     /**
-     * Up to which moment all that operators wrote is known. A view that is taken after this holds it.
+     * The time up to which all operator records are known. A view that is obtained after this call contains them.
      *
-     * @return the moment on the steady clock; empty if there is none, and while a manifest is known to be lacking
+     * @return the time on the monotonic clock; empty if there is none, and while a manifest is known to be missing
      */
     public OptionalLong operatorAsOfMillis() {
-        return knowledge.asOf();
+        return freshness.asOf();
     }
 
     /**
@@ -147,162 +147,165 @@
     }
 
     /**
-     * The newest records of a topic at or after an offset, and where to read on after them, both at one moment: with an end that
-     * was taken after the records, whoever reads on from there would never get one that came in between. Of operators' records it
-     * is told, too, up to which moment they reach.
+     * Returns the latest records of a topic at or after an offset, together with the offset to continue from,
+     * atomically: if the end were read after the records, a process that continues from it would miss records that
+     * arrived in between. For operator records, the batch also has the time up to which all of them are known.
      *
      * @param topic the topic
-     * @param offset the offset, before which the asker knows all records
-     * @return the records, and the offset before which the asker then knows all
+     * @param offset the offset before which the requesting process knows all records
+     * @return the records, and the offset before which that process then knows all of them
      */
     public synchronized TopicReader.Batch since(Topic topic, long offset) {
         TopicCopy copy = copies.get(topic);
         List<StoredRecord> records = copy.since(offset);
         return topic == Topic.OPERATOR
-                ? new TopicReader.Batch(operator.withHidden(records, offset), copy.endFor(offset), operatorAsOfMillis())
-                : new TopicReader.Batch(records, copy.endFor(offset));
+                ? new TopicReader.Batch(
+                        operatorState.withReplaced(records, offset), copy.continueFrom(offset), operatorAsOfMillis())
+                : new TopicReader.Batch(records, copy.continueFrom(offset));
     }
 
     /**
-     * From where on a peer is to be asked for a topic: from where it is to be read next, or from a manifest on that is lacking.
+     * The offset from which a topic is to be requested from a peer: the offset to read from next, or that of a missing
+     * manifest.
      *
      * @param topic the topic
      * @return the offset
      */
-    public synchronized long askFrom(Topic topic) {
+    public synchronized long peerReadOffset(Topic topic) {
         long end = end(topic);
-        return topic == Topic.OPERATOR ? Math.min(end, lackingManifest().orElse(end)) : end;
+        return topic == Topic.OPERATOR ? Math.min(end, missingManifestOffset().orElse(end)) : end;
     }
 
     /**
-     * The store answers again after it did not.
+     * Records that a topic of the store is readable again after an outage.
      *
-     * @param topic the topic that can be read again
+     * @param topic the topic
      */
-    public synchronized void regained(Topic topic) {
+    public synchronized void onStoreReachable(Topic topic) {
         if (topic == Topic.ENDPOINTS) {
-            entries.regained(steadyMillis.getAsLong());
+            endpointList.onStoreReachable(monotonicMillis.getAsLong());
         }
     }
 
-    /** Removes endpoints whose entries were doubted and have not come back in time. */
-    public synchronized void settleDoubts() {
-        entries.withoutOverdue(view.endpoints(), steadyMillis.getAsLong())
-                .ifPresent(left -> view = view.withEndpoints(left));
+    /** Removes the endpoints whose pending removal is due. */
+    public synchronized void removeDueEndpoints() {
+        endpointList
+                .withoutDueRemovals(view.endpoints(), monotonicMillis.getAsLong())
+                .ifPresent(remaining -> view = view.withEndpoints(remaining));
     }
 
     /**
-     * Shortens a wait after which doubted endpoints are to be looked at.
+     * Shortens a wait so that it ends when the first pending removal is due.
      *
      * @param wait the wait
-     * @return the wait, or the time until the first doubt ends if that is less
+     * @return the wait, or the time until the first pending removal is due if that is less
      */
-    synchronized Duration untilDoubtEnds(Duration wait) {
-        return entries.untilDoubtEnds(wait, steadyMillis.getAsLong());
+    synchronized Duration untilNextRemoval(Duration wait) {
+        return endpointList.untilNextRemoval(wait, monotonicMillis.getAsLong());
     }
 
-    // -- views
+    // -- updates of the view
 
-    private void publish(Topic topic, List<StoredRecord> news) {
-        if (news.isEmpty()) {
+    private void publish(Topic topic, List<StoredRecord> newRecords) {
+        if (newRecords.isEmpty()) {
             return;
         }
         switch (topic) {
             case OPERATOR -> {
-                List<StoredRecord> forAgents =
-                        news.stream().filter(this::operatorSaid).toList();
-                changes = changes.withOperator(news, forAgents);
+                List<StoredRecord> agentRecords =
+                        newRecords.stream().filter(this::applyOperatorRecord).toList();
+                changes = changes.withOperator(newRecords, agentRecords);
             }
-            case ENDPOINTS -> endpointsSaid(news);
-            case NAMED -> view = operator.kept(news, view);
-            case CRASHES -> crashNews.accept(news);
+            case ENDPOINTS -> applyEndpointRecords(newRecords);
+            case NAMED -> view = operatorState.applySaved(newRecords, view);
+            case CRASHES -> crashListener.accept(newRecords);
         }
     }
 
-    /** Takes what operators wrote, and tells whether agents act on it. */
-    private boolean operatorSaid(StoredRecord record) {
-        OperatorBeliefs.Change change = operator.said(record, view);
+    /** Applies an operator record, and returns whether agents use it. */
+    private boolean applyOperatorRecord(StoredRecord record) {
+        OperatorState.Change change = operatorState.apply(record, view);
         view = change.view();
-        return change.forAgents();
+        return change.relevantToAgents();
     }
 
     /**
-     * Takes the manifest that is lacking: the copy passes it over, since an older one stands after it. It comes before the others,
-     * or an entry would go by the older one for an instant.
+     * Applies a missing manifest, which the topic copy ignores because it holds an older one with a greater offset.
+     * This happens before the other records are applied, so that the older one is never active, not even briefly.
      */
-    private void takeLacking(Topic topic, Collection<StoredRecord> records) {
-        OptionalLong lacking = topic == Topic.OPERATOR ? lackingManifest() : OptionalLong.empty();
-        lacking.ifPresent(offset ->
-                records.stream().filter(record -> record.offset() == offset).forEach(this::operatorSaid));
+    private void applyMissingManifest(Topic topic, Collection<StoredRecord> records) {
+        OptionalLong missingOffset = topic == Topic.OPERATOR ? missingManifestOffset() : OptionalLong.empty();
+        missingOffset.ifPresent(offset ->
+                records.stream().filter(record -> record.offset() == offset).forEach(this::applyOperatorRecord));
     }
 
     /**
-     * Takes note of a weight version that is wanted, from a peer that has heard of it.
+     * Adds a weight version that a peer reported as a target.
      *
      * @param model the model
-     * @param version the version; an older one than is known changes nothing
+     * @param version the version; has no effect if a newer one is known
      */
-    public synchronized void want(String model, long version) {
-        view = operator.wanted(model, version, view);
+    public synchronized void addPeerTarget(String model, long version) {
+        view = operatorState.addPeerTarget(model, version, view);
     }
 
-    // -- what processes keep in the store
+    // -- records saved by processes
 
-    /** Where a manifest stands that is known to be newer than the one in force; empty if none is. */
-    synchronized OptionalLong lackingManifest() {
-        return operator.lackingManifest(end(Topic.OPERATOR));
+    /** The offset of a manifest known to be newer than the active one; empty if there is none. */
+    synchronized OptionalLong missingManifestOffset() {
+        return operatorState.missingManifestOffset(end(Topic.OPERATOR));
     }
 
     /**
-     * Takes note of where the newest manifest stands, from a peer that has it: this process may do without the manifest, and still
-     * keep its place for others.
+     * Records the position of the newest manifest as reported by a peer that has it. A process that does not need the
+     * manifest itself still saves its position for others.
      *
-     * @param place where it stands
+     * @param position the position
      */
-    public synchronized void manifestStands(ManifestPosition place) {
-        operator.manifestStands(place);
+    public synchronized void recordManifestPosition(ManifestPosition position) {
+        operatorState.recordManifestPosition(position);
     }
 
     /**
-     * Where the newest manifest stands that is known of.
+     * The position of the newest known manifest.
      *
-     * @return the place, empty if none is known
+     * @return the position, empty if none is known
      */
-    public synchronized Optional<ManifestPosition> newestManifest() {
-        return operator.newestManifest();
+    public synchronized Optional<ManifestPosition> newestManifestPosition() {
+        return operatorState.newestManifestPosition();
     }
 
-    /** The newest manifest, if it is not known to be kept. */
-    synchronized Optional<UnsavedItem> unkeptManifest() {
-        return operator.unkeptManifest(copies.get(Topic.NAMED));
+    /** The newest manifest, if it is not known to be saved. */
+    synchronized Optional<UnsavedItem> unsavedManifest() {
+        return operatorState.unsavedManifest(copies.get(Topic.NAMED));
     }
 
-    /** Whether what operators wrote has been read. */
-    synchronized boolean knowsOperator() {
-        return operator.isLoaded();
+    /** Whether the operator records have been read. */
+    synchronized boolean isOperatorLoaded() {
+        return operatorState.isLoaded();
     }
 
-    /** The newest versions that are not known to lie in the store under a key of their own. */
-    synchronized List<UnsavedItem> unkept() {
-        return operator.unkept(copies.get(Topic.NAMED));
+    /** The newest versions that are not known to be saved in the store under their own keys. */
+    synchronized List<UnsavedItem> unsavedVersions() {
+        return operatorState.unsavedVersions(copies.get(Topic.NAMED));
     }
 
     // -- endpoints
 
-    private void endpointsSaid(List<StoredRecord> news) {
+    private void applyEndpointRecords(List<StoredRecord> newRecords) {
         Map<String, EndpointRegistration> endpoints = new HashMap<>(view.endpoints());
-        List<StoredRecord> changing = new ArrayList<>();
-        List<String> lines = new ArrayList<>();
-        long now = steadyMillis.getAsLong();
-        entries.read(news, endpoints, now);
-        news.forEach(record -> entries.take(record, endpoints, now).ifPresent(line -> {
-            changing.add(record);
-            lines.add(line);
+        List<StoredRecord> changedRecords = new ArrayList<>();
+        List<String> logLines = new ArrayList<>();
+        long now = monotonicMillis.getAsLong();
+        endpointList.prepareBatch(newRecords, endpoints, now);
+        newRecords.forEach(record -> endpointList.apply(record, endpoints, now).ifPresent(line -> {
+            changedRecords.add(record);
+            logLines.add(line);
         }));
-        if (!changing.isEmpty()) {
+        if (!changedRecords.isEmpty()) {
             view = view.withEndpoints(endpoints);
-            changes = changes.withEndpoints(changing);
-            lines.forEach(LOG::info);
+            changes = changes.withEndpoints(changedRecords);
+            logLines.forEach(LOG::info);
         }
     }
 }
--- a/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
+++ b/src/test/java/org/micabarrow/attempts/AttemptPolicyTest.java
@@ -10,11 +10,11 @@
 import org.micabarrow.routing.RequestKind;
 import org.micabarrow.routing.Route;
 
-/** Which requests are sent again. */
 class AttemptPolicyTest {
 
     private static Route route(RequestKind kind, int attempts) {
-        return new Route("r", "h", "/", List.of(new Route.Share("s", 1)), kind, 1_000, 500, 0, attempts, false);
+        return new Route(
+                "r", "h", "/", List.of(new Route.WeightedService("s", 1)), kind, 1_000, 500, 0, attempts, false);
     }
 
     @ParameterizedTest
@@ -28,16 +28,18 @@
         "IDEMPOTENT,       true,  2, 1000, false",
         "IDEMPOTENT,       false, 1, 10,   false"
     })
-    void shouldDecideByKindAndTime(RequestKind kind, boolean mayHaveRun, int sendings, long left, boolean again) {
-        AttemptPolicy.Progress progress = new AttemptPolicy.Progress(sendings, mayHaveRun, left);
-        assertEquals(again, AttemptPolicy.again(route(kind, 2), progress, () -> true));
+    void shouldDecideByKindAndRemainingTime(
+            RequestKind kind, boolean mayHaveRun, int attempts, long remainingMillis, boolean allowed) {
+        AttemptPolicy.Progress progress = new AttemptPolicy.Progress(attempts, mayHaveRun, remainingMillis);
+        assertEquals(allowed, AttemptPolicy.allowsAnotherAttempt(route(kind, 2), progress, () -> true));
     }
 
     @Test
-    void shouldTakeNothingFromBudgetWhenRequestMayNotRunAgain() {
+    void shouldNotConsumeBudgetWhenRequestMayNotRunAgain() {
         AtomicInteger taken = new AtomicInteger();
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, true, 1_000);
-        AttemptPolicy.again(route(RequestKind.AT_MOST_ONCE, 2), progress, () -> taken.incrementAndGet() > 0);
+        AttemptPolicy.allowsAnotherAttempt(
+                route(RequestKind.AT_MOST_ONCE, 2), progress, () -> taken.incrementAndGet() > 0);
         assertEquals(0, taken.get());
     }
 
@@ -49,14 +51,15 @@
         "STREAM,           9999, false",
         "AT_MOST_ONCE,     9999, false"
     })
-    void shouldCallAnswerOverdueAfterTwoObjectivesWhenRequestMayRunAgain(
-            RequestKind kind, long sentMillis, boolean overdue) {
-        assertEquals(overdue, AttemptPolicy.overdue(route(kind, 2), sentMillis));
+    void shouldReportOverdueAfterTwoObjectivesWhenRequestMayRunAgain(
+            RequestKind kind, long waitedMillis, boolean overdue) {
+        assertEquals(overdue, AttemptPolicy.overdue(route(kind, 2), waitedMillis));
     }
 
     @Test
-    void shouldStopWhenBudgetIsSpent() {
+    void shouldStopWhenBudgetIsExhausted() {
         AttemptPolicy.Progress progress = new AttemptPolicy.Progress(1, false, 1_000);
-        assertEquals(false, AttemptPolicy.again(route(RequestKind.IDEMPOTENT, 2), progress, () -> false));
+        assertEquals(
+                false, AttemptPolicy.allowsAnotherAttempt(route(RequestKind.IDEMPOTENT, 2), progress, () -> false));
     }
 }
--- a/src/test/java/org/micabarrow/limits/EndpointRateLimitTest.java
+++ b/src/test/java/org/micabarrow/limits/EndpointRateLimitTest.java
@@ -16,7 +16,7 @@
 
 class EndpointRateLimitTest {
 
-    private static final boolean AGENT_TELLS = true;
+    private static final boolean RANKS_AVAILABLE = true;
 
     private final EntryCount entries = new EntryCount();
     private final EndpointRateLimit limit = new EndpointRateLimit("a", entries, new Random(1));
@@ -24,25 +24,25 @@
 
     @BeforeEach
     void rank() {
-        limit.ranked(new EntryRank(0, 1));
+        limit.rankReported(new EntryRank(0, 1));
     }
 
-    private boolean name(double perSecond, long atMillis) {
-        return limit.answered(OptionalDouble.of(perSecond), atMillis, atMillis);
+    private boolean stateLimit(double perSecond, long atMillis) {
+        return limit.responseReceived(OptionalDouble.of(perSecond), atMillis, atMillis);
     }
 
-    private boolean answerWithout(long sentMillis, long atMillis) {
-        return limit.answered(OptionalDouble.empty(), sentMillis, atMillis);
+    private boolean responseWithoutLimit(long sentMillis, long atMillis) {
+        return limit.responseReceived(OptionalDouble.empty(), sentMillis, atMillis);
     }
 
     private int sentIn(long millis) {
-        return sentIn(millis, AGENT_TELLS);
+        return sentIn(millis, RANKS_AVAILABLE);
     }
 
-    private int sentIn(long millis, boolean agentTells) {
+    private int sentIn(long millis, boolean ranksAvailable) {
         int sent = 0;
         for (long end = now + millis; now < end; now += 10) {
-            if (limit.allows(agentTells, now)) {
+            if (limit.allows(ranksAvailable, now)) {
                 limit.sent(now);
                 sent++;
             }
@@ -53,118 +53,118 @@
     // -- sending
 
     @Test
-    void shouldAllowAnythingWhenNoLimitIsNamed() {
+    void shouldAllowAnythingWhenNoLimitIsStated() {
         assertEquals(100, sentIn(1_000));
-        assertEquals(OptionalLong.of(0), limit.untilNextMillis(AGENT_TELLS, now));
+        assertEquals(OptionalLong.of(0), limit.untilNextRequestMillis(RANKS_AVAILABLE, now));
     }
 
     @Test
-    void shouldAllowAsManyAsEndpointTakesWhenThereIsNoOtherEntry() {
-        name(2, now);
+    void shouldUseWholeLimitWhenThereIsNoOtherEntry() {
+        stateLimit(2, now);
         assertEquals(20, sentIn(10_010));
     }
 
     @Test
-    void shouldSaveNothingUpWhileNoRequestComes() {
-        name(2, now);
+    void shouldNotAccumulateCreditWhenNoRequestsArrive() {
+        stateLimit(2, now);
         sentIn(1_000);
         now += 60_000;
-        name(2, now);
+        stateLimit(2, now);
         assertEquals(1, sentIn(490));
     }
 
     @Test
-    void shouldFollowWhenLimitChanges() {
-        name(1, now);
+    void shouldAdaptWhenLimitChanges() {
+        stateLimit(1, now);
         sentIn(5_000);
-        name(10, now);
+        stateLimit(10, now);
         assertEquals(100, sentIn(10_000), 1);
     }
 
     @Test
-    void shouldSayWhenNextRequestMayBeSent() {
-        name(2, now);
-        assertEquals(OptionalLong.of(500), limit.untilNextMillis(AGENT_TELLS, now));
+    void shouldReturnTimeUntilNextRequest() {
+        stateLimit(2, now);
+        assertEquals(OptionalLong.of(500), limit.untilNextRequestMillis(RANKS_AVAILABLE, now));
         now += 200;
-        assertEquals(OptionalLong.of(300), limit.untilNextMillis(AGENT_TELLS, now));
+        assertEquals(OptionalLong.of(300), limit.untilNextRequestMillis(RANKS_AVAILABLE, now));
     }
 
     @Test
-    void shouldSendNothingWhenEnoughOthersComeBefore() {
-        limit.ranked(new EntryRank(4, 5));
-        name(1, now);
-        assertEquals(OptionalLong.empty(), limit.untilNextMillis(AGENT_TELLS, now));
+    void shouldSendNothingWhenEnoughEntriesHaveLowerRanks() {
+        limit.rankReported(new EntryRank(4, 5));
+        stateLimit(1, now);
+        assertEquals(OptionalLong.empty(), limit.untilNextRequestMillis(RANKS_AVAILABLE, now));
         assertEquals(0, sentIn(20_000));
     }
 
     @Test
-    void shouldTakePartWhenLimitWasNotNamedAgainForLong() {
-        limit.ranked(new EntryRank(4, 5));
-        entries.told(5, now);
-        name(1, now);
-        now += EndpointRateLimit.COUNTED_MILLIS + 1;
-        assertTrue(sentIn(20_000) > 0, "or it never hears of the end");
+    void shouldGetShareWhenLimitWasNotStatedAgainForLong() {
+        limit.rankReported(new EntryRank(4, 5));
+        entries.reported(5, now);
+        stateLimit(1, now);
+        now += EndpointRateLimit.EXPIRY_MILLIS + 1;
+        assertTrue(sentIn(20_000) > 0, "otherwise it never learns that the limit was lifted");
     }
 
     @Test
-    void shouldSendLessWhenNobodyTellsHowManyEntriesThereAre() {
-        name(64, now);
-        assertEquals(10, sentIn(20_000, !AGENT_TELLS), 1);
+    void shouldSendLessWhenNumberOfEntriesIsUnknown() {
+        stateLimit(64, now);
+        assertEquals(10, sentIn(20_000, !RANKS_AVAILABLE), 1);
     }
 
     @Test
-    void shouldSendOneInAWhileWhenLimitIsZero() {
-        name(0, now);
+    void shouldSendOneRequestOccasionallyWhenLimitIsZero() {
+        stateLimit(0, now);
         assertEquals(2, sentIn(20_100));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1e6, 1e12, Double.MAX_VALUE})
-    void shouldHoldNothingBackWhenLimitIsHuge(double perSecond) {
-        limit.ranked(new EntryRank(59, 60));
-        name(perSecond, now);
+    void shouldAllowEverythingWhenLimitIsHuge(double perSecond) {
+        limit.rankReported(new EntryRank(59, 60));
+        stateLimit(perSecond, now);
         now += 1;
         assertEquals(100, sentIn(1_000));
     }
 
-    // -- what is said
+    // -- observations
 
     @Test
-    void shouldForgetLimitWhenAnswerNamesNone() {
-        name(1, now);
-        assertTrue(answerWithout(now, now + 100));
-        assertEquals(Optional.empty(), limit.limit());
+    void shouldLiftLimitWhenResponseStatesNone() {
+        stateLimit(1, now);
+        assertTrue(responseWithoutLimit(now, now + 100));
+        assertEquals(Optional.empty(), limit.current());
     }
 
     @Test
-    void shouldKeepLimitWhenAnswerIsOfRequestSentBefore() {
-        name(1, now);
-        assertFalse(answerWithout(now - 1, now + 100));
-        assertTrue(limit.limit().isPresent());
+    void shouldKeepLimitWhenResponseBelongsToEarlierRequest() {
+        stateLimit(1, now);
+        assertFalse(responseWithoutLimit(now - 1, now + 100));
+        assertTrue(limit.current().isPresent());
     }
 
     @Test
-    void shouldHearOfLimitAndOfItsEndFromAgent() {
-        assertTrue(limit.told(new RateLimitObservation.Named(1, now)));
-        assertFalse(limit.told(new RateLimitObservation.Named(1, now + 100)), "nothing new");
-        assertFalse(limit.told(new RateLimitObservation.Ended(now)), "older than what is known");
-        assertTrue(limit.told(new RateLimitObservation.Ended(now + 200)));
-        assertEquals(Optional.empty(), limit.limit());
+    void shouldApplyLimitAndItsLiftingWhenReceivedFromAgent() {
+        assertTrue(limit.updated(new RateLimitObservation.Stated(1, now)));
+        assertFalse(limit.updated(new RateLimitObservation.Stated(1, now + 100)), "the limit is unchanged");
+        assertFalse(limit.updated(new RateLimitObservation.Lifted(now)), "older than the latest observation");
+        assertTrue(limit.updated(new RateLimitObservation.Lifted(now + 200)));
+        assertEquals(Optional.empty(), limit.current());
     }
 
     @Test
-    void shouldTellOthersOnlyWhatItHeardItself() {
-        limit.told(new RateLimitObservation.Named(1, now));
-        assertEquals(Optional.empty(), limit.word(now));
-        name(2, now);
-        RateLimitUpdate word = new RateLimitUpdate(RateLimitUpdate.token("a"), OptionalDouble.of(2), 70);
-        assertEquals(Optional.of(word), limit.word(now + 70));
-        assertEquals(Optional.empty(), limit.word(now + EndpointRateLimit.COUNTED_MILLIS + 1));
+    void shouldPassOnOnlyOwnObservations() {
+        limit.updated(new RateLimitObservation.Stated(1, now));
+        assertEquals(Optional.empty(), limit.ownUpdate(now));
+        stateLimit(2, now);
+        RateLimitUpdate update = new RateLimitUpdate(RateLimitUpdate.token("a"), OptionalDouble.of(2), 70);
+        assertEquals(Optional.of(update), limit.ownUpdate(now + 70));
+        assertEquals(Optional.empty(), limit.ownUpdate(now + EndpointRateLimit.EXPIRY_MILLIS + 1));
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void shouldRefuseWhatIsNoLimit(double perSecond) {
-        assertThrows(IllegalArgumentException.class, () -> name(perSecond, now));
+    void shouldRejectInvalidLimit(double perSecond) {
+        assertThrows(IllegalArgumentException.class, () -> stateLimit(perSecond, now));
     }
 }
--- a/src/test/java/org/micabarrow/limits/EntryCountTest.java
+++ b/src/test/java/org/micabarrow/limits/EntryCountTest.java
@@ -9,30 +9,30 @@
     private final EntryCount entries = new EntryCount();
 
     @Test
-    void shouldAssumeManyWhenNobodyTold() {
-        assertEquals(EntryCount.ASSUMED, entries.count());
+    void shouldAssumeDefaultWhenNothingWasReported() {
+        assertEquals(EntryCount.DEFAULT_COUNT, entries.count());
     }
 
     @Test
-    void shouldGoByWhatWasToldFirst() {
-        entries.told(5, 0);
+    void shouldUseFirstReport() {
+        entries.reported(5, 0);
         assertEquals(5, entries.count());
     }
 
     @Test
-    void shouldNotCountAgentThatHearsOfFewer() {
-        entries.told(13, 1_000);
-        entries.told(2, 1_100);
-        entries.told(13, 3_000);
-        entries.told(2, 5_900);
+    void shouldIgnoreLowerReportOfOneAgent() {
+        entries.reported(13, 1_000);
+        entries.reported(2, 1_100);
+        entries.reported(13, 3_000);
+        entries.reported(2, 5_900);
         assertEquals(13, entries.count());
     }
 
     @Test
-    void shouldFollowWhenAllTellOfFewer() {
-        entries.told(13, 1_000);
+    void shouldAdaptWhenAllReportsAreLower() {
+        entries.reported(13, 1_000);
         for (long now = 1_100; now < 5_000; now += 150) {
-            entries.told(12, now);
+            entries.reported(12, now);
         }
         assertEquals(12, entries.count());
     }
--- a/src/test/java/org/micabarrow/process/HostedSoakTest.java
+++ b/src/test/java/org/micabarrow/process/HostedSoakTest.java
@@ -30,7 +30,7 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Entries over sockets while requests end endpoints, endpoints say that they leave, ask for rest, name limits, are killed and fail, entries
@@ -227,8 +227,8 @@
             holding(SPARED.get(random.nextInt(SPARED.size()))).ifPresent(old -> {
                 old.endpoint().endLimit();
                 limits.remove(old);
-                limits.add(
-                        new Limit(old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), MonotonicClock.millis()));
+                limits.add(new Limit(
+                        old.id(), old.endpoint(), old.perSecond(), old.fromMillis(), MonotonicClock.millis()));
             });
         }
 
@@ -276,7 +276,8 @@
             String id = nextId(entry);
             String clients = settings.get(entry).listen().clients().orElseThrow();
             HttpCall call = HostedSystem.request(clients, path, id, body).withHeader("Deadline-Ms", "2000");
-            HttpAnswer answer = client.call(call, WITHIN).toOptional().orElse(new HttpAnswer(0, Map.of(), new byte[0]));
+            HttpResponse answer =
+                    client.call(call, WITHIN).toOptional().orElse(new HttpResponse(0, Map.of(), new byte[0]));
             statuses.put(id, answer.status());
             String text = new String(answer.body(), StandardCharsets.UTF_8);
             if (!CRASHING.contains(body) && text.contains("it has ended")) {
--- a/src/test/java/org/micabarrow/process/OldManifestTest.java
+++ b/src/test/java/org/micabarrow/process/OldManifestTest.java
@@ -25,7 +25,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpCall;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /**
  * Users saw 76 proper requests answered 401 and 404 by entries of two regions.
@@ -105,7 +105,7 @@
             addKeyAndRoute();
             awaitStatus(UNAVAILABLE, path, key);
             for (int i = 0; i < TIMES; i++) {
-                HttpAnswer answer = ask(path, key);
+                HttpResponse answer = ask(path, key);
                 assertEquals(UNAVAILABLE, answer.status());
                 assertTrue(answer.headers().containsKey("Retry-After"), "when to come back");
                 assertEquals(OK, status("/once/x", "key-a"), "what its manifest allows is served on");
@@ -190,7 +190,7 @@
         return ask(path, key).status();
     }
 
-    private HttpAnswer ask(String path, String key) {
+    private HttpResponse ask(String path, String key) {
         Map<String, String> headers =
                 Map.of("Host", "h.example", "Key", key, "Attempt-Id", "id-" + System.nanoTime(), "Deadline-Ms", "3000");
         byte[] body = "a body".getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/org/micabarrow/process/SharedLimitTest.java
+++ b/src/test/java/org/micabarrow/process/SharedLimitTest.java
@@ -12,7 +12,7 @@
 import org.micabarrow.platform.standin.HostedSystem;
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.HttpClient;
-import org.micabarrow.transport.HttpClient.HttpAnswer;
+import org.micabarrow.transport.HttpClient.HttpResponse;
 
 /** What one entry hears of an endpoint's limit reaches the others through the agent beside it. */
 class SharedLimitTest {
@@ -49,7 +49,7 @@
         String clients = entry.listen().clients().orElseThrow();
         return client.call(HostedSystem.request(clients, "/stream/x", "attempt-1"), WITHIN)
                 .toOptional()
-                .orElse(new HttpAnswer(0, Map.of(), new byte[0]))
+                .orElse(new HttpResponse(0, Map.of(), new byte[0]))
                 .status();
     }
 
--- a/src/test/java/org/micabarrow/serving/FollowedStore.java
+++ b/src/test/java/org/micabarrow/serving/TopicFollowers.java
@@ -9,17 +9,17 @@
 import org.micabarrow.views.Topic;
 import org.micabarrow.views.ViewMaintainer;
 
-/** The platform's store in small, followed for a view of it. */
-final class FollowedStore {
+/** Follows the topics of the platform's test store to build a view. */
+final class TopicFollowers {
 
-    private FollowedStore() {}
+    private TopicFollowers() {}
 
     /** Follows both topics, and waits until a manifest and an endpoint are known. */
-    static void follow(HttpClient caller, HostedSettings settings, Duration within, ViewMaintainer views) {
-        StoreClient store = new StoreClient(caller, settings.store(), within);
-        StoreFollower.Pace pace = new StoreFollower.Pace(Duration.ofMillis(200), Duration.ZERO);
-        new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, pace).start();
-        new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, pace).start();
+    static void startAndAwaitView(HttpClient caller, HostedSettings settings, Duration timeout, ViewMaintainer views) {
+        StoreClient store = new StoreClient(caller, settings.store(), timeout);
+        StoreFollower.PollTiming timing = new StoreFollower.PollTiming(Duration.ofMillis(200), Duration.ZERO);
+        new StoreFollower(Topic.OPERATOR, store, views, topic -> {}, timing).start();
+        new StoreFollower(Topic.ENDPOINTS, store, views, topic -> {}, timing).start();
         Await.until(
                 "the view",
                 () -> views.view().manifest().isPresent()
--- a/src/test/java/org/micabarrow/steps/RepeatedTasksTest.java
+++ b/src/test/java/org/micabarrow/steps/RepeatedTasksTest.java
@@ -9,46 +9,46 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Work that goes on whatever happens. */
+/** Tests that repeated tasks continue after unexpected exceptions. */
 class RepeatedTasksTest {
 
-    /** Decides nothing but a hang. */
-    private static final Duration LONGEST = Duration.ofSeconds(10);
+    /** Only limits the time that a hanging test takes. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-    /** More steps than one, each with a fault. */
-    private static final int STEPS = 3;
+    /** More than one run, each of which fails. */
+    private static final int RUNS = 3;
 
-    /** What a fault of the program may end in. */
-    private enum Ending {
+    /** How a run fails. */
+    private enum Failure {
         EXCEPTION,
         ERROR;
 
-        private void end() {
+        private void fail() {
             switch (this) {
-                case EXCEPTION -> throw new IllegalStateException("a fault of the program");
-                case ERROR -> throw new StackOverflowError("a fault of the program");
+                case EXCEPTION -> throw new IllegalStateException("simulated failure");
+                case ERROR -> throw new StackOverflowError("simulated failure");
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void shouldGoOnWhenStepsFail(Ending ending) throws Exception {
-        CountDownLatch taken = new CountDownLatch(STEPS);
+    void shouldContinueWhenRunsFail(Failure failure) throws Exception {
+        CountDownLatch runs = new CountDownLatch(RUNS);
         Thread work = RepeatedTasks.start("steps-test", 1, () -> {
-            taken.countDown();
-            ending.end();
+            runs.countDown();
+            failure.fail();
         });
-        assertTrue(taken.await(LONGEST.toSeconds(), TimeUnit.SECONDS), "one fault costs one step");
+        assertTrue(runs.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS), "a failure ends only one run");
         work.interrupt();
-        assertTrue(work.join(LONGEST));
+        assertTrue(work.join(TIMEOUT));
     }
 
     @Test
-    void shouldEndWhenInterruptedWithinStep() throws Exception {
+    void shouldEndWhenInterruptedDuringRun() throws Exception {
         Thread work = RepeatedTasks.start("steps-test", 1, () -> {
             throw new InterruptedException("the thread is to end");
         });
-        assertTrue(work.join(LONGEST));
+        assertTrue(work.join(TIMEOUT));
     }
 }
