--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -36,7 +36,7 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.WeightsClient;
 import org.micabarrow.transport.grpc.PeerService;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -164,8 +164,8 @@
         node.gauge("requests.open", flow::open);
         node.gauge("requests.limit", flow::mostOpen);
         node.gauge("weights.share", share::share);
-        PeerService.AgentParts parts =
-                new PeerService.AgentParts(flow, replicas::holding, this::load, linkOut, threads);
+        PeerService.AgentComponents parts =
+                new PeerService.AgentComponents(flow, replicas::holding, this::load, linkOut, threads);
         server = node.channels()
                 .serve(
                         settings.listen().peers(),
@@ -175,7 +175,7 @@
                 HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.watching(node.metrics(), node::healthy));
+                OperatorHandlers.monitoring(node.metrics(), node::healthy));
         node.configuration()
                 .onStep(step -> replicas.configured(node.configuration().current()));
         node.start();
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -31,10 +31,10 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.TlsFiles;
 import org.micabarrow.transport.WeightsClient;
-import org.micabarrow.transport.callers.CallerServer;
+import org.micabarrow.transport.callers.CallerHandler;
 import org.micabarrow.transport.grpc.PeerService;
 import org.micabarrow.transport.operators.OperatorApi;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -68,7 +68,7 @@
     private final AgentStatuses statuses;
     private final List<Claims> claims = new ArrayList<>();
     private final RequestFlow flow;
-    private final CallerServer callers;
+    private final CallerHandler callers;
     private final ExecutorService threads = Node.workers("entry-work");
     private Server server;
     private HttpListener callerListener;
@@ -107,7 +107,7 @@
                         Node::newId,
                         node.clock(),
                         Duration.ofMillis(limits.claimMillis())));
-        this.callers = new CallerServer(
+        this.callers = new CallerHandler(
                 node.configuration()::current, flow, Node::newId, node.clock(), limits.deadlineMillis());
     }
 
@@ -133,7 +133,7 @@
     }
 
     private void begin() throws IOException {
-        node.gauge("requests.open", callers::open);
+        node.gauge("requests.open", callers::openRequests);
         node.gauge("requests.waiting", flow::waiting);
         node.gauge("requests.taken", flow::requests);
         node.gauge("requests.attempts", flow::attempts);
@@ -144,7 +144,7 @@
                 .serve(
                         settings.listen().peers(),
                         new PeerService(node.configuration(), this::status, Optional.empty()));
-        node.peers().onLoad((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
+        node.peers().setLoadListener((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
         node.start();
         node.control().every(Duration.ofMillis(settings.peers().statusMillis()), statuses::ask);
         node.control().every(TICK, this::tick);
@@ -167,8 +167,10 @@
                 HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.api(
-                        operatorApi(), settings.operators(), OperatorServer.watching(node.metrics(), this::healthy)));
+                OperatorHandlers.api(
+                        operatorApi(),
+                        settings.operators(),
+                        OperatorHandlers.monitoring(node.metrics(), this::healthy)));
     }
 
     private Optional<SSLContext> callerContext() throws IOException {
@@ -183,7 +185,7 @@
         WeightsClient weights = new WeightsClient(
                 node.http(), settings.platform(), node.peers()::chunks, unpaced, node.configuration()::generation, 0);
         return new OperatorApi(
-                new OperatorApi.Parts(
+                new OperatorApi.Dependencies(
                         settings.instance().id(),
                         links,
                         node.configuration(),
@@ -199,7 +201,7 @@
     }
 
     private boolean healthy() {
-        return node.healthy() && !callers.leaving();
+        return node.healthy() && !callers.draining();
     }
 
     private StatusReply status() {
@@ -244,9 +246,9 @@
     /** Takes no new requests, waits for those that are open, and stops. */
     @Override
     public void close() {
-        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.open());
-        callers.leave();
-        Node.awaitIdle(() -> callers.open() > 0);
+        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.openRequests());
+        callers.startDraining();
+        Node.awaitIdle(() -> callers.openRequests() > 0);
         kill();
         LOG.info("entry instance={} has stopped", node.identity().instance());
     }
--- a/src/main/java/org/micabarrow/transport/callers/CallerServer.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerHandler.java
@@ -35,7 +35,7 @@
  * Handles callers' HTTP requests: chat completions for models under {@code /v1/chat/completions}, and plain HTTP for
  * services under {@code /services/NAME/}.
  */
-public final class CallerServer implements HttpHandler {
+public final class CallerHandler implements HttpHandler {
 
     private static final String CHAT_PATH = "/v1/chat/completions";
     private static final String SERVICES_PREFIX = "/services/";
@@ -60,8 +60,8 @@
     private final Supplier<String> requestIds;
     private final InstantSource clock;
     private final long defaultDeadlineMillis;
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile boolean leaving;
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private volatile boolean draining;
 
     /**
      * Creates a handler.
@@ -72,7 +72,7 @@
      * @param clock the time source
      * @param defaultDeadlineMillis the deadline of a request that states none, in milliseconds
      */
-    public CallerServer(
+    public CallerHandler(
             Supplier<FoldedState> state,
             RequestFlow flow,
             Supplier<String> requestIds,
@@ -86,17 +86,17 @@
     }
 
     /** Starts draining: new requests are refused, open requests continue. */
-    public void leave() {
-        leaving = true;
+    public void startDraining() {
+        draining = true;
     }
 
     /**
      * Returns whether new requests are refused.
      *
-     * @return true after {@link #leave}
+     * @return true after {@link #startDraining}
      */
-    public boolean leaving() {
-        return leaving;
+    public boolean draining() {
+        return draining;
     }
 
     /**
@@ -104,15 +104,15 @@
      *
      * @return the number of requests whose response is not finished
      */
-    public int open() {
-        return open.get();
+    public int openRequests() {
+        return openRequests.get();
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         CallerResponse response = new CallerResponse(exchange, requestIds.get());
-        open.incrementAndGet();
-        response.onFinish(open::decrementAndGet);
+        openRequests.incrementAndGet();
+        response.onFinish(openRequests::decrementAndGet);
         observeConnection(exchange, response);
         exchange.getRequestReceiver()
                 .receiveFullBytes(
@@ -147,7 +147,7 @@
     }
 
     private void startRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
-        if (leaving) {
+        if (draining) {
             response.onEnd(
                     Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is draining"), RETRY_AFTER));
             return;
--- a/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
@@ -92,7 +92,7 @@
      *
      * @param listener receives the instance id and its load
      */
-    public void onLoad(BiConsumer<String, PeerView.Load> listener) {
+    public void setLoadListener(BiConsumer<String, PeerView.Load> listener) {
         loadListener = Objects.requireNonNull(listener, "listener is null");
     }
 
--- a/src/main/java/org/micabarrow/transport/grpc/PeerService.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerService.java
@@ -52,7 +52,7 @@
 
     private final Configuration configuration;
     private final Supplier<StatusReply> status;
-    private final Optional<AgentParts> agent;
+    private final Optional<AgentComponents> agent;
 
     /**
      * Creates the service.
@@ -61,7 +61,7 @@
      * @param status supplies the current status
      * @param agent the components of an agent, empty on an entry
      */
-    public PeerService(Configuration configuration, Supplier<StatusReply> status, Optional<AgentParts> agent) {
+    public PeerService(Configuration configuration, Supplier<StatusReply> status, Optional<AgentComponents> agent) {
         this.configuration = Objects.requireNonNull(configuration, "configuration is null");
         this.status = Objects.requireNonNull(status, "status is null");
         this.agent = Objects.requireNonNull(agent, "agent is null");
@@ -76,7 +76,7 @@
      * @param link limits outgoing chunks to the link's rate
      * @param senderExecutor runs the chunk streams
      */
-    public record AgentParts(
+    public record AgentComponents(
             AgentFlow flow,
             Function<String, Holding> holdings,
             Supplier<Load> load,
@@ -257,7 +257,7 @@
                     .asRuntimeException());
             return;
         }
-        AgentParts components = agent.get();
+        AgentComponents components = agent.get();
         ChunkSender sender = new ChunkSender(request, (ServerCallStreamObserver<Chunk>) replies, components.link());
         configuration
                 .reach(request.getGeneration(), CATCH_UP_TIMEOUT)
@@ -266,7 +266,7 @@
     }
 
     /** Sends weights only to an instance that has a replica of a placement that uses them. */
-    private void sendChunks(ChunksRequest request, ChunkSender sender, AgentParts components) {
+    private void sendChunks(ChunksRequest request, ChunkSender sender, AgentComponents components) {
         boolean permitted = configuration.current().placements().values().stream()
                 .filter(placed -> placed.placement().workload().artifacts().stream()
                         .anyMatch(artifact -> artifact.digest().equals(request.getVersion())))
--- a/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
@@ -37,7 +37,7 @@
      * @param recordIds generates record ids
      * @param clock the time source
      */
-    public OperatorApi(Parts dependencies, Supplier<String> recordIds, InstantSource clock) {
+    public OperatorApi(Dependencies dependencies, Supplier<String> recordIds, InstantSource clock) {
         Objects.requireNonNull(dependencies, "dependencies is null");
         Objects.requireNonNull(recordIds, "recordIds is null");
         Objects.requireNonNull(clock, "clock is null");
@@ -61,7 +61,7 @@
      * @param router makes the routing decisions to explain
      * @param waitingRequests supplies the number of requests that wait for a free slot
      */
-    public record Parts(
+    public record Dependencies(
             String entry,
             Links links,
             Configuration configuration,
--- a/src/main/java/org/micabarrow/transport/operators/OperatorServer.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorHandlers.java
@@ -30,12 +30,12 @@
  * The HTTP handlers for operators: {@code POST /plan}, {@code POST /confirm}, {@code GET /status}, {@code GET /explain}; and
  * for monitoring, without a token: {@code GET /metrics} and {@code GET /health}.
  */
-public final class OperatorServer {
+public final class OperatorHandlers {
 
     private static final String BEARER_PREFIX = "Bearer ";
     private static final HttpString FILE_HEADER = new HttpString("X-File");
 
-    private OperatorServer() {}
+    private OperatorHandlers() {}
 
     /**
      * Creates the monitoring handler that every process has.
@@ -44,7 +44,7 @@
      * @param healthy returns whether the process can do its work
      * @return the handler
      */
-    public static HttpHandler watching(MetricRegistry metrics, BooleanSupplier healthy) {
+    public static HttpHandler monitoring(MetricRegistry metrics, BooleanSupplier healthy) {
         return Handlers.path()
                 .addExactPath(
                         "/metrics", new BlockingHandler(exchange -> send(exchange, 200, Metrics.snapshot(metrics))))
--- a/src/main/java/org/micabarrow/transport/operators/PlanConfirmer.java
+++ b/src/main/java/org/micabarrow/transport/operators/PlanConfirmer.java
@@ -29,11 +29,11 @@
     /** The pause before processes that have not reached the configuration are polled again, in milliseconds. */
     private static final long POLL_MILLIS = 50;
 
-    private final OperatorApi.Parts dependencies;
+    private final OperatorApi.Dependencies dependencies;
     private final Supplier<String> recordIds;
     private final InstantSource clock;
 
-    PlanConfirmer(OperatorApi.Parts dependencies, Supplier<String> recordIds, InstantSource clock) {
+    PlanConfirmer(OperatorApi.Dependencies dependencies, Supplier<String> recordIds, InstantSource clock) {
         this.dependencies = dependencies;
         this.recordIds = recordIds;
         this.clock = clock;
--- a/src/main/java/org/micabarrow/transport/operators/PlanProposer.java
+++ b/src/main/java/org/micabarrow/transport/operators/PlanProposer.java
@@ -22,10 +22,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.plan");
 
-    private final OperatorApi.Parts dependencies;
+    private final OperatorApi.Dependencies dependencies;
     private final Supplier<String> recordIds;
 
-    PlanProposer(OperatorApi.Parts dependencies, Supplier<String> recordIds) {
+    PlanProposer(OperatorApi.Dependencies dependencies, Supplier<String> recordIds) {
         this.dependencies = dependencies;
         this.recordIds = recordIds;
     }
--- a/src/main/java/org/micabarrow/transport/operators/ReplicaStatusCollector.java
+++ b/src/main/java/org/micabarrow/transport/operators/ReplicaStatusCollector.java
@@ -22,9 +22,9 @@
 /** Queries the state of every replica. */
 final class ReplicaStatusCollector {
 
-    private final OperatorApi.Parts dependencies;
+    private final OperatorApi.Dependencies dependencies;
 
-    ReplicaStatusCollector(OperatorApi.Parts dependencies) {
+    ReplicaStatusCollector(OperatorApi.Dependencies dependencies) {
         this.dependencies = dependencies;
     }
 
--- a/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
+++ b/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
@@ -21,10 +21,10 @@
 /** Explains for each replica whether the router would choose or exclude it for a request, and why. */
 final class RouteExplainer {
 
-    private final OperatorApi.Parts dependencies;
+    private final OperatorApi.Dependencies dependencies;
     private final InstantSource clock;
 
-    RouteExplainer(OperatorApi.Parts dependencies, InstantSource clock) {
+    RouteExplainer(OperatorApi.Dependencies dependencies, InstantSource clock) {
         this.dependencies = dependencies;
         this.clock = clock;
     }
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -35,7 +35,7 @@
     private final ManualClock clock = new ManualClock();
     private final Traffic traffic = new Traffic();
 
-    private CallerServer callerServer() {
+    private CallerHandler callerHandler() {
         RequestFlow flow = new RequestFlow(
                 FoldedState::empty,
                 Map::of,
@@ -49,15 +49,15 @@
                         () -> "attempt",
                         clock,
                         Duration.ofSeconds(1)));
-        return new CallerServer(FoldedState::empty, flow, () -> "id", clock, 1_000);
+        return new CallerHandler(FoldedState::empty, flow, () -> "id", clock, 1_000);
     }
 
     /** The organisations' tokens are part of the configuration, so without one no token can be judged invalid. */
     @Test
     void shouldRespondUnavailableWhenNoConfigurationIsKnown() throws Exception {
         String address = Ports.freeAddress();
-        try (HttpListener listener =
-                        HttpListener.start(address, HttpListener.Bounds.usual(), 1, Optional.empty(), callerServer());
+        try (HttpListener listener = HttpListener.start(
+                        address, HttpListener.Limits.defaults(), 1, Optional.empty(), callerHandler());
                 HttpClient client = HttpClient.start("test", 1)) {
             HttpCall chatRequest = new HttpCall(
                     Step.READ,
