--- a/src/main/java/org/micabarrow/transport/callers/CallerHandler.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerHandler.java
@@ -143,13 +143,13 @@
     private static Outcome bodyReadFailure(IOException error) {
         return error instanceof RequestTooBigException
                 ? refused(Step.READ, Reason.TOO_LARGE, "the body is larger than the limit")
-                : refused(Step.READ, Reason.INVALID, "the body is incomplete: " + error.getMessage());
+                : refused(Step.READ, Reason.INVALID, "the body broke off: " + error.getMessage());
     }
 
     private void startRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
         if (draining) {
             response.onEnd(
-                    Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is draining"), RETRY_AFTER));
+                    Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is leaving"), RETRY_AFTER));
             return;
         }
         switch (parseRequest(exchange, body, response)) {
@@ -173,7 +173,7 @@
                 return parseServiceRequest(
                         exchange, body, response, organisation, path.substring(SERVICES_PREFIX.length()));
             }
-            return fail(Step.READ, Reason.NOT_FOUND, "unknown path " + path);
+            return fail(Step.READ, Reason.NOT_FOUND, "nothing is at " + path);
         });
     }
 
@@ -195,7 +195,7 @@
     private Result<CallerRequest> parseChatRequest(
             HttpServerExchange exchange, byte[] body, CallerResponse response, Organisation organisation) {
         if (!exchange.getRequestMethod().toString().equals("POST")) {
-            return fail(Step.READ, Reason.INVALID, CHAT_PATH + " only accepts POST");
+            return fail(Step.READ, Reason.INVALID, CHAT_PATH + " takes POST");
         }
         JsonNode json;
         try {
@@ -204,7 +204,7 @@
             return fail(Step.READ, Reason.INVALID, "the body is not JSON");
         }
         if (!json.path("model").isTextual() || !json.path("messages").isArray()) {
-            return fail(Step.READ, Reason.INVALID, "the body needs a string \"model\" and an array \"messages\"");
+            return fail(Step.READ, Reason.INVALID, "the body needs a text \"model\" and a list \"messages\"");
         }
         boolean shortRequest = json.path("max_tokens").asInt(Integer.MAX_VALUE) <= MAX_SHORT_REQUEST_TOKENS;
         StringBuilder prompt = new StringBuilder();
@@ -256,12 +256,11 @@
         HeaderMap headers = exchange.getRequestHeaders();
         Optional<String> key = Optional.ofNullable(headers.getFirst(IDEMPOTENCY_KEY));
         if (key.isPresent() && (key.get().isBlank() || key.get().length() > MAX_KEY_CHARACTERS)) {
-            return fail(
-                    Step.READ, Reason.INVALID, "Idempotency-Key must have 1 to " + MAX_KEY_CHARACTERS + " characters");
+            return fail(Step.READ, Reason.INVALID, "Idempotency-Key takes 1 to " + MAX_KEY_CHARACTERS + " characters");
         }
         Optional<Long> deadlineAfterMillis = parseDeadline(headers.getFirst(DEADLINE));
         if (deadlineAfterMillis.isEmpty()) {
-            return fail(Step.READ, Reason.INVALID, DEADLINE + " must be a positive whole number of milliseconds");
+            return fail(Step.READ, Reason.INVALID, DEADLINE + " takes a whole number of milliseconds above 0");
         }
         String contentType = Optional.ofNullable(headers.getFirst(Headers.CONTENT_TYPE))
                 .orElse(body.model() ? "application/json" : "application/octet-stream");
--- a/src/main/java/org/micabarrow/transport/grpc/PeerChunkStream.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerChunkStream.java
@@ -46,7 +46,7 @@
                 if (next.isEmpty()) {
                     return failure(
                             Reason.STALLED,
-                            "no chunk received within " + patience.silence().toMillis() + " ms");
+                            "nothing within " + patience.silence().toMillis() + " ms");
                 }
                 if (next.get() == END_MARKER) {
                     return Result.failure(endFault);
