--- a/src/main/java/org/micabarrow/coordination/admission/ConcurrencyLimit.java
+++ b/src/main/java/org/micabarrow/coordination/admission/ConcurrencyLimit.java
@@ -1,10 +1,10 @@
 package org.micabarrow.coordination.admission;
 
 /**
- * Learns how many requests an endpoint can run at once: it rises while answers begin as quickly as they do without
- * load, and falls when they begin more slowly.
+ * Adaptive limit on the number of requests that run at an endpoint concurrently. It increases while the time to first byte
+ * stays close to that of an idle endpoint, and decreases when responses start more slowly.
  *
- * <p>Safe for any number of threads.
+ * <p>Thread-safe.
  *
  * <pre>{@code
  * if (limit.tryOpen(true)) { ... limit.close(firstByteMillis); }
@@ -12,113 +12,117 @@
  */
 public final class ConcurrencyLimit {
 
-    /** How many times the quickest beginning an answer may take before the limit falls. */
-    private static final double SLOWER_ALLOWED = 2.0;
+    /** The multiple of the baseline time to first byte up to which a response does not count as slow. */
+    private static final double SLOW_FACTOR = 2.0;
 
-    /** What a slow beginning multiplies the limit by. */
-    private static final double FALL = 0.9;
+    /** The factor by which the limit decreases after a slow response. */
+    private static final double DECREASE_FACTOR = 0.9;
 
     /**
-     * How much later, in milliseconds, an answer may begin besides, so that quick endpoints do not count as slow by
-     * chance.
+     * Additional tolerance for the time to first byte, in milliseconds, so that small variations at fast endpoints do not
+     * count as slow.
      */
     private static final double SLACK_MILLIS = 5;
 
     /**
-     * What each answer multiplies the quickest beginning by, so that one unusually quick answer is forgotten in time.
+     * The factor by which the baseline increases with each response, so that a single unusually fast response loses its
+     * influence over time.
      */
-    private static final double FLOOR_DRIFT = 1.001;
+    private static final double BASELINE_DRIFT = 1.001;
 
-    private final int least;
-    private final int most;
+    private final int min;
+    private final int max;
     private double limit;
-    private double quickestMillis = Double.MAX_VALUE;
-    private int open;
-    private int openLong;
-    private boolean suggested;
+    private double baselineMillis = Double.MAX_VALUE;
+    private int inFlight;
+    private int longInFlight;
+    private boolean initialized;
 
     /**
-     * Makes a limit.
+     * Creates a limit.
      *
-     * @param least it never falls below this
-     * @param most it never rises above this
-     * @param initial where it starts
+     * @param min the minimum of the limit
+     * @param max the maximum of the limit
+     * @param initial the initial limit
      */
-    public ConcurrencyLimit(int least, int most, int initial) {
-        this.least = least;
-        this.most = most;
+    public ConcurrencyLimit(int min, int max, int initial) {
+        this.min = min;
+        this.max = max;
         this.limit = initial;
     }
 
     /**
-     * Takes a place, if there is one.
+     * Acquires a slot if one is free.
      *
-     * @param shortRequest whether the request may use the room reserved for short ones
-     * @return whether it may run
+     * @param shortRequest whether the request may use the slots reserved for short requests
+     * @return whether a slot was acquired
      */
     public synchronized boolean tryOpen(boolean shortRequest) {
-        int now = limit();
-        boolean full = open >= now || !shortRequest && openLong >= Math.max(1, now - Room.reservedForShort(now));
+        int currentLimit = limit();
+        boolean full = inFlight >= currentLimit
+                || !shortRequest
+                        && longInFlight >= Math.max(1, currentLimit - ReservedSlots.forShortRequests(currentLimit));
         if (full) {
             return false;
         }
-        open++;
-        openLong += shortRequest ? 0 : 1;
+        inFlight++;
+        longInFlight += shortRequest ? 0 : 1;
         return true;
     }
 
     /**
-     * Gives a place back.
+     * Releases a slot.
      *
-     * @param shortRequest as it was taken
+     * @param shortRequest the value with which the slot was acquired
      */
     public synchronized void close(boolean shortRequest) {
-        open--;
-        openLong -= shortRequest ? 0 : 1;
+        inFlight--;
+        longInFlight -= shortRequest ? 0 : 1;
     }
 
     /**
-     * Learns from an answer that has begun.
+     * Adjusts the limit to the time to first byte of a response.
      *
-     * @param millis the time until it began
+     * @param millis the time to first byte, in milliseconds
      */
     public synchronized void began(double millis) {
-        quickestMillis = Math.min(quickestMillis * FLOOR_DRIFT, millis);
-        boolean slow = millis > quickestMillis * SLOWER_ALLOWED + SLACK_MILLIS;
+        baselineMillis = Math.min(baselineMillis * BASELINE_DRIFT, millis);
+        boolean slow = millis > baselineMillis * SLOW_FACTOR + SLACK_MILLIS;
         if (slow) {
-            limit = Math.max(least, limit * FALL);
-        } else if (open >= limit - 1) {
-            limit = Math.min(most, limit + 1 / limit);
+            limit = Math.max(min, limit * DECREASE_FACTOR);
+        } else if (inFlight >= limit - 1) {
+            limit = Math.min(max, limit + 1 / limit);
         }
     }
 
     /**
-     * Begins at what the endpoint says of itself; what is learned later counts for more.
+     * Initializes the limit with the slots that the endpoint reports. Only the first call has an effect; after it the limit
+     * follows the measurements.
      *
-     * @param slots how many requests the endpoint says it can run at once
+     * @param slots the number of requests that the endpoint reports it can run concurrently
      */
     public synchronized void suggest(int slots) {
-        if (!suggested) {
-            suggested = true;
-            limit = Math.clamp(slots, least, most);
+        if (!initialized) {
+            initialized = true;
+            limit = Math.clamp(slots, min, max);
         }
     }
 
     /**
-     * The limit now.
+     * The current limit.
      *
-     * @return how many requests may run at once
+     * @return the maximum number of concurrent requests
      */
     public synchronized int limit() {
         return (int) limit;
     }
 
     /**
-     * The requests that run.
+     * The number of requests in flight.
      *
-     * @return their number
+     * @return the count
      */
     public synchronized int open() {
-        return open;
+        return inFlight;
     }
 }
--- a/src/main/java/org/micabarrow/coordination/admission/FairQueue.java
+++ b/src/main/java/org/micabarrow/coordination/admission/FairQueue.java
@@ -9,112 +9,115 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that wait for room, in an order that shares the room between organisations by weight. A request that comes
- * while its organisation has nothing waiting starts level with the others, so that an idle organisation gains no later precedence.
+ * Weighted fair queue of requests that wait for a free slot. The order divides the slots between organisations in
+ * proportion to their weights. A request of an organisation that has no waiting requests is ordered from the current
+ * virtual time, so that an organisation gains no priority from having been idle.
  *
- * <p>Safe for any number of threads.
+ * <p>Thread-safe.
  *
  * <pre>{@code
  * queue.offer("taller", 1, run);
- * Optional<FairQueue.Waiting<Run>> next = queue.poll();
+ * Optional<FairQueue.Queued<Run>> next = queue.poll();
  * }</pre>
  *
- * @param <T> what waits
+ * @param <T> the type of the waiting items
  */
 public final class FairQueue<T> {
 
     private final int capacity;
-    private final PriorityQueue<Waiting<T>> waiting = new PriorityQueue<>(
-            Comparator.comparingDouble((Waiting<T> one) -> one.tag()).thenComparingLong(Waiting::sequence));
-    private final Map<String, Double> lastTags = new HashMap<>();
+    private final PriorityQueue<Queued<T>> waiting =
+            new PriorityQueue<>(Comparator.comparingDouble((Queued<T> request) -> request.virtualFinish())
+                    .thenComparingLong(Queued::sequence));
+    private final Map<String, Double> lastVirtualFinish = new HashMap<>();
     private final Map<String, Integer> lengths = new HashMap<>();
-    private double now;
+    private double virtualTime;
     private long sequence;
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param capacity how many requests may wait for each organisation
+     * @param capacity the maximum number of waiting requests per organisation
      */
     public FairQueue(int capacity) {
         this.capacity = capacity;
     }
 
     /**
-     * A request with its place in the order.
+     * A waiting request with its position in the order.
      *
-     * @param organisation who asks
-     * @param tag its place
-     * @param sequence decides between equal places
+     * @param organisation the organisation that sent it
+     * @param virtualFinish its virtual finish time, by which requests are ordered
+     * @param sequence the order of arrival, which decides between equal finish times
      * @param item the request
-     * @param <T> what waits
+     * @param <T> the type of the waiting items
      */
-    public record Waiting<T>(String organisation, double tag, long sequence, T item) {}
+    public record Queued<T>(String organisation, double virtualFinish, long sequence, T item) {}
 
     /**
      * Adds a request.
      *
-     * @param organisation who asks
-     * @param weight the organisation's share
+     * @param organisation the organisation that sent it
+     * @param weight the organisation's weight
      * @param item the request
-     * @return false if too many of the organisation's requests wait already
+     * @return false if the maximum number of the organisation's requests is waiting already
      */
     public synchronized boolean offer(String organisation, int weight, T item) {
         if (lengths.getOrDefault(organisation, 0) >= capacity) {
             return false;
         }
         double cost = 1.0 / Math.max(1, weight);
-        double tag = Math.max(now, lastTags.getOrDefault(organisation, 0.0)) + cost;
-        lastTags.put(organisation, tag);
+        double virtualFinish = Math.max(virtualTime, lastVirtualFinish.getOrDefault(organisation, 0.0)) + cost;
+        lastVirtualFinish.put(organisation, virtualFinish);
         lengths.merge(organisation, 1, Integer::sum);
-        waiting.add(new Waiting<>(organisation, tag, sequence++, item));
+        waiting.add(new Queued<>(organisation, virtualFinish, sequence++, item));
         return true;
     }
 
     /**
-     * Takes the next request.
+     * Removes the next request.
      *
-     * @return the request with its place, if any waits
+     * @return the request with its position, if any is waiting
      */
-    public synchronized Optional<Waiting<T>> poll() {
-        Waiting<T> next = waiting.poll();
+    public synchronized Optional<Queued<T>> poll() {
+        Queued<T> next = waiting.poll();
         if (next == null) {
-            lastTags.clear();
+            lastVirtualFinish.clear();
             return Optional.empty();
         }
-        now = Math.max(now, next.tag());
+        virtualTime = Math.max(virtualTime, next.virtualFinish());
         lengths.merge(next.organisation(), -1, Integer::sum);
         return Optional.of(next);
     }
 
     /**
-     * Puts a request back into the place that it had.
+     * Puts a request back at its former position.
      *
-     * @param taken what {@link #poll} gave
+     * @param removed the request that {@link #poll} returned
      */
-    public synchronized void putBack(Waiting<T> taken) {
-        lengths.merge(taken.organisation(), 1, Integer::sum);
-        waiting.add(taken);
+    public synchronized void putBack(Queued<T> removed) {
+        lengths.merge(removed.organisation(), 1, Integer::sum);
+        waiting.add(removed);
     }
 
     /**
-     * Takes out all requests for which there is no more use in waiting.
+     * Removes all requests that match a predicate.
      *
-     * @param over tells which
-     * @return those taken out
+     * @param predicate selects the requests to remove
+     * @return the removed requests
      */
-    public synchronized List<T> removeIf(Predicate<T> over) {
-        List<Waiting<T>> gone =
-                waiting.stream().filter(one -> over.test(one.item())).toList();
-        waiting.removeAll(gone);
-        gone.forEach(one -> lengths.merge(one.organisation(), -1, Integer::sum));
-        return gone.stream().map(Waiting::item).toList();
+    public synchronized List<T> removeIf(Predicate<T> predicate) {
+        List<Queued<T>> matches = waiting.stream()
+                .filter(request -> predicate.test(request.item()))
+                .toList();
+        waiting.removeAll(matches);
+        matches.forEach(request -> lengths.merge(request.organisation(), -1, Integer::sum));
+        return matches.stream().map(Queued::item).toList();
     }
 
     /**
-     * The number of requests that wait.
+     * The number of waiting requests.
      *
-     * @return the length
+     * @return the count
      */
     public synchronized int size() {
         return waiting.size();
--- a/src/main/java/org/micabarrow/coordination/admission/RetryBudget.java
+++ b/src/main/java/org/micabarrow/coordination/admission/RetryBudget.java
@@ -1,9 +1,9 @@
 package org.micabarrow.coordination.admission;
 
 /**
- * Allows retries only as a share of the traffic, so that they cannot multiply it.
+ * Limits retries to a fraction of the traffic, so that they cannot multiply it.
  *
- * <p>Safe for any number of threads.
+ * <p>Thread-safe.
  *
  * <pre>{@code
  * budget.sent();
@@ -12,29 +12,29 @@
  */
 public final class RetryBudget {
 
-    private final double share;
-    private final double most;
+    private final double ratio;
+    private final double maxCredit;
     private double credit;
 
     /**
-     * Makes a budget.
+     * Creates a budget with full credit.
      *
-     * @param share retries allowed for each first attempt
-     * @param most how many retries may be saved up
+     * @param ratio the number of retries allowed per first attempt
+     * @param maxCredit the maximum number of unused retries that accumulate
      */
-    public RetryBudget(double share, double most) {
-        this.share = share;
-        this.most = most;
-        this.credit = most;
+    public RetryBudget(double ratio, double maxCredit) {
+        this.ratio = ratio;
+        this.maxCredit = maxCredit;
+        this.credit = maxCredit;
     }
 
     /** Counts a first attempt. */
     public synchronized void sent() {
-        credit = Math.min(most, credit + share);
+        credit = Math.min(maxCredit, credit + ratio);
     }
 
     /**
-     * Takes a retry, if there is one left.
+     * Uses one retry if the budget allows it.
      *
      * @return whether a retry may be sent
      */
--- a/src/main/java/org/micabarrow/coordination/admission/package-info.java
+++ b/src/main/java/org/micabarrow/coordination/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How much may run at once, who waits for room and in which order, and how many retries are borne. Nothing here knows
- * where a request runs, what it carries, or the configuration.
+ * Concurrency limits, the order of requests that wait for a free slot, and the retry budget. This package does not depend
+ * on where a request runs, what it contains, or the configuration.
  */
 package org.micabarrow.coordination.admission;
--- a/src/main/java/org/micabarrow/coordination/calls/AgentCalls.java
+++ b/src/main/java/org/micabarrow/coordination/calls/AgentCalls.java
@@ -13,19 +13,20 @@
     /**
      * Sends a request.
      *
-     * @param to the agent
+     * @param to the replica of the agent
      * @param request the request
-     * @param listener receives the answer, always with an end
+     * @param listener receives the response, always including its end
      * @return cancels the request when run
      */
     Runnable handle(Replica to, AgentRequest request, AnswerListener listener);
 
     /**
-     * Asks an agent to refuse a claimed key for good unless it has started.
+     * Requests that an agent refuse a claimed key permanently unless it has started.
      *
-     * @param to the agent
+     * @param to the replica of the agent
      * @param claim the claim that holds the key
-     * @return what became of the key, a failure if the agent does not answer, empty if its process is another one
+     * @return the state of the key; a failure if the agent does not respond; empty if the process that the claim names has
+     *     been replaced
      */
     CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim);
 }
--- a/src/main/java/org/micabarrow/coordination/calls/AgentRequest.java
+++ b/src/main/java/org/micabarrow/coordination/calls/AgentRequest.java
@@ -5,20 +5,20 @@
 import org.micabarrow.coordination.claims.Claim;
 
 /**
- * A request on its way from an entry to an agent.
+ * A request that an entry sends to an agent for one attempt.
  *
- * @param attempt the attempt's id, which comes back on every part of the answer
- * @param generation the entry's generation
+ * @param attempt the attempt's id, which the response carries as well
+ * @param generation the generation of the entry's configuration
  * @param placement the placement under which it runs
- * @param organisation the organisation that asks
- * @param remainingMillis how much time the caller leaves
+ * @param organisation the organisation that sent it
+ * @param remainingMillis the time until the caller's deadline, in milliseconds
  * @param priority 0 for the most urgent
- * @param stream whether the answer is streamed
+ * @param stream whether the response is streamed
  * @param method the HTTP method at the endpoint
  * @param path the path at the endpoint
  * @param contentType the body's type
  * @param body the body
- * @param claim the claim, for a request that may not be repeated
+ * @param claim the claim, for a request that must not be repeated
  */
 public record AgentRequest(
         String attempt,
@@ -34,7 +34,7 @@
         byte[] body,
         Optional<Claim> claim) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public AgentRequest {
         Objects.requireNonNull(attempt, "attempt is null");
         Objects.requireNonNull(placement, "placement is null");
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Whether the request may use the room reserved for short ones.
+     * Whether the request may use the slots reserved for short requests.
      *
      * @return true for the most urgent priority
      */
--- a/src/main/java/org/micabarrow/coordination/calls/AnswerHead.java
+++ b/src/main/java/org/micabarrow/coordination/calls/AnswerHead.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * The beginning of an answer: what it is and where it was made.
+ * The head of a response: its status and type, and the instance that produced it.
  *
- * @param attempt the attempt that made it
+ * @param attempt the id of the attempt that produced it
  * @param status the HTTP status
  * @param contentType the body's type
  * @param version the version of the weights, empty for a service
- * @param instance the instance that made it
- * @param region its region
- * @param hall its data hall
- * @param generation the generation under which the agent let it start
+ * @param instance the instance that produced it
+ * @param region the instance's region
+ * @param hall the instance's data hall
+ * @param generation the configuration generation under which the agent started the request
  */
 public record AnswerHead(
         String attempt,
@@ -24,7 +24,7 @@
         String hall,
         long generation) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public AnswerHead {
         Objects.requireNonNull(attempt, "attempt is null");
         Objects.requireNonNull(contentType, "contentType is null");
--- a/src/main/java/org/micabarrow/coordination/calls/AnswerListener.java
+++ b/src/main/java/org/micabarrow/coordination/calls/AnswerListener.java
@@ -1,27 +1,27 @@
 package org.micabarrow.coordination.calls;
 
-/** Receives the parts of one attempt's answer, in order, one call at a time. */
+/** Receives the parts of one attempt's response, in order, one call at a time. */
 public interface AnswerListener {
 
     /**
-     * The answer begins.
+     * Called when the response starts.
      *
-     * @param head what it is and where it is made
+     * @param head the head of the response
      */
     void onHead(AnswerHead head);
 
     /**
-     * The next part of the body.
+     * Called for each part of the body.
      *
      * @param data the bytes
-     * @param more to be run when the next part may come
+     * @param more the listener runs it when it is ready for the next part
      */
     void onData(byte[] data, Runnable more);
 
     /**
-     * The attempt has ended; nothing follows.
+     * Called when the attempt has ended; no call follows.
      *
-     * @param outcome how
+     * @param outcome how the attempt ended
      */
     void onEnd(Outcome outcome);
 }
--- a/src/main/java/org/micabarrow/coordination/calls/Outcome.java
+++ b/src/main/java/org/micabarrow/coordination/calls/Outcome.java
@@ -8,7 +8,7 @@
 public sealed interface Outcome {
 
     /**
-     * The whole answer has been given.
+     * The complete response was delivered.
      *
      * @return the outcome
      */
@@ -17,10 +17,10 @@
     }
 
     /**
-     * The request truly did not run. This is final and told at once.
+     * The request definitely did not run. This is final and reported immediately.
      *
-     * @param fault why
-     * @param retryAfter when the caller may come back
+     * @param fault the reason
+     * @param retryAfter the delay after which the caller may retry
      * @return the outcome
      */
     static Outcome notRun(Fault fault, Duration retryAfter) {
@@ -28,27 +28,27 @@
     }
 
     /**
-     * Whether the request ran, or ran to its end, is not known.
+     * It is unknown whether the request ran, or ran to completion.
      *
-     * @param fault why
+     * @param fault the reason
      * @return the outcome
      */
     static Outcome unknown(Fault fault) {
         return new Unknown(fault);
     }
 
-    /** The whole answer has been given. */
+    /** The complete response was delivered. */
     record Answered() implements Outcome {}
 
     /**
-     * The request truly did not run.
+     * The request definitely did not run.
      *
-     * @param fault why
-     * @param retryAfter when the caller may come back
+     * @param fault the reason
+     * @param retryAfter the delay after which the caller may retry
      */
     record NotRun(Fault fault, Duration retryAfter) implements Outcome {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public NotRun {
             Objects.requireNonNull(fault, "fault is null");
             Objects.requireNonNull(retryAfter, "retryAfter is null");
@@ -56,13 +56,13 @@
     }
 
     /**
-     * Whether the request ran is not known.
+     * It is unknown whether the request ran.
      *
-     * @param fault why
+     * @param fault the reason
      */
     record Unknown(Fault fault) implements Outcome {
 
-        /** Checks the parts. */
+        /** Validates the components. */
         public Unknown {
             Objects.requireNonNull(fault, "fault is null");
         }
--- a/src/main/java/org/micabarrow/coordination/claims/Claim.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Claim.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * The right of one agent's process to run one request that may not be repeated. The first claim of a key in the order
- * of the log holds it.
+ * The right of one agent process to run one request that must not be repeated. The first claim for a key in log order
+ * holds the key.
  *
- * @param key the organisation and the caller's key
- * @param bodyDigest the digest of what is asked for; the same key with another body is refused
+ * @param key the digest of the organisation and the caller's idempotency key
+ * @param bodyDigest the digest of the call and its body; the same key with another digest is refused
  * @param instance the instance that may run it
  * @param epoch the process on that instance that may run it
- * @param latestStartMillis when it may no longer start, in milliseconds since 1970
- * @param attempt the attempt for which the claim was written
- * @param after the attempt that held the key before and was refused for good, if one was
+ * @param latestStartMillis the latest time at which it may start, in milliseconds since 1970
+ * @param attempt the id of the attempt for which the claim was written
+ * @param after the id of the attempt that held the key before and was refused permanently, if there was one
  */
 public record Claim(
         String key,
@@ -24,7 +24,7 @@
         String attempt,
         Optional<String> after) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Claim {
         Objects.requireNonNull(key, "key is null");
         Objects.requireNonNull(bodyDigest, "bodyDigest is null");
--- a/src/main/java/org/micabarrow/coordination/claims/ClaimWriter.java
+++ b/src/main/java/org/micabarrow/coordination/claims/ClaimWriter.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Claims keys on the log. */
+/** Claims keys in the log. */
 public interface ClaimWriter {
 
     /**
      * Claims a key.
      *
      * @param claim the claim
-     * @param within how long to wait for the log
-     * @return who holds the key
+     * @param timeout how long to wait for the claim to appear in the log
+     * @return the result of the claim
      */
-    CompletableFuture<ClaimVerdict> claim(Claim claim, Duration within);
+    CompletableFuture<ClaimResult> claim(Claim claim, Duration timeout);
 }
--- a/src/main/java/org/micabarrow/coordination/claims/Claims.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Claims.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes claims to one stream of the log and tells who holds a key. Claims that wait go together in one append, so that
- * a few hundred appends a second carry many claims.
+ * Writes claims to one stream of the log and reports which claim holds a key. Waiting claims are batched into one append,
+ * so that a few hundred appends a second carry many claims.
  *
  * <pre>{@code
  * Claims claims = Claims.start(log, "claims-0", Duration.ofHours(1), clock);
@@ -35,120 +35,122 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Claims.class);
 
-    /** The most claims in one append, which bounds the size of a record. */
-    private static final int MOST_IN_BATCH = 256;
+    /** The maximum number of claims in one append, which bounds the size of a record. */
+    private static final int MAX_BATCH_SIZE = 256;
 
-    /** How long a read of the log waits for a record once all that it has was read. */
+    /** How long a read waits for a new record when the end of the log has been reached. */
     private static final Duration READ_WAIT = Duration.ofSeconds(2);
 
-    /** The pause before the log is asked again after a failure. */
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    /** The delay before a retry after a failed append or read. */
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
     private final PlatformLog log;
     private final String stream;
     private final InstantSource clock;
-    private final LinkedBlockingQueue<Waiting> queue = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<PendingClaim> queue = new LinkedBlockingQueue<>();
     private final Object lock = new Object();
-    private final ClaimBook book;
-    private final Map<String, Waiting> waiting = new HashMap<>();
+    private final ClaimTable table;
+    private final Map<String, PendingClaim> pending = new HashMap<>();
     private final StoppableThread writer;
     private final StoppableThread reader;
     private long nextOffset;
     private volatile boolean caughtUp;
 
-    private Claims(PlatformLog log, String stream, Duration kept, InstantSource clock) {
+    private Claims(PlatformLog log, String stream, Duration retention, InstantSource clock) {
         this.log = Objects.requireNonNull(log, "log is null");
         this.stream = Objects.requireNonNull(stream, "stream is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
-        this.book = new ClaimBook(kept.toMillis());
+        this.table = new ClaimTable(retention.toMillis());
         this.writer = new StoppableThread(stream + "-writer", this::writeAll);
         this.reader = new StoppableThread(stream + "-reader", this::readAll);
     }
 
-    /** A claim that waits for its verdict. */
-    private record Waiting(Claim claim, long untilMillis, CompletableFuture<ClaimVerdict> verdict) {}
+    /** A claim that waits for its result. */
+    private record PendingClaim(Claim claim, long deadlineMillis, CompletableFuture<ClaimResult> result) {}
 
     /**
      * Starts reading and writing a stream.
      *
      * @param log the platform's log
      * @param stream the stream
-     * @param kept how long a claim is kept
-     * @param clock measures the time given
-     * @return the running claims
+     * @param retention how long a claim is kept
+     * @param clock measures timeouts and the age of claims
+     * @return the claims, with their threads running
      */
-    public static Claims start(PlatformLog log, String stream, Duration kept, InstantSource clock) {
-        Claims claims = new Claims(log, stream, kept, clock);
+    public static Claims start(PlatformLog log, String stream, Duration retention, InstantSource clock) {
+        Claims claims = new Claims(log, stream, retention, clock);
         claims.writer.start();
         claims.reader.start();
         return claims;
     }
 
     @Override
-    public CompletableFuture<ClaimVerdict> claim(Claim claim, Duration within) {
+    public CompletableFuture<ClaimResult> claim(Claim claim, Duration timeout) {
         Objects.requireNonNull(claim, "claim is null");
         Optional<Claim> holder = caughtUp ? holder(claim.key()) : Optional.empty();
         boolean heldByOther = holder.isPresent()
                 && !claim.after().equals(Optional.of(holder.get().attempt()));
         if (heldByOther) {
-            return CompletableFuture.completedFuture(held(holder.get()));
+            return CompletableFuture.completedFuture(heldBy(holder.get()));
         }
-        Waiting one = new Waiting(claim, clock.millis() + within.toMillis(), new CompletableFuture<>());
+        PendingClaim pendingClaim =
+                new PendingClaim(claim, clock.millis() + timeout.toMillis(), new CompletableFuture<>());
         synchronized (lock) {
-            waiting.put(claim.attempt(), one);
+            pending.put(claim.attempt(), pendingClaim);
         }
-        queue.add(one);
-        return one.verdict()
+        queue.add(pendingClaim);
+        return pendingClaim
+                .result()
                 .completeOnTimeout(
-                        new ClaimVerdict.Failed(fault(Reason.TIMEOUT, "the claim was not seen in the log in time")),
-                        within.toMillis(),
+                        new ClaimResult.Failed(fault(Reason.TIMEOUT, "the claim did not appear in the log in time")),
+                        timeout.toMillis(),
                         TimeUnit.MILLISECONDS)
-                .whenComplete((verdict, thrown) -> forget(claim.attempt()));
+                .whenComplete((result, thrown) -> removePending(claim.attempt()));
     }
 
-    private ClaimVerdict held(Claim holder) {
+    private ClaimResult heldBy(Claim holder) {
         synchronized (lock) {
-            return new ClaimVerdict.Held(holder, clock.millis() - book.seenMillis(holder.key()));
+            return new ClaimResult.Held(holder, clock.millis() - table.seenMillis(holder.key()));
         }
     }
 
-    private void forget(String attempt) {
+    private void removePending(String attempt) {
         synchronized (lock) {
-            waiting.remove(attempt);
+            pending.remove(attempt);
         }
     }
 
     /**
-     * The claim that holds a key, as far as the log has been read.
+     * The claim that holds a key, according to the part of the log that has been read.
      *
      * @param key the key
      * @return the claim, if the key is held
      */
     public Optional<Claim> holder(String key) {
         synchronized (lock) {
-            return book.holder(key);
+            return table.holder(key);
         }
     }
 
     /**
-     * The number of keys held.
+     * The number of held keys.
      *
-     * @return the size of the book
+     * @return the count
      */
     public int size() {
         synchronized (lock) {
-            return book.size();
+            return table.size();
         }
     }
 
-    // -- writing
+    // -- writer
 
     private void writeAll() {
         while (!writer.isClosing()) {
             try {
-                List<Waiting> batch = new ArrayList<>();
+                List<PendingClaim> batch = new ArrayList<>();
                 batch.add(queue.take());
-                queue.drainTo(batch, MOST_IN_BATCH - 1);
+                queue.drainTo(batch, MAX_BATCH_SIZE - 1);
                 write(batch);
             } catch (InterruptedException e) {
                 return;
@@ -156,47 +158,51 @@
         }
     }
 
-    /** Appends until an append is acknowledged or nobody waits; the same claim twice counts once. */
-    private void write(List<Waiting> batch) {
-        List<Waiting> left = new ArrayList<>(batch);
+    /**
+     * Appends until an append is acknowledged or all claims have ended or timed out. Repeated appends are harmless: a claim
+     * that is in the log twice counts once.
+     */
+    private void write(List<PendingClaim> batch) {
+        List<PendingClaim> remaining = new ArrayList<>(batch);
         while (!writer.isClosing()) {
-            left.removeIf(one -> one.verdict().isDone() || one.untilMillis() <= clock.millis());
-            if (left.isEmpty()) {
+            remaining.removeIf(claim -> claim.result().isDone() || claim.deadlineMillis() <= clock.millis());
+            if (remaining.isEmpty()) {
                 return;
             }
-            byte[] body = CanonicalJson.write(left.stream().map(Waiting::claim).toList());
+            byte[] body = CanonicalJson.write(
+                    remaining.stream().map(PendingClaim::claim).toList());
             Result<Long> appended = log.append(stream, body);
             if (appended instanceof Result.Success) {
                 return;
             }
             LOG.warn(
                     "claims={} not acknowledged: {}",
-                    left.size(),
+                    remaining.size(),
                     appended.cause().orElseThrow());
-            writer.pause(PAUSE);
+            writer.pause(RETRY_DELAY);
         }
     }
 
-    // -- reading
+    // -- reader
 
     private void readAll() {
         while (!reader.isClosing()) {
             Result<PlatformLog.Page> page = log.read(stream, nextOffset, caughtUp ? READ_WAIT : Duration.ZERO);
             switch (page) {
-                case Result.Success<PlatformLog.Page>(PlatformLog.Page read) -> foldPage(read);
+                case Result.Success<PlatformLog.Page>(PlatformLog.Page read) -> applyPage(read);
                 case Result.Failure<PlatformLog.Page>(Fault fault) -> {
                     if (!reader.isClosing()) {
                         LOG.warn("claims not read: {}", fault);
-                        reader.pause(PAUSE);
+                        reader.pause(RETRY_DELAY);
                     }
                 }
             }
         }
     }
 
-    private void foldPage(PlatformLog.Page page) {
+    private void applyPage(PlatformLog.Page page) {
         for (PlatformLog.Entry entry : page.records()) {
-            foldEntry(entry);
+            applyEntry(entry);
             nextOffset = entry.offset() + 1;
         }
         if (page.records().isEmpty()) {
@@ -204,27 +210,27 @@
         }
     }
 
-    private void foldEntry(PlatformLog.Entry entry) {
+    private void applyEntry(PlatformLog.Entry entry) {
         try {
             List<Claim> claims = CanonicalJson.mapper().readValue(entry.body(), new TypeReference<>() {});
-            claims.forEach(claim -> foldClaim(entry.atMillis(), claim));
+            claims.forEach(claim -> applyClaim(entry.atMillis(), claim));
         } catch (IOException e) {
             LOG.error("claims stream={} offset={} cannot be read: {}", stream, entry.offset(), e.getMessage());
         }
     }
 
-    private void foldClaim(long atMillis, Claim claim) {
-        ClaimVerdict verdict;
-        Waiting one;
+    private void applyClaim(long atMillis, Claim claim) {
+        ClaimResult result;
+        PendingClaim pendingClaim;
         synchronized (lock) {
-            boolean holds = book.fold(atMillis, clock.millis(), claim);
-            verdict = holds
-                    ? new ClaimVerdict.Won()
-                    : held(book.holder(claim.key()).orElseThrow());
-            one = waiting.get(claim.attempt());
+            boolean holds = table.apply(atMillis, clock.millis(), claim);
+            result = holds
+                    ? new ClaimResult.Won()
+                    : heldBy(table.holder(claim.key()).orElseThrow());
+            pendingClaim = pending.get(claim.attempt());
         }
-        if (one != null) {
-            one.verdict().complete(verdict);
+        if (pendingClaim != null) {
+            pendingClaim.result().complete(result);
         }
     }
 
@@ -232,7 +238,7 @@
         return Fault.of(Step.CLAIM, "log/" + stream, reason, message);
     }
 
-    /** Ends reading and writing; when it returns, no call goes on and none begins. */
+    /** Stops reading and writing. After it returns, no call to the log is in progress and none starts. */
     @Override
     public void close() {
         reader.close();
--- a/src/main/java/org/micabarrow/coordination/claims/Ledger.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Ledger.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 
 /**
- * What one process of an agent knows of the requests that may not be repeated: which it has started, which it has
- * refused for good, and the answers it still keeps. A key is started at most once.
+ * The requests that must not be repeated, as recorded by one agent process: which keys it has started, which it has
+ * refused permanently, and the responses that are still stored. A key is started at most once.
  *
- * <p>A key is forgotten only after the latest start of its claim has passed, so that a delayed attempt cannot start
- * again. Safe for any number of threads.
+ * <p>A key is removed only after the latest start time of its claim has passed, so that a delayed attempt cannot start
+ * again. Thread-safe.
  *
  * <pre>{@code
  * Ledger.Start start = ledger.start(claim, clock.millis());
@@ -22,92 +22,92 @@
 
     private final String epoch;
     private final int capacity;
-    private final long answerBytes;
-    private final long keptMillis;
+    private final long maxResponseBytes;
+    private final long retentionMillis;
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
-    private long bytesKept;
+    private long storedBytes;
 
     /**
-     * Makes an empty ledger.
+     * Creates an empty ledger.
      *
-     * @param epoch the process that it belongs to
-     * @param capacity how many keys it holds; beyond that new keys are refused
-     * @param answerBytes how many bytes of answers it keeps
-     * @param keptMillis how long it keeps a key after its latest start
+     * @param epoch the agent process that it belongs to
+     * @param capacity the maximum number of keys; further new keys are refused
+     * @param maxResponseBytes the maximum total size of the stored responses, in bytes
+     * @param retentionMillis how long a key is kept after the latest start time of its claim, in milliseconds
      */
-    public Ledger(String epoch, int capacity, long answerBytes, long keptMillis) {
+    public Ledger(String epoch, int capacity, long maxResponseBytes, long retentionMillis) {
         this.epoch = Objects.requireNonNull(epoch, "epoch is null");
         this.capacity = capacity;
-        this.answerBytes = answerBytes;
-        this.keptMillis = keptMillis;
+        this.maxResponseBytes = maxResponseBytes;
+        this.retentionMillis = retentionMillis;
     }
 
-    /** Whether a request may start here. */
+    /** Whether a request may start in this process. */
     public sealed interface Start {
 
-        /** It may, now and never again. */
+        /** It may start now; the key cannot start again. */
         record Run() implements Start {}
 
         /**
-         * It may not, for good.
+         * It is refused permanently.
          *
-         * @param why a sentence for a person
+         * @param why a human-readable reason
          */
         record Refused(String why) implements Start {}
 
-        /** It has been started and has not ended. */
+        /** It has started and has not ended. */
         record Running() implements Start {}
 
         /**
          * It has ended.
          *
-         * @param answer its answer, if that is still kept
+         * @param answer its response, if that is still stored
          */
         record Done(Optional<Answer> answer) implements Start {}
     }
 
     /**
-     * A kept answer.
+     * A stored response.
      *
      * @param status the HTTP status
-     * @param contentType the type of the body
+     * @param contentType the content type of the body
      * @param body the body
      */
     public record Answer(int status, String contentType, byte[] body) {}
 
-    /** What became of a key. */
+    /** The state of a key. */
     public enum Fate {
         REFUSED,
         RUNNING,
         DONE
     }
 
-    /** A key's entry. */
+    /** The entry of a key. */
     private record Entry(Fate fate, long latestStartMillis, Optional<Answer> answer) {}
 
     /**
      * Decides whether a claimed request starts now.
      *
-     * @param claim the claim under which it came
-     * @param nowMillis the time
-     * @return what to do
+     * @param claim the claim of the request
+     * @param nowMillis the current time
+     * @return the decision
      */
     public synchronized Start start(Claim claim, long nowMillis) {
         Objects.requireNonNull(claim, "claim is null");
-        forget(nowMillis);
+        removeExpired(nowMillis);
         if (!claim.epoch().equals(epoch)) {
             return new Start.Refused("the claim names another process of this instance");
         }
         Entry entry = entries.get(claim.key());
         if (entry != null) {
             return switch (entry.fate()) {
-                case REFUSED -> new Start.Refused("the key was refused here for good");
+                case REFUSED -> new Start.Refused("the key was refused permanently by this process");
                 case RUNNING -> new Start.Running();
                 case DONE -> new Start.Done(entry.answer());
             };
         }
         if (nowMillis > claim.latestStartMillis()) {
-            return new Start.Refused("the latest start has passed");
+            return new Start.Refused("the latest start time has passed");
         }
         if (entries.size() >= capacity) {
             return new Start.Refused("the ledger is full");
@@ -117,47 +117,47 @@
     }
 
     /**
-     * Refuses a key for good unless it has started, and tells what became of it.
+     * Refuses a key permanently unless it has started, and returns its state.
      *
      * @param key the key
-     * @param latestStartMillis until when an attempt might still come
-     * @param nowMillis the time
-     * @return the key's fate from now on, with the answer if there is one
+     * @param latestStartMillis the latest time at which an attempt with this key may start
+     * @param nowMillis the current time
+     * @return the final or current state of the key, with the stored response if there is one
      */
     public synchronized Settled settle(String key, long latestStartMillis, long nowMillis) {
-        forget(nowMillis);
+        removeExpired(nowMillis);
         Entry entry =
                 entries.computeIfAbsent(key, missing -> new Entry(Fate.REFUSED, latestStartMillis, Optional.empty()));
         return new Settled(entry.fate(), entry.answer());
     }
 
     /**
-     * What became of a key.
+     * The settled state of a key.
      *
-     * @param fate its fate
-     * @param answer its answer, if it has ended and the answer is kept
+     * @param fate its state
+     * @param answer its response, if it has ended and the response is stored
      */
     public record Settled(Fate fate, Optional<Answer> answer) {}
 
     /**
-     * Notes that a started request has ended.
+     * Records that a started request has ended.
      *
      * @param key the key
-     * @param answer the answer, empty if there was none that is whole
+     * @param answer the response, empty if there is no complete one
      */
     public synchronized void ended(String key, Optional<Answer> answer) {
         Entry entry = entries.get(key);
         if (entry == null || entry.fate() != Fate.RUNNING) {
             return;
         }
-        Optional<Answer> kept = answer.filter(one -> one.body().length <= answerBytes);
-        bytesKept += kept.map(one -> one.body().length).orElse(0);
-        entries.put(key, new Entry(Fate.DONE, entry.latestStartMillis(), kept));
-        dropOldAnswers();
+        Optional<Answer> stored = answer.filter(response -> response.body().length <= maxResponseBytes);
+        storedBytes += stored.map(response -> response.body().length).orElse(0);
+        entries.put(key, new Entry(Fate.DONE, entry.latestStartMillis(), stored));
+        evictOldResponses();
     }
 
     /**
-     * Notes that a request which was let start never reached the endpoint; it is refused for good.
+     * Records that a started request never reached the endpoint. The key is refused permanently.
      *
      * @param key the key
      */
@@ -166,38 +166,41 @@
                 key, (same, entry) -> new Entry(Fate.REFUSED, entry.latestStartMillis(), Optional.empty()));
     }
 
-    /** Lets the oldest answers go, but not the knowledge that their keys have run. */
-    private void dropOldAnswers() {
+    /** Evicts the oldest responses. Their keys stay recorded as done. */
+    private void evictOldResponses() {
         Iterator<Map.Entry<String, Entry>> oldest = entries.entrySet().iterator();
-        while (bytesKept > answerBytes && oldest.hasNext()) {
-            Map.Entry<String, Entry> one = oldest.next();
-            bytesKept -=
-                    one.getValue().answer().map(answer -> answer.body().length).orElse(0);
-            one.setValue(new Entry(one.getValue().fate(), one.getValue().latestStartMillis(), Optional.empty()));
+        while (storedBytes > maxResponseBytes && oldest.hasNext()) {
+            Map.Entry<String, Entry> keyed = oldest.next();
+            storedBytes -= keyed.getValue()
+                    .answer()
+                    .map(response -> response.body().length)
+                    .orElse(0);
+            keyed.setValue(new Entry(keyed.getValue().fate(), keyed.getValue().latestStartMillis(), Optional.empty()));
         }
     }
 
-    private void forget(long nowMillis) {
-        Map<String, Entry> gone = new HashMap<>();
-        for (Map.Entry<String, Entry> one : entries.entrySet()) {
-            boolean lapsed = one.getValue().latestStartMillis() + keptMillis < nowMillis;
-            if (!lapsed) {
+    private void removeExpired(long nowMillis) {
+        Map<String, Entry> expiredEntries = new HashMap<>();
+        for (Map.Entry<String, Entry> keyed : entries.entrySet()) {
+            boolean expired = keyed.getValue().latestStartMillis() + retentionMillis < nowMillis;
+            if (!expired) {
                 break;
             }
-            if (one.getValue().fate() != Fate.RUNNING) {
-                gone.put(one.getKey(), one.getValue());
+            if (keyed.getValue().fate() != Fate.RUNNING) {
+                expiredEntries.put(keyed.getKey(), keyed.getValue());
             }
         }
-        gone.forEach((key, entry) -> {
-            bytesKept -= entry.answer().map(answer -> answer.body().length).orElse(0);
+        expiredEntries.forEach((key, entry) -> {
+            storedBytes -=
+                    entry.answer().map(response -> response.body().length).orElse(0);
             entries.remove(key);
         });
     }
 
     /**
-     * The number of keys known.
+     * The number of recorded keys.
      *
-     * @return the size
+     * @return the count
      */
     public synchronized int size() {
         return entries.size();
--- a/src/main/java/org/micabarrow/coordination/requests/AttemptAnswer.java
+++ b/src/main/java/org/micabarrow/coordination/requests/AttemptResponseListener.java
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Passes the answer of one attempt on to the caller, and counts it for the instance that gives it. */
-final class AttemptAnswer implements AnswerListener {
+/** Forwards the response of one attempt to the caller and records it in the measurements of the instance. */
+final class AttemptResponseListener implements AnswerListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.route");
 
@@ -18,43 +18,43 @@
     private final AnswerListener sink;
     private final Replica replica;
     private final String attempt;
-    private final Runnable begins;
-    private final Consumer<Outcome> ends;
+    private final Runnable onResponseStart;
+    private final Consumer<Outcome> onAttemptEnd;
     private final long sentMillis;
 
     /**
-     * Makes the receiver of an attempt that is being sent now.
+     * Creates the listener of an attempt that is about to be sent.
      *
-     * @param parts what requests pass through
+     * @param parts the components that requests use
      * @param request the request
-     * @param sink receives what the caller gets
-     * @param replica where the attempt runs
-     * @param attempt the attempt
-     * @param begins run when the answer begins, before the caller gets anything of it
-     * @param ends receives the attempt's outcome
+     * @param sink receives the caller's response
+     * @param replica the replica that the attempt is sent to
+     * @param attempt the attempt's id
+     * @param onResponseStart runs when the response starts, before any of it is forwarded
+     * @param onAttemptEnd receives the attempt's outcome
      */
-    AttemptAnswer(
+    AttemptResponseListener(
             RequestFlow.Parts parts,
             CallerRequest request,
             AnswerListener sink,
             Replica replica,
             String attempt,
-            Runnable begins,
-            Consumer<Outcome> ends) {
+            Runnable onResponseStart,
+            Consumer<Outcome> onAttemptEnd) {
         this.parts = parts;
         this.request = request;
         this.sink = sink;
         this.replica = replica;
         this.attempt = attempt;
-        this.begins = begins;
-        this.ends = ends;
+        this.onResponseStart = onResponseStart;
+        this.onAttemptEnd = onAttemptEnd;
         this.sentMillis = parts.clock().millis();
     }
 
     @Override
     public void onHead(AnswerHead head) {
-        begins.run();
-        parts.traffic().began(replica.instance(), parts.clock().millis() - sentMillis);
+        onResponseStart.run();
+        parts.traffic().firstByteReceived(replica.instance(), parts.clock().millis() - sentMillis);
         sink.onHead(head);
     }
 
@@ -65,9 +65,9 @@
 
     @Override
     public void onEnd(Outcome outcome) {
-        parts.traffic().closed(replica.instance());
+        parts.traffic().requestEnded(replica.instance());
         LOG.info(
                 "end request={} attempt={} instance={} outcome={}", request.id(), attempt, replica.instance(), outcome);
-        ends.accept(outcome);
+        onAttemptEnd.accept(outcome);
     }
 }
--- a/src/main/java/org/micabarrow/coordination/requests/CallerRequest.java
+++ b/src/main/java/org/micabarrow/coordination/requests/CallerRequest.java
@@ -6,22 +6,22 @@
 import org.micabarrow.state.Organisation;
 
 /**
- * A caller's request as the entry understood it.
+ * A caller's request as the entry parsed it.
  *
  * @param id the request's id, for logs
- * @param organisation who asks
- * @param workload the name of the model or service asked for
- * @param model whether it is a model
+ * @param organisation the organisation that sent it
+ * @param workload the name of the requested model or service
+ * @param model whether the workload is a model
  * @param method the HTTP method at the endpoint
  * @param path the path at the endpoint
  * @param contentType the body's type
  * @param body the body
- * @param stream whether the answer is streamed
+ * @param stream whether the response is streamed
  * @param strict whether the caller forbids a second run even where the service allows it
  * @param key the caller's idempotency key
- * @param deadlineMillis when the answer is no longer of use, in milliseconds since 1970
+ * @param deadlineMillis the time after which the response is useless, in milliseconds since 1970
  * @param priority 0 for short requests, 1 for others
- * @param prefix the prompt's blocks
+ * @param prefix the identifiers of the prompt's blocks
  */
 public record CallerRequest(
         String id,
@@ -39,7 +39,7 @@
         int priority,
         List<Long> prefix) {
 
-    /** Checks and copies the parts. */
+    /** Validates the components and copies the prefix. */
     public CallerRequest {
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(organisation, "organisation is null");
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Whether the request may use the room reserved for short ones.
+     * Whether the request may use the slots reserved for short requests.
      *
      * @return true for the most urgent priority
      */
--- a/src/main/java/org/micabarrow/coordination/requests/KeyClaim.java
+++ b/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
@@ -6,7 +6,7 @@
 import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
 import org.micabarrow.coordination.claims.Claim;
-import org.micabarrow.coordination.claims.ClaimVerdict;
+import org.micabarrow.coordination.claims.ClaimResult;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.state.Digest;
@@ -20,78 +20,80 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Claims the key of a request that may not be repeated, and settles what became of a key that is claimed already: goes on
- * where its attempt was refused for good, gives its kept answer where it has run, and else ends as unknown.
+ * Claims the idempotency key of a request that must not be repeated. If the key is claimed already, determines the
+ * outcome of the attempt that holds it: continues if that attempt was refused permanently, returns the stored response
+ * if it ran to the end, and otherwise ends with an unknown outcome.
  */
-final class KeyClaim {
+final class KeyClaimer {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.route");
 
-    /** For how long a claim counts as just being sent, in milliseconds. */
-    private static final long ON_ITS_WAY_MILLIS = 1_000;
+    /** The age below which the attempt of a claim counts as still being sent, in milliseconds. */
+    private static final long RECENT_CLAIM_MILLIS = 1_000;
 
-    /** When a request whose key could not be claimed may be tried again. */
+    /** The delay after which a request whose key could not be claimed may be retried. */
     private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
     private final RequestFlow flow;
     private final RequestFlow.Parts parts;
     private final CallerRequest request;
     private final AnswerListener sink;
-    private final Next next;
+    private final Callback callback;
 
-    KeyClaim(RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink, Next next) {
+    KeyClaimer(
+            RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink, Callback callback) {
         this.flow = flow;
         this.parts = parts;
         this.request = request;
         this.sink = sink;
-        this.next = next;
+        this.callback = callback;
     }
 
-    /** What follows on a claim or a settled key. */
-    interface Next {
+    /** Receives the result of a claim or of a settled key. */
+    interface Callback {
 
-        /** The key is claimed: the attempt may be sent. */
-        void won(Placed placed, Replica replica, String attempt, Claim claim);
+        /** The key is claimed; the attempt may be sent. */
+        void onClaimed(Placed placed, Replica replica, String attempt, Claim claim);
 
-        /** The attempt that held the key was refused for good: another may be claimed. */
-        void refused(Claim holder);
+        /** The attempt that held the key was refused permanently; another one may be claimed. */
+        void onRefused(Claim holder);
 
-        /** The request ends. */
-        void end(Outcome outcome);
+        /** The request ends with an outcome. */
+        void onEnd(Outcome outcome);
     }
 
     /**
-     * Claims the request's key for an attempt, or finds out what became of the claim that holds it.
+     * Claims the request's key for an attempt, or settles the claim that holds it.
      *
      * @param placed the placement
-     * @param replica where the attempt would run
-     * @param attempt the attempt
-     * @param after the attempt with this key that was refused before it, if there was one
+     * @param replica the replica that the attempt would be sent to
+     * @param attempt the attempt's id
+     * @param after the id of the earlier attempt with this key that was refused, if there was one
      */
     void claim(Placed placed, Replica replica, String attempt, Optional<String> after) {
         String epoch = flow.peer(replica.instance()).map(PeerView::epoch).orElse("");
         String key = RequestFlow.claimKey(
                 request.organisation().name(), request.key().orElseThrow());
-        Claim claim = new Claim(
-                key, digestOfWhatIsAsked(), replica.instance(), epoch, request.deadlineMillis(), attempt, after);
-        parts.claims().apply(key).claim(claim, parts.claimWithin()).thenAccept(verdict -> {
-            switch (verdict) {
-                case ClaimVerdict.Won ignored -> next.won(placed, replica, attempt, claim);
-                case ClaimVerdict.Held(Claim holder, long ageMillis) -> heldBy(placed, claim, holder, ageMillis);
-                case ClaimVerdict.Failed(Fault fault) -> next.end(Outcome.notRun(fault, RETRY_AFTER));
+        Claim claim =
+                new Claim(key, requestDigest(), replica.instance(), epoch, request.deadlineMillis(), attempt, after);
+        parts.claims().apply(key).claim(claim, parts.claimWithin()).thenAccept(result -> {
+            switch (result) {
+                case ClaimResult.Won ignored -> callback.onClaimed(placed, replica, attempt, claim);
+                case ClaimResult.Held(Claim holder, long ageMillis) -> handleHeld(placed, claim, holder, ageMillis);
+                case ClaimResult.Failed(Fault fault) -> callback.onEnd(Outcome.notRun(fault, RETRY_AFTER));
             }
         });
     }
 
-    /** The same key stands for the same call with the same body. */
-    private String digestOfWhatIsAsked() {
+    /** Identifies the call and its body: a key may only be used again for the same ones. */
+    private String requestDigest() {
         return Digest.of(
                 String.join("\n", request.workload(), request.method(), request.path(), Digest.of(request.body())));
     }
 
-    private void heldBy(Placed placed, Claim mine, Claim holder, long ageMillis) {
-        if (!holder.bodyDigest().equals(mine.bodyDigest())) {
-            next.end(Outcome.notRun(
+    private void handleHeld(Placed placed, Claim ownClaim, Claim holder, long ageMillis) {
+        if (!holder.bodyDigest().equals(ownClaim.bodyDigest())) {
+            callback.onEnd(Outcome.notRun(
                     Fault.of(
                             Step.CLAIM,
                             holder.instance(),
@@ -100,31 +102,32 @@
                     RETRY_AFTER));
             return;
         }
-        if (ageMillis < ON_ITS_WAY_MILLIS) {
-            // Settling now would refuse a request that is just being sent, and so would its own retry be refused.
-            next.end(Outcome.unknown(Fault.of(
+        if (ageMillis < RECENT_CLAIM_MILLIS) {
+            // Settling now would refuse an attempt that is still being sent, and a retry of it would be refused as
+            // well.
+            callback.onEnd(Outcome.unknown(Fault.of(
                     Step.CLAIM, holder.instance(), Reason.CONFLICT, "a request with this key has just been sent")));
             return;
         }
         settle(placed, holder);
     }
 
-    /** Finds out what became of a claimed key, and goes on only if it has been refused for good. */
+    /** Settles a claimed key; a new attempt follows only if the key was refused permanently. */
     void settle(Placed placed, Claim holder) {
         Optional<Replica> replica = placed.replicaOn(holder.instance());
         if (replica.isEmpty()) {
-            next.end(Outcome.unknown(
+            callback.onEnd(Outcome.unknown(
                     Fault.of(Step.CLAIM, holder.instance(), Reason.GONE, "the instance that holds the key is gone")));
             return;
         }
         parts.calls().settle(replica.get(), holder).thenAccept(result -> {
             LOG.info("settle request={} holder={} result={}", request.id(), holder.attempt(), result);
             switch (result) {
-                case Result.Failure<Optional<Ledger.Settled>>(Fault fault) -> next.end(Outcome.unknown(fault));
+                case Result.Failure<Optional<Ledger.Settled>>(Fault fault) -> callback.onEnd(Outcome.unknown(fault));
                 case Result.Success<Optional<Ledger.Settled>>(Optional<Ledger.Settled> settled) ->
                     settled.ifPresentOrElse(
-                            one -> settled(replica.get(), holder, one),
-                            () -> next.end(Outcome.unknown(Fault.of(
+                            settlement -> handleSettled(replica.get(), holder, settlement),
+                            () -> callback.onEnd(Outcome.unknown(Fault.of(
                                     Step.CLAIM,
                                     holder.instance(),
                                     Reason.GONE,
@@ -133,20 +136,20 @@
         });
     }
 
-    private void settled(Replica replica, Claim holder, Ledger.Settled settled) {
-        switch (settled.fate()) {
-            case REFUSED -> next.refused(holder);
+    private void handleSettled(Replica replica, Claim holder, Ledger.Settled settlement) {
+        switch (settlement.fate()) {
+            case REFUSED -> callback.onRefused(holder);
             case RUNNING ->
-                next.end(Outcome.unknown(
+                callback.onEnd(Outcome.unknown(
                         Fault.of(Step.CLAIM, replica.instance(), Reason.CONFLICT, "the request is in progress")));
-            case DONE -> giveKept(replica, holder, settled.answer());
+            case DONE -> returnStored(replica, holder, settlement.answer());
         }
     }
 
-    private void giveKept(Replica replica, Claim holder, Optional<Ledger.Answer> answer) {
+    private void returnStored(Replica replica, Claim holder, Optional<Ledger.Answer> answer) {
         if (answer.isEmpty()) {
-            next.end(Outcome.unknown(Fault.of(
-                    Step.CLAIM, replica.instance(), Reason.GONE, "the request ran; its answer is not kept any more")));
+            callback.onEnd(Outcome.unknown(Fault.of(
+                    Step.CLAIM, replica.instance(), Reason.GONE, "the request ran; its response is no longer stored")));
             return;
         }
         sink.onHead(new AnswerHead(
@@ -158,6 +161,6 @@
                 replica.region(),
                 replica.hall(),
                 flow.generation()));
-        sink.onData(answer.get().body(), () -> next.end(Outcome.answered()));
+        sink.onData(answer.get().body(), () -> callback.onEnd(Outcome.answered()));
     }
 }
--- a/src/main/java/org/micabarrow/coordination/requests/PlacementQueue.java
+++ b/src/main/java/org/micabarrow/coordination/requests/PlacementQueue.java
@@ -4,72 +4,68 @@
 import java.util.Optional;
 import org.micabarrow.coordination.admission.FairQueue;
 
-/** Requests of one kind that wait for one placement, with how fast they get their turn. */
+/** Queue of requests of one kind (short or long) for one placement, with an estimate of the wait. */
 final class PlacementQueue {
 
-    /**
-     * The most requests of one kind that wait for one placement; further ones are refused, so that memory is bounded.
-     */
-    private static final int MOST_WAITING = 256;
+    /** The maximum number of waiting requests per organisation. Further ones are refused, so that memory is bounded. */
+    private static final int MAX_WAITING = 256;
 
-    /** The weight of the newest gap between two turns in their moving average. */
-    private static final double WEIGHT_OF_NEWEST = 0.1;
+    /** The weight of the newest interval between two dequeued requests in the moving average. */
+    private static final double SMOOTHING_FACTOR = 0.1;
 
-    /**
-     * The longest gap that counts, in milliseconds, so that an idle time does not look like a slow queue.
-     */
-    private static final double MOST_GAP_MILLIS = 1_000;
+    /** The upper limit for an interval, in milliseconds, so that an idle period does not count as a slow queue. */
+    private static final double MAX_INTERVAL_MILLIS = 1_000;
 
     private final InstantSource clock;
-    private final FairQueue<RequestRun> queue = new FairQueue<>(MOST_WAITING);
-    private double gapMillis;
-    private long lastMillis;
+    private final FairQueue<RequestExecution> queue = new FairQueue<>(MAX_WAITING);
+    private double averageIntervalMillis;
+    private long lastDequeueMillis;
 
     PlacementQueue(InstantSource clock) {
         this.clock = clock;
     }
 
-    /** How many requests wait. */
+    /** The number of waiting requests. */
     int size() {
         return queue.size();
     }
 
-    /** Lets a request wait, unless there are too many already. */
-    boolean offer(RequestRun run) {
+    /** Adds a request; false if too many requests of its organisation are waiting already. */
+    boolean offer(RequestExecution execution) {
         return queue.offer(
-                run.request().organisation().name(),
-                run.request().organisation().weight(),
-                run);
+                execution.request().organisation().name(),
+                execution.request().organisation().weight(),
+                execution);
     }
 
-    /** How long a request that comes now is likely to wait, from how fast others got their turn. */
+    /** The expected wait of a request that is added now, from the rate at which others were dequeued. */
     synchronized long expectedWaitMillis() {
-        return Math.round(queue.size() * gapMillis);
+        return Math.round(queue.size() * averageIntervalMillis);
     }
 
-    private synchronized void left() {
+    private synchronized void recordDequeue() {
         long now = clock.millis();
-        if (lastMillis > 0) {
-            double gap = Math.min(MOST_GAP_MILLIS, now - lastMillis);
-            gapMillis = gapMillis * (1 - WEIGHT_OF_NEWEST) + gap * WEIGHT_OF_NEWEST;
+        if (lastDequeueMillis > 0) {
+            double interval = Math.min(MAX_INTERVAL_MILLIS, now - lastDequeueMillis);
+            averageIntervalMillis = averageIntervalMillis * (1 - SMOOTHING_FACTOR) + interval * SMOOTHING_FACTOR;
         }
-        lastMillis = now;
+        lastDequeueMillis = now;
     }
 
-    /** Ends those that have waited enough, and lets the others try again in their order until there is no room. */
+    /** Ends the requests whose wait is over, then dispatches the others in order until there is no free slot. */
     void wake() {
-        queue.removeIf(RequestRun::waitedEnough).forEach(RequestRun::tryAgain);
-        int most = queue.size();
-        for (int i = 0; i < most; i++) {
-            Optional<FairQueue.Waiting<RequestRun>> next = queue.poll();
+        queue.removeIf(RequestExecution::isWaitOver).forEach(RequestExecution::tryDispatch);
+        int waiting = queue.size();
+        for (int i = 0; i < waiting; i++) {
+            Optional<FairQueue.Queued<RequestExecution>> next = queue.poll();
             if (next.isEmpty()) {
                 return;
             }
-            if (!next.get().item().tryAgain()) {
+            if (!next.get().item().tryDispatch()) {
                 queue.putBack(next.get());
                 return;
             }
-            left();
+            recordDequeue();
         }
     }
 }
--- a/src/main/java/org/micabarrow/coordination/requests/RequestRun.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
@@ -22,20 +22,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One request from its arrival to its one outcome: it waits for room, is claimed if it may not be repeated, and is sent
- * to one agent after another for as long as that is safe.
+ * The execution of one request, from its arrival to its single outcome. The request waits for a free slot, its key is
+ * claimed if it must not be repeated, and it is sent to one agent after another while a retry is safe.
  */
-final class RequestRun {
+final class RequestExecution {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.route");
 
-    /** The most attempts of one request. */
-    private static final int MOST_ATTEMPTS = 3;
+    /** The maximum number of attempts per request. */
+    private static final int MAX_ATTEMPTS = 3;
 
-    /** When a request may be tried again after what passes quickly. */
+    /** The delay before a retry after a short-lived condition. */
     private static final Duration RETRY_SOON = Duration.ofMillis(500);
 
-    /** When a request may be tried again where room is missing. */
+    /** The delay before a retry when no slot is free. */
     private static final Duration RETRY_LATER = Duration.ofSeconds(2);
 
     private final RequestFlow flow;
@@ -44,24 +44,24 @@
     private final AnswerListener sink;
     private final AtomicBoolean ended = new AtomicBoolean();
     private final Set<String> tried = new HashSet<>();
-    private final KeyClaim keyClaim;
-    private final long queuedUntil;
+    private final KeyClaimer keyClaimer;
+    private final long waitUntilMillis;
     private int attempts;
-    private boolean begun;
+    private boolean responseStarted;
     private volatile Optional<Claim> lastClaim = Optional.empty();
-    private Optional<Outcome> mayHaveRun = Optional.empty();
-    private Optional<String> after = Optional.empty();
+    private Optional<Outcome> unknownOutcome = Optional.empty();
+    private Optional<String> refusedAttempt = Optional.empty();
     private Optional<Outcome.NotRun> lastRefusal = Optional.empty();
     private volatile Runnable cancelAttempt = () -> {};
     private volatile boolean cancelled;
 
-    RequestRun(RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink) {
+    RequestExecution(RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink) {
         this.flow = Objects.requireNonNull(flow, "flow is null");
         this.parts = Objects.requireNonNull(parts, "parts is null");
         this.request = Objects.requireNonNull(request, "request is null");
         this.sink = Objects.requireNonNull(sink, "sink is null");
-        this.keyClaim = new KeyClaim(flow, parts, request, sink, new AfterClaim());
-        this.queuedUntil = now() + RequestFlow.LONGEST_QUEUE.toMillis();
+        this.keyClaimer = new KeyClaimer(flow, parts, request, sink, new ClaimCallback());
+        this.waitUntilMillis = now() + RequestFlow.MAX_SLOT_WAIT.toMillis();
     }
 
     CallerRequest request() {
@@ -72,41 +72,41 @@
         return parts.clock().millis();
     }
 
-    /** Whether the request may run at most once. The caller may be stricter than the configuration, never laxer. */
-    boolean unrepeatable(Placed placed) {
-        boolean byConfiguration =
+    /** Whether the request must run at most once. The caller can be stricter than the configuration, but not laxer. */
+    boolean mustRunAtMostOnce(Placed placed) {
+        boolean configuredAtMostOnce =
                 placed.placement().workload() instanceof Workload.Service(String ignored, boolean repeatable)
                         && !repeatable;
-        return byConfiguration || request.strict();
+        return configuredAtMostOnce || request.strict();
     }
 
-    // -- choosing
+    // -- selection
 
-    /** Tries to send the request, or lets it wait for room. */
+    /** Sends the request, or queues it until a slot is free. Requests that wait already go first. */
     void next() {
         Optional<Placed> placed = flow.placementOf(request);
-        boolean othersWait = placed.isPresent() && flow.mustQueue(this, placed.get());
-        if (othersWait || !tryAgain()) {
-            placed.flatMap(one -> flow.enqueue(this, one)).ifPresent(this::end);
+        boolean mustQueue = placed.isPresent() && flow.mustQueue(this, placed.get());
+        if (mustQueue || !tryDispatch()) {
+            placed.flatMap(value -> flow.enqueue(this, value)).ifPresent(this::end);
         }
-        if (othersWait) {
+        if (mustQueue) {
             flow.wake();
         }
     }
 
-    /** Whether there is no more use in waiting for room. */
-    boolean waitedEnough() {
-        return cancelled || now() >= Math.min(queuedUntil, request.deadlineMillis());
+    /** Whether the wait for a free slot is over: cancelled, timed out, or past the deadline. */
+    boolean isWaitOver() {
+        return cancelled || now() >= Math.min(waitUntilMillis, request.deadlineMillis());
     }
 
     /**
      * Tries to send the request.
      *
-     * @return false if it was left waiting because there is no room, true if it was sent or has ended
+     * @return false if it has to wait for a free slot, true if it was sent or has ended
      */
-    boolean tryAgain() {
+    boolean tryDispatch() {
         if (cancelled) {
-            end(Outcome.notRun(fault(Reason.CANCELLED, "the caller has gone"), RETRY_SOON));
+            end(Outcome.notRun(fault(Reason.CANCELLED, "the caller has disconnected"), RETRY_SOON));
             return true;
         }
         if (now() >= request.deadlineMillis()) {
@@ -115,7 +115,8 @@
         }
         Optional<Placed> placed = flow.placementOf(request);
         if (placed.isEmpty()) {
-            end(Outcome.notRun(fault(Reason.OUTSIDE_PLACEMENT, "the placement was narrowed"), RETRY_SOON));
+            end(Outcome.notRun(
+                    fault(Reason.OUTSIDE_PLACEMENT, "the placement no longer allows the request"), RETRY_SOON));
             return true;
         }
         Router.Decision decision = flow.route(placed.get(), wish());
@@ -130,17 +131,19 @@
         return new Router.Wish(request.prefix(), request.shortRequest(), tried, now());
     }
 
-    /** Waiting helps only where room is what is missing; everything else is told to the caller at once. */
+    /** Waits only if an instance lacks a free slot; in any other case the request ends immediately. */
     private boolean mayWait(Placed placed, Router.Decision decision) {
-        boolean full = decision.exclusions().stream().anyMatch(one -> one.reason() == Exclusion.Reason.FULL);
-        if (full && !waitedEnough()) {
+        boolean full =
+                decision.exclusions().stream().anyMatch(exclusion -> exclusion.reason() == Exclusion.Reason.FULL);
+        if (full && !isWaitOver()) {
             return true;
         }
         log(placed, decision, "none");
         Outcome.NotRun refusal = lastRefusal.orElseGet(() -> new Outcome.NotRun(
                 fault(
                         full ? Reason.OVERLOADED : Reason.NOT_READY,
-                        "no instance of " + placed.placement().name() + " can take it: " + decision.exclusions()),
+                        "no instance of " + placed.placement().name() + " can take the request: "
+                                + decision.exclusions()),
                 full ? RETRY_LATER : RETRY_SOON));
         end(refusal);
         return false;
@@ -149,14 +152,14 @@
     private void send(Placed placed, Router.Decision decision) {
         Replica replica = decision.chosen().orElseThrow();
         if (now() + decision.expectedWaitMillis() > request.deadlineMillis()) {
-            end(Outcome.notRun(fault(Reason.TOO_LATE, "the answer would begin after the deadline"), RETRY_LATER));
+            end(Outcome.notRun(fault(Reason.TOO_LATE, "the response would start after the deadline"), RETRY_LATER));
             return;
         }
         attempts++;
         String attempt = parts.attempts().get();
         log(placed, decision, attempt);
-        if (unrepeatable(placed)) {
-            keyClaim.claim(placed, replica, attempt, after);
+        if (mustRunAtMostOnce(placed)) {
+            keyClaimer.claim(placed, replica, attempt, refusedAttempt);
         } else {
             dispatch(placed, replica, attempt, Optional.empty());
         }
@@ -176,32 +179,32 @@
 
     // -- sending
 
-    /** Goes on once the request's key has been claimed or settled. */
-    private final class AfterClaim implements KeyClaim.Next {
+    /** Continues when the request's key has been claimed or settled. */
+    private final class ClaimCallback implements KeyClaimer.Callback {
 
         @Override
-        public void won(Placed placed, Replica replica, String attempt, Claim claim) {
+        public void onClaimed(Placed placed, Replica replica, String attempt, Claim claim) {
             dispatch(placed, replica, attempt, Optional.of(claim));
         }
 
         @Override
-        public void refused(Claim holder) {
-            after = Optional.of(holder.attempt());
-            retry(new Outcome.NotRun(fault(Reason.NOT_READY, "the attempt was refused for good"), RETRY_SOON));
+        public void onRefused(Claim holder) {
+            refusedAttempt = Optional.of(holder.attempt());
+            retry(new Outcome.NotRun(fault(Reason.NOT_READY, "the attempt was refused permanently"), RETRY_SOON));
         }
 
         @Override
-        public void end(Outcome outcome) {
-            RequestRun.this.end(outcome);
+        public void onEnd(Outcome outcome) {
+            RequestExecution.this.end(outcome);
         }
     }
 
     private void dispatch(Placed placed, Replica replica, String attempt, Optional<Claim> claim) {
-        flow.attempted();
+        flow.countAttempt();
         lastClaim = claim;
         tried.add(replica.instance());
-        parts.traffic().opened(replica.instance());
-        parts.prefixes().seen(request.prefix(), replica.instance(), now());
+        parts.traffic().requestSent(replica.instance());
+        parts.prefixes().recordCached(request.prefix(), replica.instance(), now());
         AgentRequest sent = new AgentRequest(
                 attempt,
                 flow.generation(),
@@ -215,31 +218,37 @@
                 request.contentType(),
                 request.body(),
                 claim);
-        AttemptAnswer answer = new AttemptAnswer(
-                parts, request, sink, replica, attempt, () -> begun = true, outcome -> ended(placed, replica, outcome));
-        cancelAttempt = parts.calls().handle(replica, sent, answer);
+        AttemptResponseListener listener = new AttemptResponseListener(
+                parts,
+                request,
+                sink,
+                replica,
+                attempt,
+                () -> responseStarted = true,
+                outcome -> handleOutcome(placed, replica, outcome));
+        cancelAttempt = parts.calls().handle(replica, sent, listener);
         if (cancelled) {
             cancel();
         }
     }
 
-    private void ended(Placed placed, Replica replica, Outcome outcome) {
+    private void handleOutcome(Placed placed, Replica replica, Outcome outcome) {
         switch (outcome) {
             case Outcome.Answered answered -> end(answered);
-            case Outcome.NotRun notRun -> refused(replica, notRun);
-            case Outcome.Unknown unknown -> broken(placed, replica, unknown);
+            case Outcome.NotRun notRun -> handleRefusal(replica, notRun);
+            case Outcome.Unknown unknown -> handleUnknown(placed, replica, unknown);
         }
         flow.wake();
     }
 
-    /** After a refusal: a full instance is worth waiting for, any other is left out from now on. */
-    private void refused(Replica replica, Outcome.NotRun refusal) {
-        after = lastClaim.map(Claim::attempt).or(() -> after);
-        boolean full = refusal.fault().reason() == Reason.OVERLOADED;
-        if (full) {
-            parts.traffic().full(replica.instance(), now());
+    /** Handles a refusal. A full instance may be tried again after a wait; any other one is excluded from now on. */
+    private void handleRefusal(Replica replica, Outcome.NotRun refusal) {
+        refusedAttempt = lastClaim.map(Claim::attempt).or(() -> refusedAttempt);
+        boolean instanceFull = refusal.fault().reason() == Reason.OVERLOADED;
+        if (instanceFull) {
+            parts.traffic().markFull(replica.instance(), now());
         }
-        if (full && lastClaim.isEmpty() && !waitedEnough()) {
+        if (instanceFull && lastClaim.isEmpty() && !isWaitOver()) {
             lastRefusal = Optional.of(refusal);
             tried.remove(replica.instance());
             attempts--;
@@ -249,22 +258,25 @@
         }
     }
 
-    /** After an attempt whose fate is not known: settle a claimed one, repeat a repeatable one, else say so. */
-    private void broken(Placed placed, Replica replica, Outcome.Unknown unknown) {
-        parts.traffic().failed(replica.instance(), now());
-        if (begun || cancelled) {
+    /**
+     * Handles an attempt with an unknown outcome: ends if the response has started or the request is cancelled, settles a
+     * claimed key, and otherwise retries.
+     */
+    private void handleUnknown(Placed placed, Replica replica, Outcome.Unknown unknown) {
+        parts.traffic().requestFailed(replica.instance(), now());
+        if (responseStarted || cancelled) {
             end(unknown);
         } else if (lastClaim.isPresent()) {
-            keyClaim.settle(placed, lastClaim.get());
+            keyClaimer.settle(placed, lastClaim.get());
         } else {
-            mayHaveRun = Optional.of(unknown);
+            unknownOutcome = Optional.of(unknown);
             retry(new Outcome.NotRun(unknown.fault(), RETRY_SOON));
         }
     }
 
     private void retry(Outcome.NotRun refusal) {
         lastRefusal = Optional.of(refusal);
-        boolean mayRetry = attempts < MOST_ATTEMPTS
+        boolean mayRetry = attempts < MAX_ATTEMPTS
                 && now() < request.deadlineMillis()
                 && parts.budget().tryRetry();
         if (mayRetry) {
@@ -274,9 +286,9 @@
         }
     }
 
-    // -- ending
+    // -- end
 
-    /** Ends the attempt in progress because the caller has gone. */
+    /** Cancels the attempt in progress because the caller has disconnected. A claimed attempt is left to finish. */
     void cancel() {
         cancelled = true;
         if (lastClaim.isEmpty()) {
@@ -284,10 +296,11 @@
         }
     }
 
-    /** Tells the outcome once. A request of which an earlier attempt may have run is never called "not run". */
+    /** Reports the outcome once. If an earlier attempt may have run, the outcome is never "not run". */
     private void end(Outcome outcome) {
         if (ended.compareAndSet(false, true)) {
-            sink.onEnd(outcome instanceof Outcome.NotRun && mayHaveRun.isPresent() ? mayHaveRun.get() : outcome);
+            sink.onEnd(
+                    outcome instanceof Outcome.NotRun && unknownOutcome.isPresent() ? unknownOutcome.get() : outcome);
         }
     }
 
--- a/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
@@ -27,15 +27,15 @@
 import org.micabarrow.state.Workload;
 
 /**
- * Takes callers' requests through admission, routing, claims and attempts to one final outcome each. What belongs to a
- * single request is in {@link RequestRun}.
+ * Executes callers' requests: admission, routing, claims, attempts, and exactly one final outcome for each. The state of
+ * a single request is in {@link RequestExecution}.
  */
 public final class RequestFlow {
 
-    /** The longest that a request waits for room. */
-    static final Duration LONGEST_QUEUE = Duration.ofSeconds(2);
+    /** The maximum time that a request waits for a free slot. */
+    static final Duration MAX_SLOT_WAIT = Duration.ofSeconds(2);
 
-    /** When a refused request may be tried again, at the soonest. */
+    /** The minimum delay after which a refused request may be retried. */
     private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
     private final Supplier<FoldedState> state;
@@ -46,11 +46,11 @@
     private final Map<String, PlacementQueue> queues = new ConcurrentHashMap<>();
 
     /**
-     * Makes a flow.
+     * Creates a flow.
      *
-     * @param state the configuration in force
-     * @param peers what is known of the agents
-     * @param parts what requests pass through
+     * @param state the active configuration
+     * @param peers the current views of the agents, by instance
+     * @param parts the components that requests use
      */
     public RequestFlow(Supplier<FoldedState> state, Supplier<Map<String, PeerView>> peers, Parts parts) {
         this.state = Objects.requireNonNull(state, "state is null");
@@ -59,17 +59,17 @@
     }
 
     /**
-     * What requests pass through.
+     * The components that requests use.
      *
-     * @param router decides where they go
-     * @param traffic holds the entry's own figures
-     * @param prefixes learns where prompts went
-     * @param calls reaches agents
-     * @param claims the claims that a key belongs to
+     * @param router selects the replica for each attempt
+     * @param traffic the entry's own measurements of each instance
+     * @param prefixes records which instances got which prompts
+     * @param calls sends requests to agents
+     * @param claims gives the claim writer for a key
      * @param budget limits retries
-     * @param attempts gives ids to attempts
-     * @param clock tells the time
-     * @param claimWithin how long the log may take for a claim
+     * @param attempts generates the ids of attempts
+     * @param clock the source of the current time
+     * @param claimWithin the timeout for writing a claim to the log
      */
     public record Parts(
             Router router,
@@ -83,22 +83,22 @@
             Duration claimWithin) {}
 
     /**
-     * Begins a request. The sink receives exactly one end.
+     * Starts a request. The sink receives exactly one end.
      *
      * @param request the request
-     * @param sink receives the answer
-     * @return cancels the request when run, for a caller that has gone
+     * @param sink receives the response
+     * @return cancels the request when run; for a caller that has disconnected
      */
     public Runnable begin(CallerRequest request, AnswerListener sink) {
         Objects.requireNonNull(request, "request is null");
         Objects.requireNonNull(sink, "sink is null");
         Optional<Placed> placed = placementFor(state.get(), request);
         if (placed.isEmpty()) {
-            sink.onEnd(Outcome.notRun(unplaced(request), RETRY_AFTER));
+            sink.onEnd(Outcome.notRun(noPlacementFault(request), RETRY_AFTER));
             return () -> {};
         }
-        RequestRun run = new RequestRun(this, parts, request, sink);
-        if (run.unrepeatable(placed.get()) && request.key().isEmpty()) {
+        RequestExecution execution = new RequestExecution(this, parts, request, sink);
+        if (execution.mustRunAtMostOnce(placed.get()) && request.key().isEmpty()) {
             sink.onEnd(Outcome.notRun(
                     Fault.of(
                             Step.READ,
@@ -110,8 +110,8 @@
         }
         parts.budget().sent();
         requests.increment();
-        run.next();
-        return run::cancel;
+        execution.next();
+        return execution::cancel;
     }
 
     private static Optional<Placed> placementFor(FoldedState state, CallerRequest request) {
@@ -122,40 +122,40 @@
      * The placement under which an organisation's request runs.
      *
      * @param state the configuration
-     * @param organisation who asks
-     * @param workload the model or service asked for
-     * @param model whether it is a model
-     * @return the first placement by name that has the workload and allows the organisation
+     * @param organisation the organisation that sends it
+     * @param workload the name of the requested model or service
+     * @param model whether the workload is a model
+     * @return the first placement, in order of names, that has the workload and admits the organisation
      */
     public static Optional<Placed> placementFor(
             FoldedState state, String organisation, String workload, boolean model) {
         return state.placements().values().stream()
-                .filter(placed -> places(placed, workload, model))
+                .filter(placed -> hasWorkload(placed, workload, model))
                 .filter(placed -> placed.placement().organisations().contains(organisation))
                 .findFirst();
     }
 
-    private static boolean places(Placed placed, String name, boolean model) {
+    private static boolean hasWorkload(Placed placed, String name, boolean model) {
         Workload workload = placed.placement().workload();
         boolean sameKind = workload instanceof Workload.Model == model;
         return sameKind && workload.name().equals(name);
     }
 
-    private Fault unplaced(CallerRequest request) {
-        boolean known = state.get().placements().values().stream()
-                .anyMatch(placed -> places(placed, request.workload(), request.model()));
-        String what = (request.model() ? "model " : "service ") + request.workload();
-        return known
+    private Fault noPlacementFault(CallerRequest request) {
+        boolean workloadPlaced = state.get().placements().values().stream()
+                .anyMatch(placed -> hasWorkload(placed, request.workload(), request.model()));
+        String workload = (request.model() ? "model " : "service ") + request.workload();
+        return workloadPlaced
                 ? Fault.of(
                         Step.ROUTE,
                         "entry",
                         Reason.OUTSIDE_PLACEMENT,
-                        "no placement of " + what + " is for "
+                        "no placement of " + workload + " is for "
                                 + request.organisation().name())
-                : Fault.of(Step.ROUTE, "entry", Reason.NOT_FOUND, "no placement has " + what);
+                : Fault.of(Step.ROUTE, "entry", Reason.NOT_FOUND, "no placement has " + workload);
     }
 
-    // -- for runs
+    // -- used by executions
 
     Optional<Placed> placementOf(CallerRequest request) {
         return placementFor(state.get(), request);
@@ -173,64 +173,68 @@
         return Optional.ofNullable(peers.get().get(instance));
     }
 
-    /** Where requests of one kind wait for one placement; short and long ones never block each other. */
-    private PlacementQueue queue(RequestRun run, Placed placed) {
-        String name = placed.placement().name() + (run.request().shortRequest() ? "/short" : "/long");
+    /** The queue for a placement and kind of request. Short and long requests do not block each other. */
+    private PlacementQueue queue(RequestExecution execution, Placed placed) {
+        String name = placed.placement().name() + (execution.request().shortRequest() ? "/short" : "/long");
         return queues.computeIfAbsent(name, key -> new PlacementQueue(parts.clock()));
     }
 
-    boolean mustQueue(RequestRun run, Placed placed) {
-        return queue(run, placed).size() > 0;
+    boolean mustQueue(RequestExecution execution, Placed placed) {
+        return queue(execution, placed).size() > 0;
     }
 
-    /** Lets a request wait, unless its turn would come too late. */
-    Optional<Outcome.NotRun> enqueue(RequestRun run, Placed placed) {
-        PlacementQueue queue = queue(run, placed);
-        long wait = queue.expectedWaitMillis();
-        long most = Math.min(
-                LONGEST_QUEUE.toMillis(),
-                run.request().deadlineMillis() - parts.clock().millis());
-        boolean taken = wait <= most && queue.offer(run);
-        return taken
+    /** Adds a request to its queue; refuses it if the expected wait is too long or the queue is full. */
+    Optional<Outcome.NotRun> enqueue(RequestExecution execution, Placed placed) {
+        PlacementQueue queue = queue(execution, placed);
+        long waitMillis = queue.expectedWaitMillis();
+        long maxWaitMillis = Math.min(
+                MAX_SLOT_WAIT.toMillis(),
+                execution.request().deadlineMillis() - parts.clock().millis());
+        boolean queued = waitMillis <= maxWaitMillis && queue.offer(execution);
+        return queued
                 ? Optional.empty()
                 : Optional.of(new Outcome.NotRun(
-                        Fault.of(Step.ROUTE, "entry", Reason.OVERLOADED, "too many requests wait for room"),
-                        Duration.ofMillis(Math.max(RETRY_AFTER.toMillis(), wait))));
+                        Fault.of(
+                                Step.ROUTE,
+                                "entry",
+                                Reason.OVERLOADED,
+                                "too many requests are waiting for a free slot"),
+                        Duration.ofMillis(Math.max(RETRY_AFTER.toMillis(), waitMillis))));
     }
 
-    // -- waking those that wait
+    // -- waiting requests and counts
 
-    /** Lets waiting requests try again; to be called when room may have come free, and now and then. */
+    /** Retries waiting requests; to be called when a slot may have become free, and periodically. */
     public void wake() {
         queues.values().forEach(PlacementQueue::wake);
     }
 
     /**
-     * The requests that were taken on.
+     * The number of requests that were accepted.
      *
-     * @return their number since the start
+     * @return the count since the start
      */
     public long requests() {
         return requests.sum();
     }
 
     /**
-     * The attempts that were sent to agents.
+     * The number of attempts that were sent to agents.
      *
-     * @return their number since the start
+     * @return the count since the start
      */
     public long attempts() {
         return attempts.sum();
     }
 
-    void attempted() {
+    void countAttempt() {
         attempts.increment();
     }
 
     /**
-     * The requests that wait for room.
+     * The number of requests that wait for a free slot.
      *
-     * @return their number
+     * @return the count
      */
     public int waiting() {
         return queues.values().stream().mapToInt(PlacementQueue::size).sum();
--- a/src/main/java/org/micabarrow/coordination/requests/package-info.java
+++ b/src/main/java/org/micabarrow/coordination/requests/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A caller's request at an entry, from its arrival to its one outcome: it waits for room, is claimed if it may not be
- * repeated, and is sent to one agent after another for as long as that is safe. Nothing here knows how an agent decides,
- * or from where the configuration comes.
+ * Execution of callers' requests at an entry, from arrival to a single outcome. A request waits for a free slot, its key
+ * is claimed if it must not be repeated, and it is sent to one agent after another while a retry is safe. This package
+ * does not depend on how an agent decides or where the configuration comes from.
  */
 package org.micabarrow.coordination.requests;
--- a/src/main/java/org/micabarrow/coordination/routing/Exclusion.java
+++ b/src/main/java/org/micabarrow/coordination/routing/Exclusion.java
@@ -4,20 +4,20 @@
 import org.micabarrow.state.Replica;
 
 /**
- * A replica that may not take a request, and why.
+ * A replica that is not eligible for a request, with the reason.
  *
  * @param replica the replica
  * @param reason the reason
  */
 public record Exclusion(Replica replica, Reason reason) {
 
-    /** Checks the parts. */
+    /** Validates the components. */
     public Exclusion {
         Objects.requireNonNull(replica, "replica is null");
         Objects.requireNonNull(reason, "reason is null");
     }
 
-    /** Why a replica is left out. */
+    /** Why a replica is excluded. */
     public enum Reason {
         OUTSIDE_PLACEMENT,
         NOT_HEARD,
--- a/src/main/java/org/micabarrow/coordination/routing/Router.java
+++ b/src/main/java/org/micabarrow/coordination/routing/Router.java
@@ -8,15 +8,16 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import org.micabarrow.coordination.admission.Room;
+import org.micabarrow.coordination.admission.ReservedSlots;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.state.Replica;
 
 /**
- * Decides where a request goes. First it leaves out every replica that may not take it, with a reason for each; then it
- * draws two of the others and takes the one with the shorter expected wait.
+ * Selects the replica for a request. It first excludes every replica that is not eligible, with a reason for each. It
+ * then samples two of the remaining ones at random and selects the one with the shorter expected wait; up to three
+ * remaining replicas are all compared.
  *
  * <pre>{@code
  * Router.Decision decision = router.route(placed, peers, wish);
@@ -24,20 +25,20 @@
  */
 public final class Router {
 
-    /** What another data hall of the region adds to the expected wait, in milliseconds. */
+    /** Added to the expected wait for a replica in another data hall of the region, in milliseconds. */
     private static final double OTHER_HALL_MILLIS = 3;
 
-    /** What another region adds to the expected wait, in milliseconds. */
+    /** Added to the expected wait for a replica in another region, in milliseconds. */
     private static final double OTHER_REGION_MILLIS = 6;
 
-    /** The time to the first byte of an instance that has not answered yet, in milliseconds. */
-    private static final double USUAL_MILLIS = 100;
+    /** Time to first byte assumed for an instance that has not responded yet, in milliseconds. */
+    private static final double DEFAULT_FIRST_BYTE_MILLIS = 100;
 
-    /** After how long a reported load counts for half, in milliseconds. */
+    /** The age at which a reported load has half its weight, in milliseconds. */
     private static final double LOAD_HALF_LIFE_MILLIS = 1_000;
 
-    /** Up to how many usable replicas all are compared; of more, two are drawn. */
-    private static final int MOST_EXAMINED_WHOLE = 3;
+    /** Up to this number of usable replicas all are compared; of a larger number, two are sampled. */
+    private static final int MAX_COMPARED_REPLICAS = 3;
 
     private final String region;
     private final String hall;
@@ -46,13 +47,13 @@
     private final RandomGenerator random;
 
     /**
-     * Makes a router.
+     * Creates a router.
      *
      * @param region the entry's region
      * @param hall the entry's data hall
-     * @param traffic the entry's own figures
-     * @param prefixes where prompts have been before
-     * @param random draws the candidates
+     * @param traffic the entry's own measurements of each instance
+     * @param prefixes the instances that probably have prompt prefixes in their caches
+     * @param random samples the candidates
      */
     public Router(String region, String hall, Traffic traffic, PrefixIndex prefixes, RandomGenerator random) {
         this.region = Objects.requireNonNull(region, "region is null");
@@ -63,12 +64,12 @@
     }
 
     /**
-     * What is asked of the router.
+     * The properties of a request that routing depends on.
      *
-     * @param prefix the digests of the prompt's beginnings, shortest first; empty where there is no prompt
-     * @param shortRequest whether it may use the room reserved for short requests
-     * @param tried the instances already tried
-     * @param nowMillis the time
+     * @param prefix the prompt's block identifiers, shortest prefix first; empty if there is no prompt
+     * @param shortRequest whether it may use the slots reserved for short requests
+     * @param tried the instances that earlier attempts were sent to
+     * @param nowMillis the current time
      */
     public record Wish(List<Long> prefix, boolean shortRequest, Set<String> tried, long nowMillis) {
 
@@ -80,11 +81,11 @@
     }
 
     /**
-     * What was decided.
+     * A routing decision.
      *
-     * @param chosen the replica, empty if none may take the request
-     * @param expectedWaitMillis the expected time until the answer begins
-     * @param exclusions the replicas left out
+     * @param chosen the selected replica, empty if none is eligible
+     * @param expectedWaitMillis the expected time to the first byte of the response, in milliseconds
+     * @param exclusions the excluded replicas
      */
     public record Decision(Optional<Replica> chosen, double expectedWaitMillis, List<Exclusion> exclusions) {
 
@@ -95,10 +96,10 @@
     }
 
     /**
-     * Decides on a request.
+     * Selects a replica for a request.
      *
-     * @param placed the placement that allows it
-     * @param peers what is known of the agents
+     * @param placed the placement under which it runs
+     * @param peers the current views of the agents, by instance
      * @param wish the request's properties
      * @return the decision
      */
@@ -107,24 +108,24 @@
         List<Replica> eligible = new ArrayList<>();
         List<Replica> ejected = new ArrayList<>();
         for (Replica replica : placed.replicas()) {
-            Optional<Exclusion.Reason> reason = exclusion(placed, peers, replica, wish);
-            reason.map(why -> new Exclusion(replica, why)).ifPresent(exclusions::add);
+            Optional<Exclusion.Reason> reason = exclusionReason(placed, peers, replica, wish);
+            reason.map(value -> new Exclusion(replica, value)).ifPresent(exclusions::add);
             if (reason.isEmpty()) {
                 eligible.add(replica);
             } else if (reason.get() == Exclusion.Reason.EJECTED) {
                 ejected.add(replica);
             }
         }
-        // The floor: when every usable replica is ejected, ejection says nothing about any of them.
+        // If every otherwise eligible replica is ejected, ejection does not distinguish between them and is ignored.
         List<Replica> usable = eligible.isEmpty() ? ejected : eligible;
-        Optional<Replica> chosen = draw(usable).stream()
+        Optional<Replica> chosen = sampleCandidates(usable).stream()
                 .min(Comparator.comparingDouble(replica -> expectedWaitMillis(replica, peers, wish)));
         double wait =
                 chosen.map(replica -> expectedWaitMillis(replica, peers, wish)).orElse(0.0);
         return new Decision(chosen, wait, exclusions);
     }
 
-    private Optional<Exclusion.Reason> exclusion(
+    private Optional<Exclusion.Reason> exclusionReason(
             FoldedState.Placed placed, Map<String, PeerView> peers, Replica replica, Wish wish) {
         PeerView peer = peers.get(replica.instance());
         if (!placed.placement().allows(replica.region(), replica.hall())) {
@@ -146,24 +147,24 @@
         if (!ready) {
             return Optional.of(Exclusion.Reason.NOT_READY);
         }
-        boolean full = traffic.isFull(replica.instance(), wish.nowMillis())
-                || load(peer, wish.nowMillis()) >= room(peer, wish);
-        if (full) {
+        boolean isFull = traffic.isFull(replica.instance(), wish.nowMillis())
+                || load(peer, wish.nowMillis()) >= usableSlots(peer, wish);
+        if (isFull) {
             return Optional.of(Exclusion.Reason.FULL);
         }
-        return traffic.ejected(replica.instance(), wish.nowMillis())
+        return traffic.isEjected(replica.instance(), wish.nowMillis())
                 ? Optional.of(Exclusion.Reason.EJECTED)
                 : Optional.empty();
     }
 
-    /** Long requests leave a part of the room to short ones. */
-    private static int room(PeerView peer, Wish wish) {
+    /** The slots that a request may use: long requests must leave the reserved slots to short ones. */
+    private static int usableSlots(PeerView peer, Wish wish) {
         int limit = peer.load().limit();
-        return wish.shortRequest() ? limit : Math.max(1, limit - Room.reservedForShort(limit));
+        return wish.shortRequest() ? limit : Math.max(1, limit - ReservedSlots.forShortRequests(limit));
     }
 
-    private List<Replica> draw(List<Replica> usable) {
-        if (usable.size() <= MOST_EXAMINED_WHOLE) {
+    private List<Replica> sampleCandidates(List<Replica> usable) {
+        if (usable.size() <= MAX_COMPARED_REPLICAS) {
             return usable;
         }
         int first = random.nextInt(usable.size());
@@ -171,21 +172,25 @@
         return List.of(usable.get(first), usable.get(second));
     }
 
-    /** The entry's own open requests, or the agent's word where that is more, discounted by its age. */
+    /**
+     * The larger of this entry's own requests in flight and the load that the agent reported, which is discounted by its
+     * age.
+     */
     private double load(PeerView peer, long nowMillis) {
-        double age = Math.max(0, nowMillis - peer.load().atMillis());
-        double reported = (peer.load().inFlight() + peer.load().queued()) * Math.pow(0.5, age / LOAD_HALF_LIFE_MILLIS);
-        return Math.max(traffic.open(peer.instance()), reported);
+        double ageMillis = Math.max(0, nowMillis - peer.load().atMillis());
+        double reported =
+                (peer.load().inFlight() + peer.load().queued()) * Math.pow(0.5, ageMillis / LOAD_HALF_LIFE_MILLIS);
+        return Math.max(traffic.inFlight(peer.instance()), reported);
     }
 
     private double expectedWaitMillis(Replica replica, Map<String, PeerView> peers, Wish wish) {
         PeerView peer = peers.get(replica.instance());
-        double usual = traffic.firstByteMillis(replica.instance());
-        double service = usual == 0 ? USUAL_MILLIS : usual;
+        double measured = traffic.firstByteMillis(replica.instance());
+        double firstByteMillis = measured == 0 ? DEFAULT_FIRST_BYTE_MILLIS : measured;
         double load = load(peer, wish.nowMillis());
-        double busy = (load + 1) / Math.max(1, peer.load().limit());
-        double saved = prefixes.savedMillis(wish.prefix(), replica.instance(), wish.nowMillis());
-        return Math.max(0, service * busy + distanceMillis(replica) - saved);
+        double utilization = (load + 1) / Math.max(1, peer.load().limit());
+        double savedMillis = prefixes.savedMillis(wish.prefix(), replica.instance(), wish.nowMillis());
+        return Math.max(0, firstByteMillis * utilization + distanceMillis(replica) - savedMillis);
     }
 
     private double distanceMillis(Replica replica) {
--- a/src/main/java/org/micabarrow/coordination/routing/Traffic.java
+++ b/src/main/java/org/micabarrow/coordination/routing/Traffic.java
@@ -5,150 +5,149 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An entry's own measurements of each instance: open requests, time to the first byte, failures in a row. Written
- * by traffic threads, read by the router.
+ * An entry's own measurements of each instance: requests in flight, time to first byte and consecutive failures.
+ * Updated by the threads that carry requests, read by the router.
  */
 public final class Traffic {
 
-    /** The weight of the newest answer in the moving average of the time to the first byte. */
-    private static final double WEIGHT_OF_NEWEST = 0.2;
+    /** The weight of the newest response in the moving average of the time to first byte. */
+    private static final double SMOOTHING_FACTOR = 0.2;
 
-    /** For how long an instance that refused for want of room counts as full, in milliseconds. */
+    /** How long an instance counts as full after it refused a request for lack of a free slot, in milliseconds. */
     private static final long FULL_MILLIS = 25;
 
-    /** After how many failures in a row an instance is left out. */
+    /** The number of consecutive failures after which an instance is ejected. */
     private static final int FAILURES_TO_EJECT = 3;
 
-    /**
-     * For how long it is left out the first time, in milliseconds; it doubles with each further time.
-     */
+    /** The duration of the first ejection, in milliseconds; each further one takes twice as long. */
     private static final long FIRST_EJECTION_MILLIS = 2_000;
 
-    /** The longest time for which an instance is left out, in milliseconds. */
-    private static final long LONGEST_EJECTION_MILLIS = 30_000;
+    /** The maximum duration of an ejection, in milliseconds. */
+    private static final long MAX_EJECTION_MILLIS = 30_000;
 
-    private final Map<String, Record> records = new ConcurrentHashMap<>();
+    private final Map<String, Measurements> measurements = new ConcurrentHashMap<>();
 
-    /** The figures of one instance. */
-    private static final class Record {
-        private final AtomicInteger open = new AtomicInteger();
+    /** The measurements of one instance. */
+    private static final class Measurements {
+        private final AtomicInteger inFlight = new AtomicInteger();
         private volatile double firstByteMillis;
-        private int failures;
+        private int consecutiveFailures;
         private int ejections;
-        private volatile long ejectedUntil;
-        private volatile long fullUntil;
+        private volatile long ejectedUntilMillis;
+        private volatile long fullUntilMillis;
     }
 
-    private Record record(String instance) {
-        return records.computeIfAbsent(instance, key -> new Record());
+    private Measurements of(String instance) {
+        return measurements.computeIfAbsent(instance, key -> new Measurements());
     }
 
     /**
-     * Counts a request that is sent.
+     * Records that a request was sent to an instance.
      *
-     * @param instance where to
+     * @param instance the instance
      */
-    public void opened(String instance) {
-        record(instance).open.incrementAndGet();
+    public void requestSent(String instance) {
+        of(instance).inFlight.incrementAndGet();
     }
 
     /**
-     * Counts a request that has ended.
+     * Records that a request at an instance has ended.
      *
-     * @param instance where it was
+     * @param instance the instance
      */
-    public void closed(String instance) {
-        record(instance).open.decrementAndGet();
+    public void requestEnded(String instance) {
+        of(instance).inFlight.decrementAndGet();
     }
 
     /**
-     * Notes that an answer has begun.
+     * Records the time to first byte of a response. Clears the failures and ejections counted so far.
      *
-     * @param instance where
-     * @param millis the time since it was sent
+     * @param instance the instance
+     * @param millis the time since the request was sent, in milliseconds
      */
-    public void began(String instance, long millis) {
-        Record record = record(instance);
-        synchronized (record) {
-            record.failures = 0;
-            record.ejections = 0;
-            double before = record.firstByteMillis;
-            record.firstByteMillis = before == 0 ? millis : before * (1 - WEIGHT_OF_NEWEST) + millis * WEIGHT_OF_NEWEST;
+    public void firstByteReceived(String instance, long millis) {
+        Measurements measured = of(instance);
+        synchronized (measured) {
+            measured.consecutiveFailures = 0;
+            measured.ejections = 0;
+            double previous = measured.firstByteMillis;
+            measured.firstByteMillis =
+                    previous == 0 ? millis : previous * (1 - SMOOTHING_FACTOR) + millis * SMOOTHING_FACTOR;
         }
     }
 
     /**
-     * Notes that an instance failed a request.
+     * Records that a request at an instance failed. Consecutive failures eject the instance for a while.
      *
-     * @param instance where
-     * @param nowMillis the time
+     * @param instance the instance
+     * @param nowMillis the current time
      */
-    public void failed(String instance, long nowMillis) {
-        Record record = record(instance);
-        synchronized (record) {
-            record.failures++;
-            if (record.failures >= FAILURES_TO_EJECT) {
-                long millis = FIRST_EJECTION_MILLIS << Math.min(record.ejections, 10);
-                record.ejectedUntil = nowMillis + Math.min(LONGEST_EJECTION_MILLIS, millis);
-                record.ejections++;
-                record.failures = 0;
+    public void requestFailed(String instance, long nowMillis) {
+        Measurements measured = of(instance);
+        synchronized (measured) {
+            measured.consecutiveFailures++;
+            if (measured.consecutiveFailures >= FAILURES_TO_EJECT) {
+                long millis = FIRST_EJECTION_MILLIS << Math.min(measured.ejections, 10);
+                measured.ejectedUntilMillis = nowMillis + Math.min(MAX_EJECTION_MILLIS, millis);
+                measured.ejections++;
+                measured.consecutiveFailures = 0;
             }
         }
     }
 
     /**
-     * The requests open at an instance.
+     * The requests of this entry in flight at an instance.
      *
      * @param instance the instance
      * @return their number
      */
-    public int open(String instance) {
-        Record record = records.get(instance);
-        return record == null ? 0 : record.open.get();
+    public int inFlight(String instance) {
+        Measurements measured = measurements.get(instance);
+        return measured == null ? 0 : measured.inFlight.get();
     }
 
     /**
-     * The usual time until an answer begins.
+     * The moving average of the time to first byte.
      *
      * @param instance the instance
-     * @return milliseconds, 0 while nothing is known
+     * @return milliseconds, 0 if nothing has been measured yet
      */
     public double firstByteMillis(String instance) {
-        Record record = records.get(instance);
-        return record == null ? 0 : record.firstByteMillis;
+        Measurements measured = measurements.get(instance);
+        return measured == null ? 0 : measured.firstByteMillis;
     }
 
     /**
-     * Whether an instance is left out for its failures.
+     * Whether an instance is ejected because of its failures.
      *
      * @param instance the instance
-     * @param nowMillis the time
+     * @param nowMillis the current time
      * @return true while it is ejected
      */
-    public boolean ejected(String instance, long nowMillis) {
-        Record record = records.get(instance);
-        return record != null && record.ejectedUntil > nowMillis;
+    public boolean isEjected(String instance, long nowMillis) {
+        Measurements measured = measurements.get(instance);
+        return measured != null && measured.ejectedUntilMillis > nowMillis;
     }
 
     /**
-     * Notes that an instance refused a request because it is full.
+     * Records that an instance refused a request because it was full.
      *
      * @param instance the instance
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
-    public void full(String instance, long nowMillis) {
-        record(instance).fullUntil = nowMillis + FULL_MILLIS;
+    public void markFull(String instance, long nowMillis) {
+        of(instance).fullUntilMillis = nowMillis + FULL_MILLIS;
     }
 
     /**
-     * Whether an instance has just said that it is full.
+     * Whether an instance has recently refused a request because it was full.
      *
      * @param instance the instance
-     * @param nowMillis the time
-     * @return true for a short while after {@link #full}
+     * @param nowMillis the current time
+     * @return true for a short while after {@link #markFull}
      */
     public boolean isFull(String instance, long nowMillis) {
-        Record record = records.get(instance);
-        return record != null && record.fullUntil > nowMillis;
+        Measurements measured = measurements.get(instance);
+        return measured != null && measured.fullUntilMillis > nowMillis;
     }
 }
--- a/src/main/java/org/micabarrow/coordination/routing/package-info.java
+++ b/src/main/java/org/micabarrow/coordination/routing/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which replica of a placement takes a request: those that may not and why, the expected wait at the others, and what an
- * entry has learned of agents from its own traffic. Nothing here sends a request or knows claims, attempts or queues.
- * Processes on the hosted platform use {@code org.micabarrow.routing} instead.
+ * Selection of the replica of a placement that gets a request: which replicas are excluded and why, the expected wait at
+ * the others, and what an entry has measured of each instance. This package sends no requests and does not depend on
+ * claims, attempts or queues. Processes on the hosted platform use {@code org.micabarrow.routing} instead.
  */
 package org.micabarrow.coordination.routing;
--- a/src/test/java/org/micabarrow/coordination/admission/AdmissionLincheckTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/AdmissionLincheckTest.java
@@ -4,26 +4,26 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** The limit and the budget, which several traffic threads change at once, checked for linearizability. */
+/** Checks that the limit and the budget are linearizable; several request threads modify them concurrently. */
 class AdmissionLincheckTest {
 
-    /** Places are taken and given back by any threads. */
+    /** Acquires slots from any thread. */
     public static class LimitModel {
 
         private final ConcurrencyLimit limit = new ConcurrencyLimit(1, 3, 2);
 
         @Operation
-        public boolean open() {
+        public boolean tryAcquire() {
             return limit.tryOpen(true);
         }
 
         @Operation
-        public int openNow() {
+        public int inFlight() {
             return limit.open();
         }
     }
 
-    /** Retries are taken by any threads. */
+    /** Records first attempts and uses retries from any thread. */
     public static class BudgetModel {
 
         private final RetryBudget budget = new RetryBudget(0.5, 2);
@@ -39,7 +39,7 @@
         }
     }
 
-    private static ModelCheckingOptions model() {
+    private static ModelCheckingOptions options() {
         return new ModelCheckingOptions()
                 .iterations(10)
                 .invocationsPerIteration(300)
@@ -49,11 +49,11 @@
 
     @Test
     void shouldKeepLimitLinearizable() {
-        model().check(LimitModel.class);
+        options().check(LimitModel.class);
     }
 
     @Test
     void shouldKeepBudgetLinearizable() {
-        model().check(BudgetModel.class);
+        options().check(BudgetModel.class);
     }
 }
--- a/src/test/java/org/micabarrow/coordination/admission/ConcurrencyLimitTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/ConcurrencyLimitTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The learned limit follows how soon answers begin. */
+/** Checks that the limit follows the time to first byte. */
 class ConcurrencyLimitTest {
 
     @Test
-    void shouldFallWhenAnswersBeginLateAndRiseWhenTheyDoNot() {
+    void shouldDecreaseWhenResponsesAreSlowAndIncreaseWhenTheyAreFast() {
         ConcurrencyLimit limit = new ConcurrencyLimit(2, 64, 16);
         for (int i = 0; i < 50; i++) {
             limit.began(10);
@@ -17,35 +17,35 @@
         for (int i = 0; i < 30; i++) {
             limit.began(200);
         }
-        int fallen = limit.limit();
-        assertTrue(fallen < 8, "limit: " + fallen);
+        int decreased = limit.limit();
+        assertTrue(decreased < 8, "limit: " + decreased);
         for (int i = 0; i < 500; i++) {
-            fill(limit);
+            acquireAll(limit);
             limit.began(10);
         }
-        assertTrue(limit.limit() > fallen);
+        assertTrue(limit.limit() > decreased);
     }
 
-    /** The limit rises only under load. */
-    private static void fill(ConcurrencyLimit limit) {
-        boolean opened = true;
-        while (opened) {
-            opened = limit.tryOpen(true);
+    /** Acquires all slots, because the limit increases only under load. */
+    private static void acquireAll(ConcurrencyLimit limit) {
+        boolean acquired = true;
+        while (acquired) {
+            acquired = limit.tryOpen(true);
         }
     }
 
     @Test
-    void shouldNeverOpenMoreThanLimitAndKeepRoomForShort() {
+    void shouldReserveSlotsForShortRequestsWhenFullOfLongOnes() {
         ConcurrencyLimit limit = new ConcurrencyLimit(2, 64, 10);
-        int longOnes = 0;
+        int longRequests = 0;
         while (limit.tryOpen(false)) {
-            longOnes++;
+            longRequests++;
         }
-        int shortOnes = 0;
+        int shortRequests = 0;
         while (limit.tryOpen(true)) {
-            shortOnes++;
+            shortRequests++;
         }
-        assertEquals(8, longOnes);
-        assertEquals(2, shortOnes);
+        assertEquals(8, longRequests);
+        assertEquals(2, shortRequests);
     }
 }
--- a/src/test/java/org/micabarrow/coordination/admission/FairQueueTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/FairQueueTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who waits for room is served by weight. */
+/** Checks that waiting organisations are served in proportion to their weights. */
 class FairQueueTest {
 
     @Test
-    void shouldShareByWeightWhenAllWait() {
+    void shouldServeInProportionToWeightsWhenAllWait() {
         FairQueue<String> queue = new FairQueue<>(1000);
         for (int i = 0; i < 300; i++) {
             queue.offer("large", 1, "large");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void shouldServeNewcomerBeforeBacklogOfLargeOrganisation() {
+    void shouldServeNewOrganisationBeforeBacklogOfAnother() {
         FairQueue<String> queue = new FairQueue<>(1000);
         for (int i = 0; i < 500; i++) {
             queue.offer("large", 1, "large");
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void shouldRefuseOnlyTheOrganisationWhoseQueueIsFull() {
+    void shouldRefuseOnlyOrganisationWhenItsQueueIsFull() {
         FairQueue<String> queue = new FairQueue<>(2);
         assertTrue(queue.offer("large", 1, "a"));
         assertTrue(queue.offer("large", 1, "b"));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void shouldKeepPlaceWhenPutBack() {
+    void shouldKeepPositionWhenPutBack() {
         FairQueue<String> queue = new FairQueue<>(10);
         queue.offer("a", 1, "first");
         queue.offer("a", 1, "second");
--- a/src/test/java/org/micabarrow/coordination/admission/RetryBudgetTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/RetryBudgetTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Retries stay a share of the traffic. */
+/** Checks that retries stay a fraction of the traffic. */
 class RetryBudgetTest {
 
     @Test
-    void shouldAllowRetriesOnlyAsShareOfTraffic() {
+    void shouldLimitRetriesToFractionOfTraffic() {
         RetryBudget budget = new RetryBudget(0.1, 5);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
--- a/src/test/java/org/micabarrow/coordination/claims/ClaimsTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/ClaimsTest.java
@@ -20,17 +20,17 @@
 
 class ClaimsTest {
 
-    private static final Duration LONG = Duration.ofSeconds(30);
-    private static final Duration KEPT = Duration.ofHours(1);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration RETENTION = Duration.ofHours(1);
 
     private final FakeLog log = new FakeLog();
-    private final Claims one = Claims.start(log, "claims-0", KEPT, InstantSource.system());
-    private final Claims other = Claims.start(log, "claims-0", KEPT, InstantSource.system());
+    private final Claims first = Claims.start(log, "claims-0", RETENTION, InstantSource.system());
+    private final Claims second = Claims.start(log, "claims-0", RETENTION, InstantSource.system());
 
     @AfterEach
     void stop() {
-        one.close();
-        other.close();
+        first.close();
+        second.close();
     }
 
     private static Claim claim(String key, String attempt) {
@@ -38,63 +38,62 @@
     }
 
     @Test
-    void shouldLetExactlyOneEntryWinWhenBothClaimOneKey() {
+    void shouldGiveKeyToExactlyOneEntryWhenBothClaimIt() {
         for (int i = 0; i < 50; i++) {
-            CompletableFuture<ClaimVerdict> first = one.claim(claim("k" + i, "a" + i), LONG);
-            CompletableFuture<ClaimVerdict> second = other.claim(claim("k" + i, "b" + i), LONG);
-            List<ClaimVerdict> verdicts = List.of(first.join(), second.join());
+            CompletableFuture<ClaimResult> firstResult = first.claim(claim("k" + i, "a" + i), LONG_TIMEOUT);
+            CompletableFuture<ClaimResult> secondResult = second.claim(claim("k" + i, "b" + i), LONG_TIMEOUT);
+            List<ClaimResult> results = List.of(firstResult.join(), secondResult.join());
             assertEquals(
                     1,
-                    verdicts.stream().filter(ClaimVerdict.Won.class::isInstance).count());
+                    results.stream().filter(ClaimResult.Won.class::isInstance).count());
             assertEquals(
                     1,
-                    verdicts.stream()
-                            .filter(ClaimVerdict.Held.class::isInstance)
-                            .count());
+                    results.stream().filter(ClaimResult.Held.class::isInstance).count());
         }
     }
 
     @Test
-    void shouldWinWhenAnswersOfAppendsAreLost() {
+    void shouldWinWhenResponsesToAppendsAreLost() {
         log.loseAnswers(3);
         assertInstanceOf(
-                ClaimVerdict.Won.class, one.claim(claim("k", "a"), LONG).join());
+                ClaimResult.Won.class,
+                first.claim(claim("k", "a"), LONG_TIMEOUT).join());
     }
 
     @Test
-    void shouldFailWhenLogIsOut() {
+    void shouldReportFailureWhenLogIsUnavailable() {
         log.down(true);
         assertInstanceOf(
-                ClaimVerdict.Failed.class,
-                one.claim(claim("k", "a"), Duration.ofMillis(30)).join());
+                ClaimResult.Failed.class,
+                first.claim(claim("k", "a"), Duration.ofMillis(30)).join());
     }
 
     @Test
-    void shouldPutWaitingClaimsIntoFewAppends() {
+    void shouldBatchWaitingClaimsWhenLogRecovers() {
         log.down(true);
-        List<CompletableFuture<ClaimVerdict>> verdicts = new ArrayList<>();
+        List<CompletableFuture<ClaimResult>> results = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            verdicts.add(one.claim(claim("k" + i, "a" + i), LONG));
+            results.add(first.claim(claim("k" + i, "a" + i), LONG_TIMEOUT));
         }
         log.down(false);
-        verdicts.forEach(verdict -> assertInstanceOf(ClaimVerdict.Won.class, verdict.join()));
+        results.forEach(result -> assertInstanceOf(ClaimResult.Won.class, result.join()));
         assertTrue(log.appends() <= 4, "appends: " + log.appends());
     }
 
     @Test
-    void shouldHaveEndedAndBeginNoReadWhenClosed() throws InterruptedException {
+    void shouldStopThreadsAndStartNoReadWhenClosed() throws InterruptedException {
         HeldUp held = new HeldUp();
-        Claims reading = Claims.start(heldUpLog(held), "claims-held", KEPT, InstantSource.system());
+        Claims claims = Claims.start(blockingLog(held), "claims-held", RETENTION, InstantSource.system());
         held.awaitBegun();
         List<Thread> threads = threadsOf("claims-held");
         assertEquals(2, threads.size());
-        reading.close();
-        List<String> left =
+        claims.close();
+        List<String> running =
                 threads.stream().filter(Thread::isAlive).map(Thread::getName).toList();
         held.ownerHasClosed();
-        assertEquals(List.of(), left, "threads that run on");
-        assertEquals(1, held.calls(), "reads begun");
-        assertEquals(0, held.callsAfterClose(), "reads begun after the close");
+        assertEquals(List.of(), running, "threads still running");
+        assertEquals(1, held.calls(), "reads started");
+        assertEquals(0, held.callsAfterClose(), "reads started after close");
     }
 
     private static List<Thread> threadsOf(String stream) {
@@ -103,20 +102,20 @@
                 .toList();
     }
 
-    private static PlatformLog heldUpLog(HeldUp held) {
+    private static PlatformLog blockingLog(HeldUp held) {
         return new PlatformLog() {
             @Override
             public Result<Long> append(String stream, byte[] body) {
-                return none();
+                return cancelled();
             }
 
             @Override
             public Result<Page> read(String stream, long from, Duration wait) {
                 held.call();
-                return none();
+                return cancelled();
             }
 
-            private <T> Result<T> none() {
+            private <T> Result<T> cancelled() {
                 return Result.failure(Fault.of(Fault.Step.LOG, "log", Fault.Reason.CANCELLED, "interrupted"));
             }
         };
--- a/src/test/java/org/micabarrow/coordination/claims/LedgerLincheckTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/LedgerLincheckTest.java
@@ -7,10 +7,10 @@
 import org.jetbrains.lincheck.datastructures.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** The ledger, which several traffic threads change at once, checked for linearizability. */
+/** Checks that the ledger is linearizable; several request threads modify it concurrently. */
 class LedgerLincheckTest {
 
-    /** Keys are started once, settled and ended by any threads. */
+    /** Starts, settles and ends keys from any thread. */
     @Param(name = "key", gen = IntGen.class, conf = "1:2")
     public static class LedgerModel {
 
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void shouldKeepLedgerLinearizable() {
+    void shouldBeLinearizable() {
         stress().check(LedgerModel.class);
     }
 }
--- a/src/test/java/org/micabarrow/coordination/claims/LedgerTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/LedgerTest.java
@@ -8,52 +8,55 @@
 
 class LedgerTest {
 
-    private static final long LATEST = 10_000;
-    private static final Ledger.Answer ANSWER = new Ledger.Answer(200, "text/plain", new byte[10]);
+    private static final long LATEST_START_MILLIS = 10_000;
+    private static final Ledger.Answer RESPONSE = new Ledger.Answer(200, "text/plain", new byte[10]);
 
     private final Ledger ledger = new Ledger("7", 3, 25, 1000);
 
     private static Claim claim(String key, String epoch) {
-        return new Claim(key, "body", "norte-a-1", epoch, LATEST, "attempt-" + key, Optional.empty());
+        return new Claim(key, "body", "norte-a-1", epoch, LATEST_START_MILLIS, "attempt-" + key, Optional.empty());
     }
 
     @Test
     void shouldStartKeyOnlyOnce() {
         assertInstanceOf(Ledger.Start.Run.class, ledger.start(claim("k", "7"), 0));
         assertInstanceOf(Ledger.Start.Running.class, ledger.start(claim("k", "7"), 1));
-        ledger.ended("k", Optional.of(ANSWER));
+        ledger.ended("k", Optional.of(RESPONSE));
         Ledger.Start.Done done = assertInstanceOf(Ledger.Start.Done.class, ledger.start(claim("k", "7"), 2));
-        assertEquals(Optional.of(ANSWER), done.answer());
+        assertEquals(Optional.of(RESPONSE), done.answer());
     }
 
     @Test
-    void shouldRefuseClaimOfAnotherProcess() {
+    void shouldRefuseClaimWhenItNamesAnotherProcess() {
         assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "6"), 0));
     }
 
     @Test
-    void shouldRefuseAfterLatestStartEvenWhenKeyIsForgotten() {
+    void shouldRefuseAfterLatestStartWhenKeyWasRemoved() {
         ledger.start(claim("k", "7"), 0);
         ledger.ended("k", Optional.empty());
-        assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "7"), LATEST + 5000));
+        assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "7"), LATEST_START_MILLIS + 5000));
         assertEquals(0, ledger.size());
     }
 
     @Test
-    void shouldNotForgetRequestThatStillRuns() {
+    void shouldKeepKeyWhenRequestIsStillRunning() {
         ledger.start(claim("k", "7"), 0);
         assertEquals(
-                Ledger.Fate.RUNNING, ledger.settle("k", LATEST, LATEST + 5000).fate());
+                Ledger.Fate.RUNNING,
+                ledger.settle("k", LATEST_START_MILLIS, LATEST_START_MILLIS + 5000)
+                        .fate());
     }
 
     @Test
-    void shouldRefuseForGoodOnceSettled() {
-        assertEquals(Ledger.Fate.REFUSED, ledger.settle("k", LATEST, 0).fate());
+    void shouldRefusePermanentlyWhenSettledBeforeStart() {
+        assertEquals(
+                Ledger.Fate.REFUSED, ledger.settle("k", LATEST_START_MILLIS, 0).fate());
         assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "7"), 1));
     }
 
     @Test
-    void shouldRefuseNewKeysWhenFullAndKeepOldOnes() {
+    void shouldRefuseNewKeysWhenFull() {
         for (String key : new String[] {"a", "b", "c"}) {
             ledger.start(claim(key, "7"), 0);
         }
@@ -62,12 +65,15 @@
     }
 
     @Test
-    void shouldLetOldAnswersGoButRememberThatTheyRan() {
+    void shouldKeepKeyAsDoneWhenResponseIsEvicted() {
         for (String key : new String[] {"a", "b", "c"}) {
             ledger.start(claim(key, "7"), 0);
-            ledger.ended(key, Optional.of(ANSWER));
+            ledger.ended(key, Optional.of(RESPONSE));
         }
-        assertEquals(new Ledger.Settled(Ledger.Fate.DONE, Optional.empty()), ledger.settle("a", LATEST, 1));
-        assertEquals(new Ledger.Settled(Ledger.Fate.DONE, Optional.of(ANSWER)), ledger.settle("c", LATEST, 1));
+        assertEquals(
+                new Ledger.Settled(Ledger.Fate.DONE, Optional.empty()), ledger.settle("a", LATEST_START_MILLIS, 1));
+        assertEquals(
+                new Ledger.Settled(Ledger.Fate.DONE, Optional.of(RESPONSE)),
+                ledger.settle("c", LATEST_START_MILLIS, 1));
     }
 }
--- a/src/test/java/org/micabarrow/coordination/requests/SentRequest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RecordedRequest.java
@@ -9,14 +9,14 @@
 import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
 
-/** A request with what its caller saw. */
-final class SentRequest implements AnswerListener {
+/** A request that records the response its caller received. */
+final class RecordedRequest implements AnswerListener {
 
     final String key;
     final StringBuilder body = new StringBuilder();
-    final List<Outcome> ends = new ArrayList<>();
+    final List<Outcome> outcomes = new ArrayList<>();
 
-    SentRequest(String key) {
+    RecordedRequest(String key) {
         this.key = key;
     }
 
@@ -33,6 +33,6 @@
 
     @Override
     public void onEnd(Outcome outcome) {
-        ends.add(outcome);
+        outcomes.add(outcome);
     }
 }
--- a/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
@@ -24,7 +24,7 @@
 import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
 import org.micabarrow.coordination.claims.Claim;
-import org.micabarrow.coordination.claims.ClaimVerdict;
+import org.micabarrow.coordination.claims.ClaimResult;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
@@ -37,14 +37,14 @@
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
-/** What a caller is told for each thing that can happen to its attempts. */
+/** Checks the outcome that a caller gets for each combination of outcomes of its attempts. */
 class RequestFlowTest {
 
     private final ManualClock clock = new ManualClock();
     private final Traffic traffic = new Traffic();
     private final List<AgentRequest> sent = new ArrayList<>();
     private final List<AnswerListener> attempts = new ArrayList<>();
-    private final List<Outcome> ends = new ArrayList<>();
+    private final List<Outcome> outcomes = new ArrayList<>();
     private final List<String> received = new ArrayList<>();
     private final FoldedState state = Samples.assistantOn(3);
     private int limit = 10;
@@ -58,7 +58,7 @@
                     traffic,
                     new PrefixIndex(10),
                     calls(),
-                    key -> (claim, within) -> CompletableFuture.completedFuture(new ClaimVerdict.Won()),
+                    key -> (claim, within) -> CompletableFuture.completedFuture(new ClaimResult.Won()),
                     new RetryBudget(0.1, 10),
                     () -> "attempt-" + sent.size(),
                     clock,
@@ -130,17 +130,17 @@
 
             @Override
             public void onEnd(Outcome outcome) {
-                ends.add(outcome);
+                outcomes.add(outcome);
             }
         });
     }
 
     private static Fault fault(Reason reason) {
-        return Fault.of(Fault.Step.RUN, "agent", reason, "as the test wants");
+        return Fault.of(Fault.Step.RUN, "agent", reason, "fault made by the test");
     }
 
-    private static Outcome outcome(String word) {
-        return switch (word) {
+    private static Outcome outcome(String name) {
+        return switch (name) {
             case "notRun" -> Outcome.notRun(fault(Reason.NOT_READY), Duration.ofMillis(10));
             case "unknown" -> Outcome.unknown(fault(Reason.UNREACHABLE));
             default -> Outcome.answered();
@@ -160,19 +160,19 @@
         "notRun, unknown, notRun, Unknown",
         "unknown, unknown, unknown, Unknown",
     })
-    void shouldTellOneTrueOutcomeAfterAttempts(String first, String second, String third, String told) {
+    void shouldReportOneOutcomeAfterAttempts(String first, String second, String third, String expected) {
         begin("r", 60_000, 0);
-        for (String word : new String[] {first, second, third}) {
-            if (!word.isEmpty()) {
-                attempts.getLast().onEnd(outcome(word));
+        for (String name : new String[] {first, second, third}) {
+            if (!name.isEmpty()) {
+                attempts.getLast().onEnd(outcome(name));
             }
         }
-        assertEquals(1, ends.size());
-        assertEquals(told, ends.getFirst().getClass().getSimpleName());
+        assertEquals(1, outcomes.size());
+        assertEquals(expected, outcomes.getFirst().getClass().getSimpleName());
     }
 
     @Test
-    void shouldTryAnotherInstanceEachTime() {
+    void shouldSendNewAttemptWhenOutcomeIsUnknown() {
         begin("r", 60_000, 0);
         attempts.get(0).onEnd(outcome("unknown"));
         attempts.get(1).onEnd(outcome("unknown"));
@@ -180,37 +180,37 @@
     }
 
     @Test
-    void shouldNotRepeatWhatHasBegunToAnswer() {
+    void shouldNotRetryWhenResponseHasStarted() {
         begin("r", 60_000, 0);
         attempts.getFirst().onHead(new AnswerHead("a", 200, "text/plain", "v", "i", "r", "h", 1));
         attempts.getFirst().onData(new byte[1], () -> {});
         attempts.getFirst().onEnd(outcome("unknown"));
         assertEquals(1, sent.size());
-        assertInstanceOf(Outcome.Unknown.class, ends.getFirst());
+        assertInstanceOf(Outcome.Unknown.class, outcomes.getFirst());
     }
 
     @Test
-    void shouldCancelAttemptWhenCallerGoes() {
+    void shouldCancelAttemptWhenCallerDisconnects() {
         Runnable cancel = begin("r", 60_000, 0);
         cancel.run();
         assertTrue(cancelled);
     }
 
     @Test
-    void shouldSendNoMoreRetriesThanBudget() {
+    void shouldLimitRetriesToBudget() {
         for (int i = 0; i < 200; i++) {
             begin("r" + i, 60_000, 0);
-            while (ends.size() <= i) {
+            while (outcomes.size() <= i) {
                 attempts.getLast().onEnd(outcome("notRun"));
             }
         }
         assertTrue(sent.size() <= 200 + 10 + 20, "sent: " + sent.size());
     }
 
-    // -- waiting for room
+    // -- waiting for a free slot
 
     @Test
-    void shouldWaitForRoomAndGoWhenThereIsSome() {
+    void shouldSendWaitingRequestWhenSlotBecomesFree() {
         limit = 1;
         for (int i = 0; i < 5; i++) {
             begin("r" + i, 60_000, 0);
@@ -222,20 +222,20 @@
     }
 
     @Test
-    void shouldTellNotRunAtOnceWhenNobodyIsReady() {
-        state.placed("assistant").orElseThrow().replicas().forEach(replica -> traffic.opened(replica.instance()));
+    void shouldReportNotRunWhenDeadlinePassesWithoutFreeSlot() {
+        state.placed("assistant").orElseThrow().replicas().forEach(replica -> traffic.requestSent(replica.instance()));
         limit = 0;
-        clock.advance(RequestFlow.LONGEST_QUEUE.toMillis());
+        clock.advance(RequestFlow.MAX_SLOT_WAIT.toMillis());
         begin("r", 1, 0);
         clock.advance(10);
         flow.wake();
-        Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, ends.getFirst());
+        Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, outcomes.getFirst());
         assertTrue(notRun.retryAfter().toMillis() > 0);
         assertTrue(sent.isEmpty());
     }
 
     @Test
-    void shouldNotLetLongRequestsBlockShortOnes() {
+    void shouldSendShortRequestWhenLongOnesWait() {
         limit = 5;
         for (int i = 0; i < 20; i++) {
             begin("long" + i, 60_000, 1);
@@ -247,16 +247,16 @@
     }
 
     @Test
-    void shouldEndWaitingRequestsInTimeWhenNoRoomComes() {
+    void shouldEndWaitingRequestsWhenNoSlotBecomesFreeInTime() {
         limit = 1;
         for (int i = 0; i < 5; i++) {
             begin("r" + i, 60_000, 0);
         }
-        clock.advance(RequestFlow.LONGEST_QUEUE.toMillis() + 1);
+        clock.advance(RequestFlow.MAX_SLOT_WAIT.toMillis() + 1);
         flow.wake();
-        assertEquals(2, ends.size());
-        ends.forEach(end -> assertEquals(
+        assertEquals(2, outcomes.size());
+        outcomes.forEach(outcome -> assertEquals(
                 Reason.OVERLOADED,
-                assertInstanceOf(Outcome.NotRun.class, end).fault().reason()));
+                assertInstanceOf(Outcome.NotRun.class, outcome).fault().reason()));
     }
 }
--- a/src/test/java/org/micabarrow/coordination/requests/RequestProperties.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RequestProperties.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.Provide;
 
 /**
- * Requests that may not be repeated, through two entries and three agents, in any interleaving of lost and late
- * messages, killed agents, paused entries and outages of the log. The oracle counts runs at the endpoints.
+ * Property test for requests that must not be repeated: two entries and three agents, with arbitrary interleavings of
+ * lost and late messages, killed agents, paused entries and log outages. The oracle counts the runs at the endpoints.
  */
 class RequestProperties {
 
@@ -19,10 +19,10 @@
     }
 
     @Property(tries = 1500, seed = "20261202")
-    void shouldRunEachKeyAtMostOnceAndNeverWhenItSaysNotRun(@ForAll("steps") List<Integer> steps) {
-        RequestWorld world = new RequestWorld(steps.hashCode());
-        steps.forEach(world::step);
-        world.finish();
-        world.check();
+    void shouldRunEachKeyAtMostOnceAndNeverWhenOutcomeIsNotRun(@ForAll("steps") List<Integer> steps) {
+        RequestSimulation simulation = new RequestSimulation(steps.hashCode());
+        steps.forEach(simulation::step);
+        simulation.finish();
+        simulation.check();
     }
 }
--- a/src/test/java/org/micabarrow/coordination/requests/RequestWorld.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RequestSimulation.java
@@ -15,8 +15,8 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.FoldedState;
 
-/** The processes, the log and the messages between them. */
-final class RequestWorld {
+/** Simulation of the processes, the log and the messages between them. */
+final class RequestSimulation {
 
     private static final int AGENTS = 3;
     private static final int ENTRIES = 2;
@@ -30,11 +30,11 @@
     final List<Message> messages = new ArrayList<>();
     final List<Claim> log = new ArrayList<>();
     final Map<String, Integer> runs = new HashMap<>();
-    final List<SentRequest> sent = new ArrayList<>();
+    final List<RecordedRequest> sent = new ArrayList<>();
     boolean logDown;
     int attempts;
 
-    RequestWorld(long seed) {
+    RequestSimulation(long seed) {
         random = new Random(seed);
         for (int i = 0; i < AGENTS; i++) {
             agents.add(new SimulatedAgent(this, "agent-" + i));
@@ -44,19 +44,19 @@
         }
     }
 
-    /** One step of the fuzzer: mostly messages that arrive, now and then a fault. */
+    /** Executes one step of the fuzzer: mostly deliveries of messages, sometimes a fault. */
     void step(int choice) {
         int detail = choice / 10;
         switch (choice % 10) {
             case 0, 1 -> entries.get(detail % ENTRIES).send("key-" + detail / ENTRIES % KEYS);
             case 2, 3, 4, 5, 6 -> deliver(detail);
-            case 7 -> lose(detail);
-            case 8 -> fault(detail);
+            case 7 -> drop(detail);
+            case 8 -> injectFault(detail);
             default -> clock.advance(detail % 4 == 0 ? 2_000 : 50);
         }
     }
 
-    private void fault(int detail) {
+    private void injectFault(int detail) {
         switch (detail % 3) {
             case 0 -> agents.get(detail / 3 % AGENTS).restart();
             case 1 -> logDown = !logDown;
@@ -66,13 +66,13 @@
 
     private void deliver(int detail) {
         if (!messages.isEmpty()) {
-            messages.remove(detail % messages.size()).arrives().run();
+            messages.remove(detail % messages.size()).onArrival().run();
         }
     }
 
-    private void lose(int detail) {
+    private void drop(int detail) {
         if (!messages.isEmpty()) {
-            messages.remove(detail % messages.size()).lost().run();
+            messages.remove(detail % messages.size()).onLoss().run();
         }
     }
 
@@ -91,26 +91,27 @@
     void check() {
         runs.forEach((key, count) -> assertEquals(1, count, key + " ran more than once"));
         Map<String, Boolean> mayHaveRun = new HashMap<>();
-        for (SentRequest one : sent) {
-            assertEquals(1, one.ends.size(), "every request has exactly one outcome");
-            Outcome end = one.ends.getFirst();
-            if (end instanceof Outcome.Answered) {
-                assertEquals(1, runs.getOrDefault(one.key, 0), "answered means that it ran");
-                assertEquals("answer to " + one.key, one.body.toString());
+        for (RecordedRequest request : sent) {
+            assertEquals(1, request.outcomes.size(), "every request has exactly one outcome");
+            Outcome outcome = request.outcomes.getFirst();
+            if (outcome instanceof Outcome.Answered) {
+                assertEquals(1, runs.getOrDefault(request.key, 0), "answered means that it ran");
+                assertEquals("answer to " + request.key, request.body.toString());
             }
-            if (!(end instanceof Outcome.NotRun)) {
-                mayHaveRun.put(one.key, true);
+            if (!(outcome instanceof Outcome.NotRun)) {
+                mayHaveRun.put(request.key, true);
             }
         }
         runs.keySet()
                 .forEach(key -> assertTrue(
-                        mayHaveRun.containsKey(key), key + " ran although every caller was told that it had not"));
+                        mayHaveRun.containsKey(key),
+                        key + " ran although every caller got the outcome that it had not run"));
     }
 
-    static Fault fault(String why) {
-        return Fault.of(Fault.Step.RUN, "agent", Fault.Reason.UNREACHABLE, why);
+    static Fault fault(String message) {
+        return Fault.of(Fault.Step.RUN, "agent", Fault.Reason.UNREACHABLE, message);
     }
 
-    /** A message on its way, with what happens if it arrives and if it does not. */
-    record Message(Runnable arrives, Runnable lost) {}
+    /** A message in transit, with the actions for its arrival and its loss. */
+    record Message(Runnable onArrival, Runnable onLoss) {}
 }
--- a/src/test/java/org/micabarrow/coordination/requests/SimulatedEntry.java
+++ b/src/test/java/org/micabarrow/coordination/requests/SimulatedEntry.java
@@ -16,8 +16,8 @@
 import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
 import org.micabarrow.coordination.claims.Claim;
-import org.micabarrow.coordination.claims.ClaimBook;
-import org.micabarrow.coordination.claims.ClaimVerdict;
+import org.micabarrow.coordination.claims.ClaimResult;
+import org.micabarrow.coordination.claims.ClaimTable;
 import org.micabarrow.coordination.claims.ClaimWriter;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.membership.PeerView;
@@ -28,23 +28,23 @@
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
-/** An entry with the real flow. */
+/** An entry with the real request flow. */
 final class SimulatedEntry implements AgentCalls, ClaimWriter {
 
-    private final RequestWorld world;
-    private final ClaimBook book = new ClaimBook(3_600_000);
-    private final Map<String, CompletableFuture<ClaimVerdict>> waiting = new HashMap<>();
+    private final RequestSimulation simulation;
+    private final ClaimTable claims = new ClaimTable(3_600_000);
+    private final Map<String, CompletableFuture<ClaimResult>> waiting = new HashMap<>();
     private final RequestFlow flow;
-    private int folded;
+    private int nextOffset;
     boolean paused;
 
-    SimulatedEntry(RequestWorld world) {
-        this.world = world;
+    SimulatedEntry(RequestSimulation simulation) {
+        this.simulation = simulation;
         Traffic traffic = new Traffic();
         PrefixIndex prefixes = new PrefixIndex(10);
         RandomGenerator generator = new Random(1);
         flow = new RequestFlow(
-                () -> world.state,
+                () -> simulation.state,
                 this::peers,
                 new RequestFlow.Parts(
                         new Router("norte", "norte-a", traffic, prefixes, generator),
@@ -53,19 +53,19 @@
                         this,
                         key -> this,
                         new RetryBudget(1, 1000),
-                        () -> "attempt-" + world.attempts++,
-                        world.clock,
+                        () -> "attempt-" + simulation.attempts++,
+                        simulation.clock,
                         Duration.ofSeconds(1)));
     }
 
     private Map<String, PeerView> peers() {
         Map<String, PeerView> peers = new HashMap<>();
-        world.agents.forEach(agent -> peers.put(
+        simulation.agents.forEach(agent -> peers.put(
                 agent.name,
                 new PeerView(
                         agent.name,
                         agent.epoch(),
-                        world.state.offset(),
+                        simulation.state.offset(),
                         "",
                         true,
                         false,
@@ -79,16 +79,16 @@
                                         0,
                                         Optional.of(""),
                                         Optional.empty())),
-                        new PeerView.Load(0, 0, 100, world.clock.millis()))));
+                        new PeerView.Load(0, 0, 100, simulation.clock.millis()))));
         return peers;
     }
 
     void send(String key) {
-        SentRequest one = new SentRequest(key);
-        world.sent.add(one);
+        RecordedRequest request = new RecordedRequest(key);
+        simulation.sent.add(request);
         flow.begin(
                 new CallerRequest(
-                        "r" + world.sent.size(),
+                        "r" + simulation.sent.size(),
                         Samples.RIDERS,
                         "billing",
                         false,
@@ -99,16 +99,16 @@
                         false,
                         false,
                         Optional.of(key),
-                        world.clock.millis() + 5_000,
+                        simulation.clock.millis() + 5_000,
                         0,
                         List.of()),
-                one);
+                request);
     }
 
-    /** Whatever reaches a paused entry waits until it wakes. */
-    void whenAwake(Runnable work) {
+    /** Runs work now, or puts it back as a message while the entry is paused. */
+    void whenRunning(Runnable work) {
         if (paused) {
-            world.messages.add(new RequestWorld.Message(() -> whenAwake(work), () -> whenAwake(work)));
+            simulation.messages.add(new RequestSimulation.Message(() -> whenRunning(work), () -> whenRunning(work)));
         } else {
             work.run();
         }
@@ -117,35 +117,38 @@
     // -- claims
 
     @Override
-    public CompletableFuture<ClaimVerdict> claim(Claim claim, Duration within) {
-        CompletableFuture<ClaimVerdict> verdict = new CompletableFuture<>();
-        waiting.put(claim.attempt(), verdict);
-        Runnable giveUp = () -> whenAwake(() -> verdict.complete(new ClaimVerdict.Failed(RequestWorld.fault("log"))));
-        world.messages.add(new RequestWorld.Message(
+    public CompletableFuture<ClaimResult> claim(Claim claim, Duration within) {
+        CompletableFuture<ClaimResult> result = new CompletableFuture<>();
+        waiting.put(claim.attempt(), result);
+        Runnable timeOut =
+                () -> whenRunning(() -> result.complete(new ClaimResult.Failed(RequestSimulation.fault("log"))));
+        simulation.messages.add(new RequestSimulation.Message(
                 () -> {
-                    if (world.logDown) {
-                        giveUp.run();
+                    if (simulation.logDown) {
+                        timeOut.run();
                     } else {
-                        world.log.add(claim);
-                        world.messages.add(new RequestWorld.Message(() -> whenAwake(this::fold), giveUp));
+                        simulation.log.add(claim);
+                        simulation.messages.add(
+                                new RequestSimulation.Message(() -> whenRunning(this::applyNewClaims), timeOut));
                     }
                 },
                 () -> {
-                    world.log.add(claim);
-                    world.messages.add(new RequestWorld.Message(() -> whenAwake(this::fold), giveUp));
-                    world.log.add(claim);
+                    simulation.log.add(claim);
+                    simulation.messages.add(
+                            new RequestSimulation.Message(() -> whenRunning(this::applyNewClaims), timeOut));
+                    simulation.log.add(claim);
                 }));
-        return verdict;
+        return result;
     }
 
-    private void fold() {
-        while (folded < world.log.size()) {
-            Claim claim = world.log.get(folded++);
-            boolean holds = book.fold(folded, claim);
-            ClaimVerdict verdict = holds
-                    ? new ClaimVerdict.Won()
-                    : new ClaimVerdict.Held(book.holder(claim.key()).orElseThrow(), 10_000);
-            Optional.ofNullable(waiting.remove(claim.attempt())).ifPresent(one -> one.complete(verdict));
+    private void applyNewClaims() {
+        while (nextOffset < simulation.log.size()) {
+            Claim claim = simulation.log.get(nextOffset++);
+            boolean holds = claims.apply(nextOffset, claim);
+            ClaimResult result = holds
+                    ? new ClaimResult.Won()
+                    : new ClaimResult.Held(claims.holder(claim.key()).orElseThrow(), 10_000);
+            Optional.ofNullable(waiting.remove(claim.attempt())).ifPresent(future -> future.complete(result));
         }
     }
 
@@ -154,17 +157,18 @@
     @Override
     public Runnable handle(Replica to, AgentRequest request, AnswerListener listener) {
         SimulatedAgent agent = agent(to);
-        world.messages.add(new RequestWorld.Message(() -> agent.handle(request, listener, this), () -> {
-            whenAwake(() -> listener.onEnd(Outcome.unknown(RequestWorld.fault("the request was lost, or is late"))));
-            world.messages.add(
-                    new RequestWorld.Message(() -> agent.handle(request, new SentRequest("late"), this), () -> {}));
+        simulation.messages.add(new RequestSimulation.Message(() -> agent.handle(request, listener, this), () -> {
+            whenRunning(
+                    () -> listener.onEnd(Outcome.unknown(RequestSimulation.fault("the request was lost, or is late"))));
+            simulation.messages.add(new RequestSimulation.Message(
+                    () -> agent.handle(request, new RecordedRequest("late"), this), () -> {}));
         }));
         return () -> {};
     }
 
     private SimulatedAgent agent(Replica to) {
-        return world.agents.stream()
-                .filter(one -> one.name.equals(to.instance()))
+        return simulation.agents.stream()
+                .filter(agent -> agent.name.equals(to.instance()))
                 .findFirst()
                 .orElseThrow();
     }
@@ -172,16 +176,17 @@
     @Override
     public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim) {
         CompletableFuture<Result<Optional<Ledger.Settled>>> result = new CompletableFuture<>();
-        Runnable lost = () -> whenAwake(() -> result.complete(Result.failure(RequestWorld.fault("no answer"))));
-        world.messages.add(new RequestWorld.Message(
+        Runnable lost =
+                () -> whenRunning(() -> result.complete(Result.failure(RequestSimulation.fault("no response"))));
+        simulation.messages.add(new RequestSimulation.Message(
                 () -> {
                     SimulatedAgent agent = agent(to);
                     Optional<Ledger.Settled> settled = claim.epoch().equals(agent.epoch())
-                            ? Optional.of(
-                                    agent.ledger.settle(claim.key(), claim.latestStartMillis(), world.clock.millis()))
+                            ? Optional.of(agent.ledger.settle(
+                                    claim.key(), claim.latestStartMillis(), simulation.clock.millis()))
                             : Optional.empty();
-                    world.messages.add(new RequestWorld.Message(
-                            () -> whenAwake(() -> result.complete(Result.success(settled))), lost));
+                    simulation.messages.add(new RequestSimulation.Message(
+                            () -> whenRunning(() -> result.complete(Result.success(settled))), lost));
                 },
                 lost));
         return result;
--- a/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
+++ b/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
@@ -35,11 +35,11 @@
     private final Map<String, PeerView> peers = new HashMap<>();
 
     @BeforeEach
-    void everyReplicaIsReady() {
+    void setUpReadyReplicas() {
         placed.replicas().forEach(replica -> peers.put(replica.instance(), peer(replica, true, false, true, 0)));
     }
 
-    private static PeerView peer(Replica replica, boolean reachable, boolean leaving, boolean ready, int inFlight) {
+    private static PeerView peer(Replica replica, boolean reachable, boolean draining, boolean ready, int inFlight) {
         ReplicaView view = new ReplicaView(
                 "assistant",
                 WEIGHTS.digest(),
@@ -54,7 +54,7 @@
                 1,
                 "",
                 reachable,
-                leaving,
+                draining,
                 Map.of("assistant", view),
                 new PeerView.Load(inFlight, 0, LIMIT, NOW));
     }
@@ -63,8 +63,8 @@
         return router.route(placed, peers, new Router.Wish(List.of(), shortRequest, Set.of(tried), NOW));
     }
 
-    /** Makes one replica unfit for one reason. */
-    private void spoil(Replica replica, Exclusion.Reason reason) {
+    /** Makes a replica ineligible for the given reason. */
+    private void makeIneligible(Replica replica, Exclusion.Reason reason) {
         switch (reason) {
             case NOT_HEARD -> peers.put(replica.instance(), peer(replica, false, false, true, 0));
             case LEAVING -> peers.put(replica.instance(), peer(replica, true, true, true, 0));
@@ -72,36 +72,36 @@
             case FULL -> peers.put(replica.instance(), peer(replica, true, false, true, LIMIT));
             case EJECTED -> {
                 for (int i = 0; i < 3; i++) {
-                    traffic.failed(replica.instance(), NOW);
+                    traffic.requestFailed(replica.instance(), NOW);
                 }
             }
             default -> {}
         }
     }
 
-    // -- leaving out
+    // -- exclusion
 
     @ParameterizedTest
     @EnumSource(names = {"NOT_HEARD", "LEAVING", "NOT_READY", "FULL", "EJECTED"})
-    void shouldLeaveOutReplicaAndSayWhy(Exclusion.Reason reason) {
-        Replica unfit = placed.replicas().getFirst();
-        spoil(unfit, reason);
+    void shouldExcludeReplicaWithReason(Exclusion.Reason reason) {
+        Replica ineligible = placed.replicas().getFirst();
+        makeIneligible(ineligible, reason);
         for (int i = 0; i < 20; i++) {
             Router.Decision decision = route(true);
-            assertNotEquals(unfit, decision.chosen().orElseThrow());
-            assertEquals(List.of(new Exclusion(unfit, reason)), decision.exclusions());
+            assertNotEquals(ineligible, decision.chosen().orElseThrow());
+            assertEquals(List.of(new Exclusion(ineligible, reason)), decision.exclusions());
         }
     }
 
     @Test
-    void shouldLeaveOutReplicaThatWasTried() {
+    void shouldExcludeReplicaWhenItWasTried() {
         String tried = placed.replicas().getFirst().instance();
         assertNotEquals(tried, route(true, tried).chosen().orElseThrow().instance());
     }
 
     @Test
-    void shouldChooseNobodyOutsidePlacementWhateverItsState() {
-        Placement narrowed = new Placement(
+    void shouldSelectNoReplicaWhenAllAreOutsidePlacement() {
+        Placement restricted = new Placement(
                 "assistant",
                 new Workload.Model("assistant", WEIGHTS, List.of()),
                 List.of(),
@@ -111,33 +111,34 @@
                 Placement.Prefer.TIME,
                 Placement.CutOff.SERVE,
                 new Placement.Envelope(0, 0));
-        Placed elsewhere = new Placed(narrowed, "plan", 0, placed.chains(), 0, 0, Optional.empty());
-        Router.Decision decision = router.route(elsewhere, peers, new Router.Wish(List.of(), true, Set.of(), NOW));
+        Placed placedElsewhere = new Placed(restricted, "plan", 0, placed.chains(), 0, 0, Optional.empty());
+        Router.Decision decision =
+                router.route(placedElsewhere, peers, new Router.Wish(List.of(), true, Set.of(), NOW));
         assertTrue(decision.chosen().isEmpty());
     }
 
     @Test
     void shouldUseEjectedReplicasWhenAllAreEjected() {
-        placed.replicas().forEach(replica -> spoil(replica, Exclusion.Reason.EJECTED));
+        placed.replicas().forEach(replica -> makeIneligible(replica, Exclusion.Reason.EJECTED));
         assertTrue(route(true).chosen().isPresent());
     }
 
     @Test
-    void shouldKeepRoomForShortRequests() {
+    void shouldRejectLongRequestsWhenOnlyReservedSlotsAreFree() {
         placed.replicas().forEach(replica -> peers.put(replica.instance(), peer(replica, true, false, true, 8)));
         assertTrue(route(false).chosen().isEmpty());
         assertTrue(route(true).chosen().isPresent());
     }
 
-    // -- choosing
+    // -- selection
 
     @Test
-    void shouldPreferNearerOfEquals() {
+    void shouldPreferNearerReplicaWhenLoadsAreEqual() {
         assertEquals("norte-a", route(true).chosen().orElseThrow().hall());
     }
 
     @Test
-    void shouldPreferIdleFarReplicaToBusyNearOne() {
+    void shouldPreferDistantReplicaWhenNearOneIsBusy() {
         Replica near = placed.replicas().stream()
                 .filter(replica -> replica.hall().equals("norte-a"))
                 .findFirst()
@@ -147,14 +148,14 @@
     }
 
     @Test
-    void shouldPreferReplicaThatHasSeenThePrompt() {
+    void shouldPreferReplicaWhenItHasCachedThePrompt() {
         List<Long> prompt = PrefixIndex.blocks("x".repeat(2000));
-        Replica far = placed.replicas().stream()
+        Replica distant = placed.replicas().stream()
                 .filter(replica -> replica.hall().equals("sur-a"))
                 .findFirst()
                 .orElseThrow();
-        prefixes.seen(prompt, far.instance(), NOW);
+        prefixes.recordCached(prompt, distant.instance(), NOW);
         Router.Decision decision = router.route(placed, peers, new Router.Wish(prompt, true, Set.of(), NOW));
-        assertEquals(far, decision.chosen().orElseThrow());
+        assertEquals(distant, decision.chosen().orElseThrow());
     }
 }
