--- a/src/main/java/org/micabarrow/coordination/admission/FairQueue.java
+++ b/src/main/java/org/micabarrow/coordination/admission/FairQueue.java
@@ -16,8 +16,8 @@
  * <p>Thread-safe.
  *
  * <pre>{@code
- * queue.offer("taller", 1, run);
- * Optional<FairQueue.Queued<Run>> next = queue.poll();
+ * queue.offer("riders", 1, request);
+ * Optional<FairQueue.Queued<Request>> next = queue.poll();
  * }</pre>
  *
  * @param <T> the type of the waiting items
--- a/src/main/java/org/micabarrow/coordination/claims/ClaimWriter.java
+++ b/src/main/java/org/micabarrow/coordination/claims/ClaimWriter.java
@@ -7,7 +7,7 @@
 public interface ClaimWriter {
 
     /**
-     * Claims a key.
+     * Claims a key for an attempt.
      *
      * @param claim the claim
      * @param timeout how long to wait for the claim to appear in the log
--- a/src/main/java/org/micabarrow/coordination/requests/AttemptResponseListener.java
+++ b/src/main/java/org/micabarrow/coordination/requests/AttemptResponseListener.java
@@ -54,7 +54,8 @@
     @Override
     public void onHead(AnswerHead head) {
         onResponseStart.run();
-        parts.traffic().firstByteReceived(replica.instance(), parts.clock().millis() - sentMillis);
+        parts.instanceStats()
+                .firstByteReceived(replica.instance(), parts.clock().millis() - sentMillis);
         sink.onHead(head);
     }
 
@@ -65,7 +66,7 @@
 
     @Override
     public void onEnd(Outcome outcome) {
-        parts.traffic().requestEnded(replica.instance());
+        parts.instanceStats().requestEnded(replica.instance());
         LOG.info(
                 "end request={} attempt={} instance={} outcome={}", request.id(), attempt, replica.instance(), outcome);
         onAttemptEnd.accept(outcome);
--- a/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
+++ b/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
@@ -76,7 +76,7 @@
                 request.organisation().name(), request.key().orElseThrow());
         Claim claim =
                 new Claim(key, requestDigest(), replica.instance(), epoch, request.deadlineMillis(), attempt, after);
-        parts.claims().apply(key).claim(claim, parts.claimWithin()).thenAccept(result -> {
+        parts.claimWriters().apply(key).claim(claim, parts.claimTimeout()).thenAccept(result -> {
             switch (result) {
                 case ClaimResult.Won ignored -> callback.onClaimed(placed, replica, attempt, claim);
                 case ClaimResult.Held(Claim holder, long ageMillis) -> handleHeld(placed, claim, holder, ageMillis);
@@ -120,7 +120,7 @@
                     Fault.of(Step.CLAIM, holder.instance(), Reason.GONE, "the instance that holds the key is gone")));
             return;
         }
-        parts.calls().settle(replica.get(), holder).thenAccept(result -> {
+        parts.agents().settle(replica.get(), holder).thenAccept(result -> {
             LOG.info("settle request={} holder={} result={}", request.id(), holder.attempt(), result);
             switch (result) {
                 case Result.Failure<Optional<Ledger.Settled>>(Fault fault) -> callback.onEnd(Outcome.unknown(fault));
--- a/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
@@ -83,7 +83,7 @@
     // -- selection
 
     /** Sends the request, or queues it until a slot is free. Requests that wait already go first. */
-    void next() {
+    void sendOrQueue() {
         Optional<Placed> placed = flow.placementOf(request);
         boolean mustQueue = placed.isPresent() && flow.mustQueue(this, placed.get());
         if (mustQueue || !tryDispatch()) {
@@ -156,7 +156,7 @@
             return;
         }
         attempts++;
-        String attempt = parts.attempts().get();
+        String attempt = parts.attemptIds().get();
         log(placed, decision, attempt);
         if (mustRunAtMostOnce(placed)) {
             keyClaimer.claim(placed, replica, attempt, refusedAttempt);
@@ -203,7 +203,7 @@
         flow.countAttempt();
         lastClaim = claim;
         tried.add(replica.instance());
-        parts.traffic().requestSent(replica.instance());
+        parts.instanceStats().requestSent(replica.instance());
         parts.prefixes().recordCached(request.prefix(), replica.instance(), now());
         AgentRequest sent = new AgentRequest(
                 attempt,
@@ -226,7 +226,7 @@
                 attempt,
                 () -> responseStarted = true,
                 outcome -> handleOutcome(placed, replica, outcome));
-        cancelAttempt = parts.calls().handle(replica, sent, listener);
+        cancelAttempt = parts.agents().handle(replica, sent, listener);
         if (cancelled) {
             cancel();
         }
@@ -246,13 +246,13 @@
         refusedAttempt = lastClaim.map(Claim::attempt).or(() -> refusedAttempt);
         boolean instanceFull = refusal.fault().reason() == Reason.OVERLOADED;
         if (instanceFull) {
-            parts.traffic().markFull(replica.instance(), now());
+            parts.instanceStats().markFull(replica.instance(), now());
         }
         if (instanceFull && lastClaim.isEmpty() && !isWaitOver()) {
             lastRefusal = Optional.of(refusal);
             tried.remove(replica.instance());
             attempts--;
-            next();
+            sendOrQueue();
         } else {
             retry(refusal);
         }
@@ -263,7 +263,7 @@
      * claimed key, and otherwise retries.
      */
     private void handleUnknown(Placed placed, Replica replica, Outcome.Unknown unknown) {
-        parts.traffic().requestFailed(replica.instance(), now());
+        parts.instanceStats().requestFailed(replica.instance(), now());
         if (responseStarted || cancelled) {
             end(unknown);
         } else if (lastClaim.isPresent()) {
@@ -280,7 +280,7 @@
                 && now() < request.deadlineMillis()
                 && parts.budget().tryRetry();
         if (mayRetry) {
-            next();
+            sendOrQueue();
         } else {
             end(refusal);
         }
--- a/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
@@ -62,25 +62,25 @@
      * The components that requests use.
      *
      * @param router selects the replica for each attempt
-     * @param traffic the entry's own measurements of each instance
+     * @param instanceStats the entry's own measurements of each instance
      * @param prefixes records which instances got which prompts
-     * @param calls sends requests to agents
-     * @param claims gives the claim writer for a key
+     * @param agents sends requests to agents
+     * @param claimWriters gives the claim writer for a key
      * @param budget limits retries
-     * @param attempts generates the ids of attempts
+     * @param attemptIds generates the ids of attempts
      * @param clock the source of the current time
-     * @param claimWithin the timeout for writing a claim to the log
+     * @param claimTimeout the timeout for writing a claim to the log
      */
     public record Parts(
             Router router,
-            Traffic traffic,
+            Traffic instanceStats,
             PrefixIndex prefixes,
-            AgentCalls calls,
-            Function<String, ClaimWriter> claims,
+            AgentCalls agents,
+            Function<String, ClaimWriter> claimWriters,
             RetryBudget budget,
-            Supplier<String> attempts,
+            Supplier<String> attemptIds,
             InstantSource clock,
-            Duration claimWithin) {}
+            Duration claimTimeout) {}
 
     /**
      * Starts a request. The sink receives exactly one end.
@@ -110,7 +110,7 @@
         }
         parts.budget().sent();
         requests.increment();
-        execution.next();
+        execution.sendOrQueue();
         return execution::cancel;
     }
 
