--- a/src/main/java/org/micabarrow/protocol/AnswerMessages.java
+++ b/src/main/java/org/micabarrow/protocol/AnswerMessages.java
@@ -14,15 +14,15 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 
-/** Maps answers, outcomes and what became of claimed keys to the messages between processes, and back. */
+/** Converts responses, outcomes and the states of idempotency keys to protobuf messages and back. */
 public final class AnswerMessages {
 
     private AnswerMessages() {}
 
     /**
-     * The head of an answer for the wire.
+     * Converts a response head to a message.
      *
-     * @param head the head
+     * @param head the status, content type and origin of the response
      * @return the message
      */
     public static HandleReply toWire(AnswerHead head) {
@@ -42,10 +42,10 @@
     }
 
     /**
-     * The head of an answer from the wire.
+     * Reads the response head from a message.
      *
-     * @param reply the message that carries it
-     * @return the head
+     * @param reply the message that carries the head
+     * @return the response head
      */
     public static AnswerHead headOf(HandleReply reply) {
         Head head = reply.getHead();
@@ -61,9 +61,9 @@
     }
 
     /**
-     * An outcome for the wire.
+     * Converts the outcome of a request to a message.
      *
-     * @param outcome the outcome
+     * @param outcome how the request ended
      * @return the message
      */
     public static End toWire(Outcome outcome) {
@@ -87,14 +87,14 @@
     }
 
     /**
-     * An outcome from the wire. What is not understood counts as unknown.
+     * Reads the outcome of a request from a message. An unrecognised outcome is read as unknown.
      *
-     * @param peer who sent it
+     * @param peer the process that sent the message
      * @param end the message
-     * @return the outcome
+     * @return how the request ended
      */
     public static Outcome fromWire(String peer, End end) {
-        Fault fault = Fault.of(Step.RUN, peer, reason(end.getReason()), end.getMessage());
+        Fault fault = Fault.of(Step.RUN, peer, parseReason(end.getReason()), end.getMessage());
         return switch (end.getOutcome()) {
             case ANSWERED -> Outcome.answered();
             case NOT_RUN -> Outcome.notRun(fault, Duration.ofMillis(end.getRetryAfterMillis()));
@@ -102,7 +102,7 @@
         };
     }
 
-    private static Reason reason(String name) {
+    private static Reason parseReason(String name) {
         try {
             return Reason.valueOf(name);
         } catch (IllegalArgumentException e) {
@@ -111,9 +111,9 @@
     }
 
     /**
-     * What became of a key, for the wire.
+     * Converts the state of an idempotency key to a message.
      *
-     * @param settled its fate, empty if the claim names another process
+     * @param settled the state, empty if the claim names another process
      * @return the message
      */
     public static SettleReply toWire(Optional<Ledger.Settled> settled) {
@@ -129,20 +129,20 @@
                         });
         settled.get()
                 .answer()
-                .ifPresent(answer -> reply.setHead(
-                                Head.newBuilder().setStatus(answer.status()).setContentType(answer.contentType()))
-                        .setAnswer(ByteString.copyFrom(answer.body())));
+                .ifPresent(response -> reply.setHead(
+                                Head.newBuilder().setStatus(response.status()).setContentType(response.contentType()))
+                        .setAnswer(ByteString.copyFrom(response.body())));
         return reply.build();
     }
 
     /**
-     * What became of a key, from the wire.
+     * Reads the state of an idempotency key from a message.
      *
      * @param reply the message
-     * @return its fate, empty if the claim names another process
+     * @return the state, empty if the claim names another process
      */
     public static Optional<Ledger.Settled> fromWire(SettleReply reply) {
-        Optional<Ledger.Answer> answer = reply.hasHead()
+        Optional<Ledger.Answer> response = reply.hasHead()
                 ? Optional.of(new Ledger.Answer(
                         reply.getHead().getStatus(),
                         reply.getHead().getContentType(),
@@ -151,7 +151,7 @@
         return switch (reply.getState()) {
             case REFUSED -> Optional.of(new Ledger.Settled(Ledger.Fate.REFUSED, Optional.empty()));
             case RUNNING -> Optional.of(new Ledger.Settled(Ledger.Fate.RUNNING, Optional.empty()));
-            case DONE -> Optional.of(new Ledger.Settled(Ledger.Fate.DONE, answer));
+            case DONE -> Optional.of(new Ledger.Settled(Ledger.Fate.DONE, response));
             default -> Optional.empty();
         };
     }
--- a/src/main/java/org/micabarrow/protocol/OperatorMessages.java
+++ b/src/main/java/org/micabarrow/protocol/OperatorMessages.java
@@ -3,36 +3,36 @@
 import java.util.List;
 import org.micabarrow.state.Plan;
 
-/** The JSON messages between operators' commands and an entry. */
+/** The JSON messages between the operators' command line and an entry. */
 public final class OperatorMessages {
 
     private OperatorMessages() {}
 
     /**
-     * A plan with its id.
+     * The response to an intent: the proposed plan.
      *
-     * @param id the name by which it is confirmed
-     * @param plan the plan
+     * @param id the plan's digest, by which an operator confirms it
+     * @param plan the proposed plan
      */
     public record Planned(String id, Plan plan) {}
 
     /**
-     * A wish to confirm a plan.
+     * A request to confirm a plan.
      *
-     * @param id the plan
+     * @param id the id of the plan
      */
     public record Confirm(String id) {}
 
     /**
-     * What became of a confirmation.
+     * The response to a confirmation.
      *
-     * @param id the plan
-     * @param accepted whether it is in force
+     * @param id the id of the plan
+     * @param accepted whether the plan is active
      * @param offset the offset of the confirmation in the log
-     * @param reason why it was not accepted, empty if it was
-     * @param inForceOn on how many instances it is in force
-     * @param instances how many instances there are
-     * @param notConfirmedBy the instances that did not say so in time
+     * @param reason why the plan was not accepted, empty if it was
+     * @param inForceOn the number of instances on which the plan is active
+     * @param instances the number of listed instances
+     * @param notConfirmedBy the instances that did not confirm the plan in time
      */
     public record Confirmed(
             String id,
@@ -43,22 +43,22 @@
             int instances,
             List<String> notConfirmedBy) {
 
-        /** Copies the list. */
+        /** Copies the list defensively. */
         public Confirmed {
             notConfirmedBy = List.copyOf(notConfirmedBy);
         }
     }
 
     /**
-     * The state of things.
+     * The status of an entry and of the replicas that it knows.
      *
-     * @param entry the entry that answers
-     * @param generation its generation
+     * @param entry the entry that responds
+     * @param generation the generation of its configuration
      * @param digest the digest of its folded state
-     * @param stopped why its configuration has stopped, empty if it has not
-     * @param logSilentMillis how long ago the log was heard
-     * @param waiting how many requests wait for room
-     * @param replicas the replicas
+     * @param stopped why it has stopped applying configuration records, empty if it has not
+     * @param logSilentMillis the time since the last contact with the log, in milliseconds
+     * @param waiting the number of requests in the wait queue
+     * @param replicas the status of each replica
      */
     public record Status(
             String entry,
@@ -69,25 +69,25 @@
             int waiting,
             List<Replica> replicas) {
 
-        /** Copies the list. */
+        /** Copies the list defensively. */
         public Status {
             replicas = List.copyOf(replicas);
         }
     }
 
     /**
-     * A replica.
+     * The status of a replica.
      *
-     * @param placement the placement
-     * @param instance the instance
-     * @param region its region
-     * @param hall its data hall
-     * @param version the version asked for
-     * @param state how far it has come
-     * @param chunks the chunks staged
-     * @param total the chunks in all
-     * @param serving the version that answers, empty for none
-     * @param generation the agent's generation
+     * @param placement the name of its placement
+     * @param instance the id of its instance
+     * @param region the region of the instance
+     * @param hall the data hall of the instance
+     * @param version the version that the placement requires
+     * @param state the progress of the rollout on this replica
+     * @param chunks the number of chunks staged
+     * @param total the number of chunks of the version
+     * @param serving the version that serves requests, empty for none
+     * @param generation the generation of the agent's configuration
      * @param fault the latest failure, empty for none
      */
     public record Replica(
@@ -104,40 +104,40 @@
             String fault) {}
 
     /**
-     * Why each replica may or may not take a request.
+     * Explains which replicas could serve a request, and why the others could not.
      *
-     * @param organisation who would ask
-     * @param workload what would be asked for
-     * @param placement the placement under which it would run, empty for none
-     * @param verdict a sentence
-     * @param replicas what speaks for or against each
+     * @param organisation the organisation that would send the request
+     * @param workload the model or service that the request would name
+     * @param placement the placement that would serve the request, empty for none
+     * @param verdict the conclusion in one sentence
+     * @param replicas the eligibility of each replica
      */
     public record Explained(
             String organisation, String workload, String placement, String verdict, List<Candidate> replicas) {
 
-        /** Copies the list. */
+        /** Copies the list defensively. */
         public Explained {
             replicas = List.copyOf(replicas);
         }
     }
 
     /**
-     * A replica that might take a request.
+     * The eligibility of a replica for a request.
      *
-     * @param instance the instance
-     * @param hall its data hall
-     * @param eligible whether it may
-     * @param reason why not, empty if it may
+     * @param instance the id of its instance
+     * @param hall the data hall of the instance
+     * @param eligible whether the replica could serve the request
+     * @param reason why it could not, empty if it could
      */
     public record Candidate(String instance, String hall, boolean eligible, String reason) {}
 
     /**
-     * An error.
+     * The body of an error response; the parts are those of {@link org.micabarrow.state.Fault}.
      *
      * @param step the step that failed
-     * @param peer the peer at which it failed
+     * @param peer the instance, file or service involved
      * @param reason the kind of failure
-     * @param message a sentence
+     * @param message a description for people
      */
     public record Error(String step, String peer, String reason, String message) {}
 }
--- a/src/main/java/org/micabarrow/protocol/PlatformMessages.java
+++ b/src/main/java/org/micabarrow/protocol/PlatformMessages.java
@@ -9,60 +9,60 @@
     private PlatformMessages() {}
 
     /**
-     * The answer to an append.
+     * The response to an append.
      *
-     * @param offset the record's offset
+     * @param offset the offset of the appended record
      */
     public record Appended(long offset) {}
 
     /**
-     * A page of a stream.
+     * A page of a log stream.
      *
-     * @param first the first offset that is still kept
-     * @param records the records
+     * @param first the lowest offset that the log still retains
+     * @param records the records in order of offset
      */
     public record LogPage(long first, List<LogEntry> records) {
 
-        /** Copies the list. */
+        /** Copies the list defensively. */
         public LogPage {
             records = List.copyOf(records);
         }
 
         /**
-         * The page as the coordination layer takes it.
+         * Converts this message to the page type of the coordination layer.
          *
-         * @return the page
+         * @return the same records as a page
          */
         public PlatformLog.Page page() {
             return new PlatformLog.Page(
                     first,
                     records.stream()
-                            .map(one -> new PlatformLog.Entry(one.offset(), one.atMillis(), one.body()))
+                            .map(entry -> new PlatformLog.Entry(entry.offset(), entry.atMillis(), entry.body()))
                             .toList());
         }
     }
 
     /**
-     * A record of a stream; the body is in base 64.
+     * A record of a log stream; JSON carries the body in base 64.
      *
-     * @param offset its offset
-     * @param atMillis when the log took it
-     * @param body its bytes
+     * @param offset the offset in the stream
+     * @param atMillis the time at which the log accepted the record, in milliseconds
+     * @param body the content of the record
      */
     public record LogEntry(long offset, long atMillis, byte[] body) {}
 
     /**
-     * How many chunks of an artifact an engine holds.
+     * The number of chunks of an artifact that are staged at an engine.
      *
-     * @param chunks their number
+     * @param chunks the number of staged chunks
      */
     public record Staged(int chunks) {}
 
     /**
-     * The answer to an order.
+     * The response to an order to an endpoint.
      *
-     * @param accepted whether it was taken
-     * @param reason why not
+     * @param accepted whether the endpoint accepted the order
+     * @param reason why it did not
      */
     public record Ordered(boolean accepted, String reason) {}
 }
--- a/src/main/java/org/micabarrow/protocol/RequestMessages.java
+++ b/src/main/java/org/micabarrow/protocol/RequestMessages.java
@@ -6,15 +6,15 @@
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.protocol.wire.HandleRequest;
 
-/** Maps requests and claims to the messages between processes, and back. */
+/** Converts requests and claims to protobuf messages and back. */
 public final class RequestMessages {
 
     private RequestMessages() {}
 
     /**
-     * A request for the wire.
+     * Converts a request to a message.
      *
-     * @param request the request
+     * @param request the request that an entry sends to an agent
      * @return the message
      */
     public static HandleRequest toWire(AgentRequest request) {
@@ -35,7 +35,7 @@
     }
 
     /**
-     * A request from the wire.
+     * Reads a request from a message.
      *
      * @param message the message
      * @return the request
@@ -57,7 +57,7 @@
     }
 
     /**
-     * A claim for the wire.
+     * Converts a claim to a message.
      *
      * @param claim the claim
      * @return the message
@@ -74,7 +74,7 @@
     }
 
     /**
-     * A claim from the wire.
+     * Reads a claim from a message. Messages do not carry {@link Claim#after}, so it is empty.
      *
      * @param message the message
      * @return the claim
--- a/src/main/java/org/micabarrow/protocol/StatusMessages.java
+++ b/src/main/java/org/micabarrow/protocol/StatusMessages.java
@@ -10,15 +10,15 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 
-/** Maps the status of replicas and loads to the messages between processes, and back. */
+/** Converts the status of replicas to protobuf messages and back, and reads the load of peers. */
 public final class StatusMessages {
 
     private StatusMessages() {}
 
     /**
-     * A replica for the wire.
+     * Converts the status of a replica to a message.
      *
-     * @param replica the replica
+     * @param replica the status of the replica
      * @return the message
      */
     public static ReplicaStatus toWire(ReplicaView replica) {
@@ -35,11 +35,11 @@
     }
 
     /**
-     * A replica from the wire.
+     * Reads the status of a replica from a message.
      *
-     * @param peer who sent it
+     * @param peer the process that sent the message
      * @param message the message
-     * @return the replica
+     * @return the status of the replica
      */
     public static ReplicaView fromWire(String peer, ReplicaStatus message) {
         return new ReplicaView(
@@ -55,11 +55,11 @@
     }
 
     /**
-     * A load from the wire.
+     * Reads the load of a peer from a message.
      *
      * @param load the message
-     * @param nowMillis when it came
-     * @return the load
+     * @param nowMillis the time at which the message arrived, in milliseconds
+     * @return the load of the peer
      */
     public static PeerView.Load fromWire(Load load, long nowMillis) {
         return new PeerView.Load(load.getInFlight(), load.getQueued(), load.getLimit(), nowMillis);
--- a/src/main/java/org/micabarrow/protocol/package-info.java
+++ b/src/main/java/org/micabarrow/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** The messages between processes and towards operators, and their mapping to what the coordination layer works with. */
+/** The messages between processes and with operators, and their conversion to the types of the coordination layer. */
 package org.micabarrow.protocol;
--- a/src/main/java/org/micabarrow/state/Artifact.java
+++ b/src/main/java/org/micabarrow/state/Artifact.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * A set of weights as the planner needs it: a model's or an adapter's.
+ * The weights of a model or of an adapter, with the figures that the planner needs.
  *
  * @param digest the digest of its manifest
- * @param bytes its size
- * @param chunks the number of its chunks
+ * @param bytes the size of the weights in bytes
+ * @param chunks the number of chunks
  */
 public record Artifact(String digest, long bytes, int chunks) {
 
-    /** Checks the parts. */
+    /** Rejects a null digest. */
     public Artifact {
         Objects.requireNonNull(digest, "digest is null");
     }
--- a/src/main/java/org/micabarrow/state/Candidates.java
+++ b/src/main/java/org/micabarrow/state/Candidates.java
@@ -15,8 +15,8 @@
 import java.util.stream.Stream;
 
 /**
- * The instances on which placements could run, from what they can carry and what the configuration has put on them. The
- * same state and list give the same choice on every node.
+ * Selects instances for placements, considering the capacity of each instance and the weights that the configuration
+ * already assigns to it. The same state and list of instances give the same selection on every node.
  */
 public final class Candidates {
 
@@ -24,10 +24,10 @@
     private final List<Instance> instances;
 
     /**
-     * Makes the choice between instances.
+     * Creates a selector.
      *
-     * @param state the configuration in force
-     * @param instances the instances listed; entries among them are left out
+     * @param state the active configuration
+     * @param instances the listed instances; entries among them are ignored
      */
     public Candidates(FoldedState state, List<Instance> instances) {
         this.state = Objects.requireNonNull(state, "state is null");
@@ -37,94 +37,93 @@
                 .toList();
     }
 
-    /** The names that the instances have for something, such as their regions. */
-    Set<String> names(Function<Instance, String> name) {
-        return instances.stream().map(name).collect(Collectors.toCollection(TreeSet::new));
+    /** Returns the distinct values of an attribute of the instances, such as their regions. */
+    Set<String> distinctValues(Function<Instance, String> attribute) {
+        return instances.stream().map(attribute).collect(Collectors.toCollection(TreeSet::new));
     }
 
     /**
-     * The instances on which a placement could run, in no particular order.
+     * Returns the instances on which a placement could run, in no particular order.
      *
      * @param placement the placement
-     * @return those of the right kind, in an allowed place, with room, and not leaving
+     * @return the instances of the right kind, in an allowed region and hall, with enough free capacity, that are not
+     *     draining
      */
-    public Stream<Instance> of(Placement placement) {
+    public Stream<Instance> eligibleFor(Placement placement) {
         long needed = bytesOf(placement.workload());
         return instances.stream()
                 .filter(instance -> !instance.leaving())
-                .filter(instance -> instance.runs(placement.workload()))
+                .filter(instance -> instance.canRun(placement.workload()))
                 .filter(instance -> placement.allows(instance.region(), instance.hall()))
                 .filter(instance ->
                         needed == 0 || assignedBytes(instance, placement.name()) + needed <= instance.capacityBytes());
     }
 
-    private long assignedBytes(Instance instance, String except) {
+    private long assignedBytes(Instance instance, String excludedPlacement) {
         return state.placements().values().stream()
-                .filter(placed -> !placed.placement().name().equals(except))
+                .filter(placed -> !placed.placement().name().equals(excludedPlacement))
                 .filter(placed -> placed.replicaOn(instance.id()).isPresent())
                 .mapToLong(placed -> bytesOf(placed.placement().workload()))
                 .sum();
     }
 
-    /** The bytes of all weights of a workload. */
+    /** Returns the total size of the weights of a workload in bytes. */
     static long bytesOf(Workload workload) {
         return workload.artifacts().stream().mapToLong(Artifact::bytes).sum();
     }
 
-    // -- choosing
-
     /**
-     * Chooses the instances of a placement: keeps what already serves, then fills the halls evenly.
+     * Selects the instances of a placement. Instances that already serve it come first; the halls are filled evenly.
      *
      * @param placement the placement
-     * @param current the instances that serve it now
-     * @param claimed the instances that the same plan has chosen for other placements, which come last
-     * @return as many as the placement asks for, or fewer if no more fit
+     * @param current the ids of the instances that serve it now
+     * @param usedInPlan the ids of the instances that the same plan uses for other placements; they are selected last
+     * @return as many instances as the placement requires, or fewer if too few are eligible
      */
-    List<Instance> choose(Placement placement, Set<String> current, Set<String> claimed) {
+    List<Instance> select(Placement placement, Set<String> current, Set<String> usedInPlan) {
         Map<String, List<Instance>> byHall = new TreeMap<>();
-        of(placement)
+        eligibleFor(placement)
                 .sorted(Comparator.comparing((Instance instance) -> !current.contains(instance.id()))
-                        .thenComparing(instance -> claimed.contains(instance.id()))
+                        .thenComparing(instance -> usedInPlan.contains(instance.id()))
                         .thenComparing(instance -> assignedBytes(instance, placement.name()))
                         .thenComparing(instance -> Digest.rank(placement.name(), instance.id())))
                 .forEach(instance -> byHall.computeIfAbsent(instance.hall(), hall -> new ArrayList<>())
                         .add(instance));
-        Map<String, Integer> taken = new HashMap<>();
-        List<Instance> chosen = new ArrayList<>();
-        while (chosen.size() < placement.replicas()) {
+        Map<String, Integer> selectedPerHall = new HashMap<>();
+        List<Instance> selected = new ArrayList<>();
+        while (selected.size() < placement.replicas()) {
             Optional<String> hall = byHall.keySet().stream()
-                    .filter(name ->
-                            taken.getOrDefault(name, 0) < byHall.get(name).size())
-                    .min(Comparator.comparing((String name) -> taken.getOrDefault(name, 0))
+                    .filter(name -> selectedPerHall.getOrDefault(name, 0)
+                            < byHall.get(name).size())
+                    .min(Comparator.comparing((String name) -> selectedPerHall.getOrDefault(name, 0))
                             .thenComparing(Comparator.naturalOrder()));
             if (hall.isEmpty()) {
                 break;
             }
-            int next = taken.merge(hall.get(), 1, Integer::sum) - 1;
-            chosen.add(byHall.get(hall.get()).get(next));
+            int index = selectedPerHall.merge(hall.get(), 1, Integer::sum) - 1;
+            selected.add(byHall.get(hall.get()).get(index));
         }
-        return chosen;
+        return selected;
     }
 
-    /** Says how many instances of each hall fit a placement that asks for more. */
-    String shortage(Placement placement, int found) {
-        Map<String, Long> perHall =
-                of(placement).collect(Collectors.groupingBy(Instance::hall, TreeMap::new, Collectors.counting()));
-        return "placement " + placement.name() + " asks for " + placement.replicas() + " replicas, but only " + found
+    /** Describes how many instances of each hall are eligible for a placement that requires more. */
+    String describeShortage(Placement placement, int selected) {
+        Map<String, Long> perHall = eligibleFor(placement)
+                .collect(Collectors.groupingBy(Instance::hall, TreeMap::new, Collectors.counting()));
+        return "placement " + placement.name() + " asks for " + placement.replicas() + " replicas, but only " + selected
                 + " instances fit: " + perHall;
     }
 
     /**
-     * The replacement for a lost replica: the first candidate in the same hall, else the same region, else anywhere
-     * allowed.
+     * Selects the replacement for a lost replica: an eligible instance in the same hall if possible, else in the same
+     * region, else anywhere that the placement allows.
      *
-     * @param placed the placement in force
-     * @param lost the replica that is gone
-     * @return the instance to use, if there is one
+     * @param placed the active placement
+     * @param lost the replica whose instance is gone
+     * @return the instance to use, empty if none is eligible
      */
     public Optional<Instance> replacement(FoldedState.Placed placed, Replica lost) {
-        return of(placed.placement())
+        return eligibleFor(placed.placement())
                 .filter(instance -> placed.replicaOn(instance.id()).isEmpty())
                 .min(Comparator.comparing(
                                 (Instance instance) -> !instance.hall().equals(lost.hall()))
--- a/src/main/java/org/micabarrow/state/CanonicalJson.java
+++ b/src/main/java/org/micabarrow/state/CanonicalJson.java
@@ -11,7 +11,8 @@
 import java.io.IOException;
 
 /**
- * The one JSON form that is digested and written to the log: sorted keys, no white space, no absent values.
+ * The canonical JSON form, used for digests and for records in the log: keys are sorted, and white space and absent
+ * values are left out.
  *
  * <pre>{@code
  * byte[] bytes = CanonicalJson.write(record);
@@ -32,7 +33,7 @@
     private CanonicalJson() {}
 
     /**
-     * The mapper, for callers that read or write streams.
+     * Returns the mapper, for callers that read or write streams.
      *
      * @return the shared mapper
      */
@@ -41,30 +42,30 @@
     }
 
     /**
-     * Writes a value.
+     * Writes a value in canonical form.
      *
      * @param value the value
-     * @return its canonical bytes
+     * @return the JSON bytes
      */
     public static byte[] write(Object value) {
         try {
             return MAPPER.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON form for " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), e);
         }
     }
 
     /**
-     * Writes a value with line breaks, for people.
+     * Writes a value with line breaks and indentation, for people.
      *
      * @param value the value
-     * @return its text
+     * @return the JSON text
      */
     public static String pretty(Object value) {
         try {
             return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("no JSON form for " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot be written as JSON: " + value.getClass(), e);
         }
     }
 
@@ -75,14 +76,14 @@
      * @param type the type to read
      * @param <T> the type to read
      * @return the value
-     * @throws IOException if the bytes are not such a value
+     * @throws IOException if the bytes are not JSON of this type
      */
     public static <T> T read(byte[] bytes, Class<T> type) throws IOException {
         return MAPPER.readValue(bytes, type);
     }
 
     /**
-     * The digest of a value's canonical bytes.
+     * Computes the digest of a value's canonical form.
      *
      * @param value the value
      * @return the digest
--- a/src/main/java/org/micabarrow/state/Chains.java
+++ b/src/main/java/org/micabarrow/state/Chains.java
@@ -6,22 +6,22 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The chains along which a placement's weights pass from instance to instance, and what that is estimated to take. */
+/** Arranges the replicas of a placement in chains, along which instances relay weights, and estimates the cost. */
 final class Chains {
 
-    /** The most chains of one placement that the origin feeds at once. */
-    private static final int MOST_FEEDS = 3;
+    /** The maximum number of chains of one placement that receive weights from the origin at the same time. */
+    private static final int MAX_ORIGIN_FEEDS = 3;
 
     private final Links links;
     private final Placement placement;
     private final Set<String> moves;
 
     /**
-     * Makes the chains of one placement.
+     * Creates a planner for the chains of one placement.
      *
-     * @param links what the links carry
+     * @param links the rates of the links
      * @param placement the placement
-     * @param moves the instances that must receive the weights
+     * @param moves the ids of the instances that must receive the weights
      */
     Chains(Links links, Placement placement, Set<String> moves) {
         this.links = links;
@@ -29,16 +29,19 @@
         this.moves = moves;
     }
 
-    /** Instances that must receive weights form the chains; those that hold them already come last, in one list. */
-    List<List<Replica>> of(List<Instance> chosen) {
-        List<Replica> moving = ordered(chosen, instance -> moves.contains(instance.id()));
-        List<Replica> holding = ordered(chosen, instance -> !moves.contains(instance.id()));
-        int feeds = Math.min(feeds(), moving.size());
+    /**
+     * Divides the instances that must receive weights into chains. The instances that already hold the weights follow in
+     * one last list.
+     */
+    List<List<Replica>> chainsFor(List<Instance> selected) {
+        List<Replica> receiving = replicasInRelayOrder(selected, instance -> moves.contains(instance.id()));
+        List<Replica> holding = replicasInRelayOrder(selected, instance -> !moves.contains(instance.id()));
+        int feeds = Math.min(originFeeds(), receiving.size());
         List<List<Replica>> chains = new ArrayList<>();
         for (int feed = 0; feed < feeds; feed++) {
-            int from = feed * moving.size() / feeds;
-            int to = (feed + 1) * moving.size() / feeds;
-            chains.add(moving.subList(from, to));
+            int from = feed * receiving.size() / feeds;
+            int to = (feed + 1) * receiving.size() / feeds;
+            chains.add(receiving.subList(from, to));
         }
         if (!holding.isEmpty()) {
             chains.add(holding);
@@ -46,9 +49,9 @@
         return chains;
     }
 
-    private static List<Replica> ordered(List<Instance> chosen, Predicate<Instance> which) {
-        return chosen.stream()
-                .filter(which)
+    private static List<Replica> replicasInRelayOrder(List<Instance> selected, Predicate<Instance> filter) {
+        return selected.stream()
+                .filter(filter)
                 .sorted(Comparator.comparing(Instance::region)
                         .thenComparing(Instance::hall)
                         .thenComparing(Instance::id))
@@ -56,43 +59,44 @@
                 .toList();
     }
 
-    private int feeds() {
+    private int originFeeds() {
         return switch (placement.prefer()) {
             case ORIGIN_BYTES -> 1;
-            case TIME -> Math.min(MOST_FEEDS, links.feeds());
+            case TIME -> Math.min(MAX_ORIGIN_FEEDS, links.feeds());
         };
     }
 
-    /** What it takes to bring the weights along the chains. */
+    /** Estimates the traffic and the time for the transfer of the weights along the chains. */
     Plan.Estimate estimate(List<List<Replica>> chains) {
         long bytes = Candidates.bytesOf(placement.workload());
         if (moves.isEmpty()) {
             return new Plan.Estimate(bytes, 0, 0, 0);
         }
-        long heads = chains.stream()
+        long originCopies = chains.stream()
                 .filter(chain -> moves.contains(chain.getFirst().instance()))
                 .count();
         int chunks = placement.workload().artifacts().stream()
                 .mapToInt(Artifact::chunks)
                 .sum();
-        int depth = chains.stream().mapToInt(List::size).max().orElse(0);
+        int longestChain = chains.stream().mapToInt(List::size).max().orElse(0);
         long copyMillis = links.lowerBoundMillis(bytes);
-        long originMillis = 1000 * heads * bytes / links.originBytesPerSecond();
-        long passMillis = depth * copyMillis / Math.max(1, chunks);
+        long originMillis = 1000 * originCopies * bytes / links.originBytesPerSecond();
+        long relayMillis = longestChain * copyMillis / Math.max(1, chunks);
         return new Plan.Estimate(
-                bytes, heads * bytes, crossings(chains), Math.max(copyMillis, originMillis) + passMillis);
+                bytes, originCopies * bytes, hallCrossings(chains), Math.max(copyMillis, originMillis) + relayMillis);
     }
 
-    private int crossings(List<List<Replica>> chains) {
-        int crossings = 0;
+    private int hallCrossings(List<List<Replica>> chains) {
+        int hallCrossings = 0;
         for (List<Replica> chain : chains) {
             for (int i = 1; i < chain.size(); i++) {
-                boolean crosses = !chain.get(i).hall().equals(chain.get(i - 1).hall());
-                if (crosses && moves.contains(chain.get(i).instance())) {
-                    crossings++;
+                boolean differentHall =
+                        !chain.get(i).hall().equals(chain.get(i - 1).hall());
+                if (differentHall && moves.contains(chain.get(i).instance())) {
+                    hallCrossings++;
                 }
             }
         }
-        return crossings;
+        return hallCrossings;
     }
 }
--- a/src/main/java/org/micabarrow/state/Digest.java
+++ b/src/main/java/org/micabarrow/state/Digest.java
@@ -14,46 +14,47 @@
  */
 public final class Digest {
 
-    /** The number of characters of a digest. */
+    /** The length of a digest in characters. */
     public static final int LENGTH = 64;
 
     private Digest() {}
 
     /**
-     * The digest of a text in UTF-8.
+     * Computes the digest of a text in UTF-8.
      *
      * @param text the text
-     * @return its digest
+     * @return the digest
      */
     public static String of(String text) {
         return of(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
-     * The digest of bytes.
+     * Computes the digest of bytes.
      *
      * @param bytes the bytes
-     * @return their digest
+     * @return the digest
      */
     public static String of(byte[] bytes) {
         return HexFormat.of().formatHex(start().digest(bytes));
     }
 
     /**
-     * A digest to be fed piece by piece.
+     * Creates a message digest for data that arrives in pieces.
      *
-     * @return a fresh SHA-256
+     * @return a new SHA-256 message digest
      */
     public static MessageDigest start() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform must provide it", e);
         }
     }
 
     /**
-     * Whether a text has the form of a digest.
+     * Checks whether a text has the form of a digest.
      *
      * @param text the text
      * @return true for 64 lower-case hexadecimal characters
@@ -63,10 +64,10 @@
     }
 
     /**
-     * A number for rendezvous hashing, the same on every node.
+     * Computes a rank for rendezvous hashing, which is the same on every node.
      *
      * @param parts the texts to hash together
-     * @return the first eight bytes of their digest
+     * @return the first eight bytes of their digest as a signed number
      */
     public static long rank(String... parts) {
         byte[] digest = start().digest(String.join("\n", parts).getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/org/micabarrow/state/Fault.java
+++ b/src/main/java/org/micabarrow/state/Fault.java
@@ -3,20 +3,20 @@
 import java.util.Objects;
 
 /**
- * What went wrong, at which step, and with which peer.
+ * A failure: the step that failed, the peer involved, the kind of failure and a description.
  *
  * <pre>{@code
  * Fault.of(Step.PLAN, "intent.jsonc", Reason.INVALID, "unknown hall \"norte-z\"");
  * }</pre>
  *
- * @param step the step of the work that failed
- * @param peer the instance, file or service with which it failed
- * @param reason the kind of failure, on which callers decide
- * @param message a sentence for a person
+ * @param step the step that failed
+ * @param peer the instance, file or service involved
+ * @param reason the kind of failure, by which callers decide how to handle it
+ * @param message a description for people
  */
 public record Fault(Step step, String peer, Reason reason, String message) {
 
-    /** Checks that every part is present. */
+    /** Rejects null values. */
     public Fault {
         Objects.requireNonNull(step, "step is null");
         Objects.requireNonNull(peer, "peer is null");
@@ -24,7 +24,7 @@
         Objects.requireNonNull(message, "message is null");
     }
 
-    /** The steps at which work can fail. */
+    /** The step of the work that failed. */
     public enum Step {
         SETTINGS,
         INTENT,
@@ -46,7 +46,7 @@
         STATUS
     }
 
-    /** The kinds of failure. */
+    /** The kind of failure. */
     public enum Reason {
         INVALID,
         UNAUTHORISED,
@@ -70,12 +70,12 @@
     }
 
     /**
-     * Makes a fault.
+     * Creates a fault.
      *
      * @param step the step that failed
-     * @param peer the peer at which it failed
+     * @param peer the instance, file or service involved
      * @param reason the kind of failure
-     * @param message a sentence for a person
+     * @param message a description for people
      * @return the fault
      */
     public static Fault of(Step step, String peer, Reason reason, String message) {
--- a/src/main/java/org/micabarrow/state/FoldedState.java
+++ b/src/main/java/org/micabarrow/state/FoldedState.java
@@ -9,18 +9,18 @@
 import java.util.TreeMap;
 
 /**
- * The configuration in force: all records up to an offset, folded.
+ * The active configuration: the result of folding all records up to an offset.
  *
  * <pre>{@code
  * FoldedState next = Reducer.fold(FoldedState.empty(), 0, record).state();
  * }</pre>
  *
- * @param offset the offset of the last record folded, −1 at the start; it is the generation
- * @param placements the placements by name
+ * @param offset the offset of the last folded record, −1 before the first; it is the generation of the configuration
+ * @param placements the active placements by name
  * @param organisations the organisations by name
- * @param proposals the plans that may still be confirmed, by id
- * @param touched the offset at which each part last changed
- * @param seen the verdicts on the latest records, by record id
+ * @param proposals the plans that may still be confirmed, by plan id
+ * @param touched the offset of the last change to each placement, organisation and instance, by key
+ * @param seen the verdicts on the latest records, by record id, so that repeated records are recognised
  */
 public record FoldedState(
         long offset,
@@ -33,7 +33,7 @@
     private static final FoldedState EMPTY =
             new FoldedState(-1, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
 
-    /** Closes the maps against change. */
+    /** Makes the maps unmodifiable. */
     public FoldedState {
         placements = Collections.unmodifiableSortedMap(placements);
         organisations = Collections.unmodifiableSortedMap(organisations);
@@ -43,7 +43,7 @@
     }
 
     /**
-     * The state before the first record.
+     * Returns the state before the first record.
      *
      * @return the empty state
      */
@@ -52,7 +52,7 @@
     }
 
     /**
-     * The digest by which two nodes compare their states.
+     * Computes the digest by which nodes compare their states.
      *
      * @return the digest of the canonical form
      */
@@ -61,20 +61,20 @@
     }
 
     /**
-     * A placement in force.
+     * Finds an active placement.
      *
-     * @param name its name
-     * @return the placement, if there is one
+     * @param name the name of the placement
+     * @return the placement, empty if none is active under this name
      */
     public Optional<Placed> placed(String name) {
         return Optional.ofNullable(placements.get(name));
     }
 
     /**
-     * The organisation that holds a token.
+     * Finds the organisation that a token belongs to.
      *
      * @param tokenDigest the digest of the token
-     * @return the organisation, if one is known
+     * @return the organisation, empty if the token is unknown
      */
     public Optional<Organisation> organisationOf(String tokenDigest) {
         return organisations.values().stream()
@@ -83,15 +83,15 @@
     }
 
     /**
-     * A placement in force with the instances that carry it.
+     * An active placement with its replicas.
      *
-     * @param placement the placement
-     * @param planId the plan that set it
+     * @param placement the placement as confirmed
+     * @param planId the id of the plan that set it
      * @param since the offset of the confirmation
-     * @param chains the replicas in relay order
-     * @param replaced how many replicas have been replaced inside the envelope
-     * @param drawn bytes granted from the origin beyond the plan's feeds
-     * @param previous the workload that served before, until the new one is ready
+     * @param chains the replicas in the order in which they relay weights
+     * @param replaced the number of replicas replaced under the envelope
+     * @param drawn the bytes granted from the origin in addition to those of the plan
+     * @param previous the workload that continues to serve until the new one is ready
      */
     public record Placed(
             Placement placement,
@@ -102,7 +102,7 @@
             long drawn,
             Optional<Workload> previous) {
 
-        /** Copies the lists. */
+        /** Rejects null values and copies the lists defensively. */
         public Placed {
             Objects.requireNonNull(placement, "placement is null");
             Objects.requireNonNull(planId, "planId is null");
@@ -111,27 +111,27 @@
         }
 
         /**
-         * The same placement after one more replacement.
+         * Returns a copy in which one more replica is replaced.
          *
-         * @param next the replicas with the replacement
-         * @return the placement
+         * @param newChains the chains with the replacement
+         * @return the changed placement
          */
-        Placed withReplacement(List<List<Replica>> next) {
-            return new Placed(placement, planId, since, next, replaced + 1, drawn, previous);
+        Placed withReplacement(List<List<Replica>> newChains) {
+            return new Placed(placement, planId, since, newChains, replaced + 1, drawn, previous);
         }
 
         /**
-         * The same placement after a further draw on the origin.
+         * Returns a copy with a new total of granted origin bytes.
          *
-         * @param bytes all bytes granted so far
-         * @return the placement
+         * @param totalBytes all bytes granted so far
+         * @return the changed placement
          */
-        Placed withDrawn(long bytes) {
-            return new Placed(placement, planId, since, chains, replaced, bytes, previous);
+        Placed withDrawn(long totalBytes) {
+            return new Placed(placement, planId, since, chains, replaced, totalBytes, previous);
         }
 
         /**
-         * All replicas, chain by chain.
+         * Returns all replicas, chain by chain.
          *
          * @return the replicas
          */
@@ -141,10 +141,10 @@
         }
 
         /**
-         * The replica on an instance.
+         * Finds the replica on an instance.
          *
-         * @param instance the instance
-         * @return the replica, if the placement has one there
+         * @param instance the id of the instance
+         * @return the replica, empty if the placement has none there
          */
         public Optional<Replica> replicaOn(String instance) {
             return replicas().stream()
@@ -154,18 +154,18 @@
     }
 
     /**
-     * A plan that may be confirmed.
+     * A proposed plan that may be confirmed.
      *
-     * @param offset the offset of its record
+     * @param offset the offset of the record that proposed it
      * @param plan the plan
      */
     public record Proposal(long offset, Plan plan) {}
 
     /**
-     * The verdict on a record.
+     * The verdict on a folded record.
      *
      * @param offset the offset at which the record was first folded
-     * @param verdict the verdict
+     * @param verdict what the reducer decided
      */
     public record Seen(long offset, Verdict verdict) {}
 }
--- a/src/main/java/org/micabarrow/state/Instance.java
+++ b/src/main/java/org/micabarrow/state/Instance.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * An instance as the platform's list shows it.
+ * An instance from the platform's instance list.
  *
- * @param id its name
- * @param region its region
- * @param hall its data hall
- * @param address the host and port of the system's process on it
+ * @param id the id of the instance
+ * @param region the region of the instance
+ * @param hall the data hall of the instance
+ * @param address the host and port of this system's process on the instance
  * @param kind {@code entry}, {@code engine}, or {@code service:NAME}
- * @param capacityBytes how many bytes of weights it can hold
- * @param leaving whether the platform is taking it away
+ * @param capacityBytes the bytes of weights that the instance can hold
+ * @param leaving whether the platform is removing the instance
  */
 public record Instance(
         String id, String region, String hall, String address, String kind, long capacityBytes, boolean leaving) {
@@ -22,7 +22,7 @@
     /** The kind of an entry instance. */
     public static final String ENTRY = "entry";
 
-    /** Checks the parts. */
+    /** Rejects null values. */
     public Instance {
         Objects.requireNonNull(id, "id is null");
         Objects.requireNonNull(region, "region is null");
@@ -32,12 +32,12 @@
     }
 
     /**
-     * Whether the instance can run a workload.
+     * Checks whether the instance can run a workload.
      *
      * @param workload the workload
-     * @return true if its endpoint is of the right kind
+     * @return true if the endpoint of the instance is of the right kind
      */
-    public boolean runs(Workload workload) {
+    public boolean canRun(Workload workload) {
         return switch (workload) {
             case Workload.Model ignored -> kind.equals(ENGINE);
             case Workload.Service service -> kind.equals("service:" + service.name());
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The replica that would stand on this instance.
+     * Creates a replica on this instance.
      *
-     * @return its place and address
+     * @return the replica
      */
     public Replica replica() {
         return new Replica(id, region, hall, address);
--- a/src/main/java/org/micabarrow/state/Intent.java
+++ b/src/main/java/org/micabarrow/state/Intent.java
@@ -5,22 +5,22 @@
 import java.util.stream.Stream;
 
 /**
- * What operators declare, as kept under version control. Placements and organisations that it does not name stay as
- * they are.
+ * The placements and organisations that operators declare in a file under version control. Placements and organisations
+ * that the intent does not name stay unchanged.
  *
  * @param organisations the organisations to set
  * @param placements the placements to set
  */
 public record Intent(List<Organisation> organisations, List<Declared> placements) {
 
-    /** Copies the lists. */
+    /** Copies the lists defensively. */
     public Intent {
         organisations = List.copyOf(organisations);
         placements = List.copyOf(placements);
     }
 
-    /** The weights' digests that the planner must know the sizes of. */
-    static List<String> digests(Target target) {
+    /** Returns the digests of the weights of a target, whose sizes the planner needs. */
+    static List<String> weightDigests(Target target) {
         return switch (target) {
             case Target.Model model ->
                 Stream.concat(Stream.of(model.version()), model.adapters().stream())
@@ -30,30 +30,30 @@
     }
 
     /**
-     * The digests of all weights that the intent names.
+     * Returns the digests of all weights that the intent names.
      *
-     * @return the digests, each once
+     * @return the distinct digests
      */
     public List<String> artifactDigests() {
         return placements.stream()
-                .flatMap(declared -> digests(declared.target()).stream())
+                .flatMap(declared -> weightDigests(declared.target()).stream())
                 .distinct()
                 .toList();
     }
 
-    /** What is declared to be placed. */
+    /** The workload that an intent declares. */
     public sealed interface Target {
 
         /**
-         * A model by the digests of its weights.
+         * A model, with its weights given by digest.
          *
-         * @param name the name in callers' requests
+         * @param name the model name in callers' requests
          * @param version the digest of the base weights' manifest
          * @param adapters the digests of the adapters' manifests
          */
         record Model(String name, String version, List<String> adapters) implements Target {
 
-            /** Copies the list. */
+            /** Rejects null values and copies the list defensively. */
             public Model {
                 Objects.requireNonNull(name, "name is null");
                 Objects.requireNonNull(version, "version is null");
@@ -62,14 +62,14 @@
         }
 
         /**
-         * A plain service.
+         * A service without weights.
          *
-         * @param name the name in callers' paths
-         * @param repeatable whether its calls may be run again
+         * @param name the service name in callers' request paths
+         * @param repeatable whether its calls are idempotent and may be retried
          */
         record Service(String name, boolean repeatable) implements Target {
 
-            /** Checks the parts. */
+            /** Rejects a null name. */
             public Service {
                 Objects.requireNonNull(name, "name is null");
             }
@@ -77,17 +77,17 @@
     }
 
     /**
-     * A declared placement.
+     * A placement as an intent declares it.
      *
-     * @param name its name
-     * @param target what is placed
+     * @param name the name of the placement
+     * @param target the model or service to place
      * @param regions the regions allowed; empty allows all
-     * @param halls the data halls allowed; empty allows all of the regions
-     * @param organisations who may ask
-     * @param replicas how many instances; 0 removes it
-     * @param prefer what a rollout weighs more
-     * @param whenCutOff what a cut-off instance does
-     * @param envelope what may be done later without a new confirmation
+     * @param halls the data halls allowed; empty allows all in the regions
+     * @param organisations the organisations that may send requests
+     * @param replicas the number of instances; 0 removes the placement
+     * @param prefer whether a rollout minimises time or traffic from the origin
+     * @param whenCutOff whether an instance without contact to the log serves or refuses requests
+     * @param envelope the changes allowed later without a new confirmation
      */
     public record Declared(
             String name,
@@ -100,7 +100,7 @@
             Placement.CutOff whenCutOff,
             Placement.Envelope envelope) {
 
-        /** Copies the lists. */
+        /** Rejects null values and copies the lists defensively. */
         public Declared {
             Objects.requireNonNull(name, "name is null");
             Objects.requireNonNull(target, "target is null");
--- a/src/main/java/org/micabarrow/state/Organisation.java
+++ b/src/main/java/org/micabarrow/state/Organisation.java
@@ -5,13 +5,13 @@
 /**
  * An organisation that sends requests.
  *
- * @param name its name
- * @param tokenDigest the digest of its bearer token; the token itself is kept nowhere
- * @param weight its share under contention, relative to the others
+ * @param name the name of the organisation
+ * @param tokenDigest the digest of its bearer token; the token itself is not stored
+ * @param weight its weight, relative to other organisations, when requests compete for capacity
  */
 public record Organisation(String name, String tokenDigest, int weight) {
 
-    /** Checks the parts. */
+    /** Rejects null values. */
     public Organisation {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(tokenDigest, "tokenDigest is null");
--- a/src/main/java/org/micabarrow/state/Placement.java
+++ b/src/main/java/org/micabarrow/state/Placement.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * Where a workload may run, how often, and for whom.
+ * The rules for a workload: where it may run, on how many instances, and for which organisations.
  *
- * @param name its name
- * @param workload what is placed
+ * @param name the name of the placement
+ * @param workload the model or service that is placed
  * @param regions the regions allowed; empty allows all
- * @param halls the data halls allowed; empty allows all of the regions
- * @param organisations the organisations that may ask
- * @param replicas how many instances serve it; 0 removes the placement
- * @param prefer what a rollout weighs more
- * @param whenCutOff what an instance does that hears nothing of the log
- * @param envelope what may be done later without a new confirmation
+ * @param halls the data halls allowed; empty allows all in the regions
+ * @param organisations the organisations that may send requests
+ * @param replicas the number of instances; 0 removes the placement
+ * @param prefer whether a rollout minimises time or traffic from the origin
+ * @param whenCutOff whether an instance without contact to the log serves or refuses requests
+ * @param envelope the changes allowed later without a new confirmation
  */
 public record Placement(
         String name,
@@ -27,7 +27,7 @@
         CutOff whenCutOff,
         Envelope envelope) {
 
-    /** Checks and copies the parts. */
+    /** Rejects null values and copies the lists defensively. */
     public Placement {
         Objects.requireNonNull(name, "name is null");
         Objects.requireNonNull(workload, "workload is null");
@@ -39,32 +39,32 @@
         organisations = List.copyOf(organisations);
     }
 
-    /** What a rollout weighs more. */
+    /** What a rollout minimises: its duration, or the bytes sent by the origin. */
     public enum Prefer {
         TIME,
         ORIGIN_BYTES
     }
 
-    /** What an instance does that has been cut off from the log for longer than the setting allows. */
+    /** How an instance handles requests after it has had no contact with the log for longer than the configured time. */
     public enum CutOff {
         SERVE,
         REFUSE
     }
 
     /**
-     * What a confirmation allows to be done later.
+     * The changes that a confirmation allows without another one.
      *
-     * @param replacements how many replicas may be replaced
-     * @param originBytes how many bytes may be drawn from the origin beyond the plan's feeds
+     * @param replacements the number of replicas that may be replaced
+     * @param originBytes the bytes that may be fetched from the origin in addition to those of the plan
      */
     public record Envelope(int replacements, long originBytes) {}
 
     /**
-     * Whether the placement allows a place.
+     * Checks whether the placement allows a location.
      *
      * @param region the region
      * @param hall the data hall
-     * @return true if both are allowed
+     * @return true if the region and the hall are allowed
      */
     public boolean allows(String region, String hall) {
         return (regions.isEmpty() || regions.contains(region)) && (halls.isEmpty() || halls.contains(hall));
--- a/src/main/java/org/micabarrow/state/Plan.java
+++ b/src/main/java/org/micabarrow/state/Plan.java
@@ -7,39 +7,39 @@
 import java.util.TreeSet;
 
 /**
- * The system's answer to an intent: what would be done if an operator confirmed it.
+ * The changes that the system proposes for an intent. They are applied when an operator confirms the plan.
  *
  * <pre>{@code
  * String id = plan.id();
  * }</pre>
  *
- * @param basis the offset of the folded state from which it was worked out
- * @param organisations the organisations it sets
- * @param placements what it does for each placement
+ * @param basis the offset of the folded state from which the plan was computed
+ * @param organisations the organisations that the plan sets
+ * @param placements the change to each placement
  */
 public record Plan(long basis, List<Organisation> organisations, List<Step> placements) {
 
-    /** Copies the lists. */
+    /** Copies the lists defensively. */
     public Plan {
         organisations = List.copyOf(organisations);
         placements = List.copyOf(placements);
     }
 
     /**
-     * The name by which an operator confirms it.
+     * Returns the id by which an operator confirms the plan.
      *
-     * @return the digest of its canonical form
+     * @return the digest of the plan's canonical form
      */
     public String id() {
         return CanonicalJson.digest(this);
     }
 
     /**
-     * The parts of the folded state that it changes.
+     * Returns the keys of the organisations, placements and instances that the plan changes.
      *
-     * @return keys of organisations, placements and instances
+     * @return the keys, as in {@link FoldedState#touched}
      */
-    public Set<String> touches() {
+    public Set<String> changedKeys() {
         Set<String> keys = new TreeSet<>();
         organisations.forEach(organisation -> keys.add("organisation/" + organisation.name()));
         placements.forEach(step -> {
@@ -50,13 +50,13 @@
     }
 
     /**
-     * What is done for one placement.
+     * The change to one placement.
      *
-     * @param placement the placement as it will be
-     * @param chains the replicas, in the order in which weights pass from each to the next
-     * @param moves the instances that must receive weights
-     * @param removed the instances that stop serving it
-     * @param estimate what it costs
+     * @param placement the placement after the change
+     * @param chains the replicas, in the order in which they relay weights
+     * @param moves the ids of the instances that must receive weights
+     * @param removed the ids of the instances that stop serving the placement
+     * @param estimate the expected cost
      */
     public record Step(
             Placement placement,
@@ -65,7 +65,7 @@
             List<String> removed,
             Estimate estimate) {
 
-        /** Copies the lists. */
+        /** Rejects null values and copies the lists defensively. */
         public Step {
             Objects.requireNonNull(placement, "placement is null");
             Objects.requireNonNull(estimate, "estimate is null");
@@ -75,7 +75,7 @@
         }
 
         /**
-         * All replicas, chain by chain.
+         * Returns all replicas, chain by chain.
          *
          * @return the replicas
          */
@@ -86,11 +86,11 @@
     }
 
     /**
-     * What a step costs.
+     * The expected cost of a step.
      *
-     * @param bytes the size of the weights that each move carries
-     * @param originBytes bytes drawn from the origin by the heads of the chains
-     * @param hallCrossings copies that pass from one data hall to another
+     * @param bytes the size of the weights that each instance receives
+     * @param originBytes the bytes that the first instances of the chains fetch from the origin
+     * @param hallCrossings the number of copies sent from one data hall to another
      * @param millis the expected time until the last replica has its weights, in milliseconds
      */
     public record Estimate(long bytes, long originBytes, int hallCrossings, long millis) {}
--- a/src/main/java/org/micabarrow/state/Planner.java
+++ b/src/main/java/org/micabarrow/state/Planner.java
@@ -11,7 +11,7 @@
 import org.micabarrow.state.Fault.Reason;
 
 /**
- * Works out plans. The same intent, folded state and list of instances give the same plan on every node.
+ * Computes plans. The same intent, folded state and list of instances give the same plan on every node.
  *
  * <pre>{@code
  * Result<Plan> plan = new Planner(links, state, instances, artifacts).plan(intent);
@@ -23,15 +23,15 @@
     private final FoldedState state;
     private final Candidates candidates;
     private final Map<String, Artifact> artifacts;
-    private final Set<String> claimed = new HashSet<>();
+    private final Set<String> usedInPlan = new HashSet<>();
 
     /**
-     * Makes a planner.
+     * Creates a planner.
      *
-     * @param links what the links carry
-     * @param state the configuration in force
-     * @param instances the instances listed
-     * @param artifacts the sizes of the weights, by digest
+     * @param links the rates of the links
+     * @param state the active configuration
+     * @param instances the listed instances
+     * @param artifacts the known weights by digest
      */
     public Planner(Links links, FoldedState state, List<Instance> instances, Map<String, Artifact> artifacts) {
         this.links = Objects.requireNonNull(links, "links is null");
@@ -41,16 +41,16 @@
     }
 
     /**
-     * Works out the plan for an intent.
+     * Computes the plan for an intent.
      *
      * @param intent the intent
-     * @return the plan, or why there is none
+     * @return the plan, or a fault if the intent is invalid or cannot be satisfied
      */
     public Result<Plan> plan(Intent intent) {
         Objects.requireNonNull(intent, "intent is null");
         List<Plan.Step> steps = new ArrayList<>();
         for (Intent.Declared declared : intent.placements()) {
-            Result<Plan.Step> step = step(intent, declared);
+            Result<Plan.Step> step = planStep(intent, declared);
             if (step instanceof Result.Failure<Plan.Step> failure) {
                 return Result.failure(failure.fault());
             }
@@ -59,12 +59,12 @@
         return Result.success(new Plan(state.offset(), intent.organisations(), steps));
     }
 
-    private Result<Plan.Step> step(Intent intent, Intent.Declared declared) {
-        Optional<Fault> unknown = unknownName(intent, declared);
+    private Result<Plan.Step> planStep(Intent intent, Intent.Declared declared) {
+        Optional<Fault> unknown = findUnknownName(intent, declared);
         if (unknown.isPresent()) {
             return Result.failure(unknown.get());
         }
-        return workload(declared).flatMap(workload -> {
+        return resolveWorkload(declared).flatMap(workload -> {
             Placement placement = new Placement(
                     declared.name(),
                     workload,
@@ -75,40 +75,40 @@
                     declared.prefer(),
                     declared.whenCutOff(),
                     declared.envelope());
-            return place(placement);
+            return planPlacement(placement);
         });
     }
 
-    private Optional<Fault> unknownName(Intent intent, Intent.Declared declared) {
-        Set<String> regions = candidates.names(Instance::region);
-        Set<String> halls = candidates.names(Instance::hall);
+    private Optional<Fault> findUnknownName(Intent intent, Intent.Declared declared) {
+        Set<String> regions = candidates.distinctValues(Instance::region);
+        Set<String> halls = candidates.distinctValues(Instance::hall);
         Set<String> organisations = new TreeSet<>(state.organisations().keySet());
         intent.organisations().forEach(organisation -> organisations.add(organisation.name()));
-        return firstUnknown(declared, "region", declared.regions(), regions)
-                .or(() -> firstUnknown(declared, "data hall", declared.halls(), halls))
-                .or(() -> firstUnknown(declared, "organisation", declared.organisations(), organisations));
+        return findFirstUnknown(declared, "region", declared.regions(), regions)
+                .or(() -> findFirstUnknown(declared, "data hall", declared.halls(), halls))
+                .or(() -> findFirstUnknown(declared, "organisation", declared.organisations(), organisations));
     }
 
-    private static Optional<Fault> firstUnknown(
-            Intent.Declared declared, String what, List<String> named, Set<String> known) {
+    private static Optional<Fault> findFirstUnknown(
+            Intent.Declared declared, String kind, List<String> named, Set<String> known) {
         return named.stream()
                 .filter(name -> !known.contains(name))
                 .findFirst()
-                .map(name -> refuse(
+                .map(name -> planFault(
                         declared.name(),
                         Reason.INVALID,
-                        "placement " + declared.name() + " names an unknown " + what + " \"" + name + "\"; known: "
+                        "placement " + declared.name() + " names an unknown " + kind + " \"" + name + "\"; known: "
                                 + String.join(", ", known)));
     }
 
-    private Result<Workload> workload(Intent.Declared declared) {
+    private Result<Workload> resolveWorkload(Intent.Declared declared) {
         return switch (declared.target()) {
             case Intent.Target.Service service ->
                 Result.success(new Workload.Service(service.name(), service.repeatable()));
             case Intent.Target.Model model -> {
-                for (String digest : Intent.digests(model)) {
+                for (String digest : Intent.weightDigests(model)) {
                     if (!artifacts.containsKey(digest)) {
-                        yield Result.failure(refuse(
+                        yield Result.failure(planFault(
                                 declared.name(),
                                 Reason.NOT_FOUND,
                                 "placement " + declared.name() + " names weights " + digest
@@ -123,31 +123,31 @@
         };
     }
 
-    private Result<Plan.Step> place(Placement placement) {
+    private Result<Plan.Step> planPlacement(Placement placement) {
         List<Replica> current =
                 state.placed(placement.name()).map(FoldedState.Placed::replicas).orElse(List.of());
         if (placement.replicas() == 0) {
             return Result.success(
                     new Plan.Step(placement, List.of(), List.of(), idsOf(current), new Plan.Estimate(0, 0, 0, 0)));
         }
-        List<Instance> chosen = candidates.choose(placement, Set.copyOf(idsOf(current)), claimed);
-        if (chosen.size() < placement.replicas()) {
-            return Result.failure(
-                    refuse(placement.name(), Reason.UNSATISFIABLE, candidates.shortage(placement, chosen.size())));
+        List<Instance> selected = candidates.select(placement, Set.copyOf(idsOf(current)), usedInPlan);
+        if (selected.size() < placement.replicas()) {
+            return Result.failure(planFault(
+                    placement.name(), Reason.UNSATISFIABLE, candidates.describeShortage(placement, selected.size())));
         }
-        chosen.forEach(instance -> claimed.add(instance.id()));
+        selected.forEach(instance -> usedInPlan.add(instance.id()));
         boolean sameWeights = state.placed(placement.name())
                 .map(placed -> placed.placement().workload().equals(placement.workload()))
                 .orElse(false);
-        Set<String> holding = sameWeights ? Set.copyOf(idsOf(current)) : Set.of();
-        List<String> chosenIds = chosen.stream().map(Instance::id).toList();
+        Set<String> holders = sameWeights ? Set.copyOf(idsOf(current)) : Set.of();
+        List<String> selectedIds = selected.stream().map(Instance::id).toList();
         List<String> moves = placement.workload().artifacts().isEmpty()
                 ? List.of()
-                : chosenIds.stream().filter(id -> !holding.contains(id)).toList();
+                : selectedIds.stream().filter(id -> !holders.contains(id)).toList();
         List<String> removed =
-                idsOf(current).stream().filter(id -> !chosenIds.contains(id)).toList();
+                idsOf(current).stream().filter(id -> !selectedIds.contains(id)).toList();
         Chains chains = new Chains(links, placement, Set.copyOf(moves));
-        List<List<Replica>> planned = chains.of(chosen);
+        List<List<Replica>> planned = chains.chainsFor(selected);
         return Result.success(new Plan.Step(placement, planned, moves, removed, chains.estimate(planned)));
     }
 
@@ -155,7 +155,7 @@
         return replicas.stream().map(Replica::instance).toList();
     }
 
-    private static Fault refuse(String placement, Reason reason, String message) {
+    private static Fault planFault(String placement, Reason reason, String message) {
         return Fault.of(Fault.Step.PLAN, "placement " + placement, reason, message);
     }
 }
--- a/src/main/java/org/micabarrow/state/Record.java
+++ b/src/main/java/org/micabarrow/state/Record.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.Objects;
 
-/** A record of the configuration stream. */
+/** A record of the configuration stream in the log. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Record.PlanProposed.class, name = "planProposed"),
@@ -15,32 +15,32 @@
 })
 public sealed interface Record {
 
-    /** The version of the records' form that this program writes and understands. */
+    /** The schema version that this program writes and reads. */
     int SCHEMA = 1;
 
     /**
-     * The record's own name, under which a second copy is known.
+     * Returns the unique id of the record, by which a repeated record is recognised.
      *
      * @return the id
      */
     String id();
 
     /**
-     * The offset of the state that the writer had seen.
+     * Returns the offset of the state on which the writer based the record.
      *
      * @return the offset
      */
     long basis();
 
     /**
-     * A plan that an operator may confirm.
+     * A proposed plan, which an operator may confirm.
      *
      * @param id the record's id
      * @param plan the plan
      */
     record PlanProposed(String id, Plan plan) implements Record {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public PlanProposed {
             Objects.requireNonNull(id, "id is null");
             Objects.requireNonNull(plan, "plan is null");
@@ -56,13 +56,13 @@
      * An operator's confirmation of a plan.
      *
      * @param id the record's id
-     * @param basis the offset of the state that the writer had seen
-     * @param planId the plan
-     * @param operator who confirmed it
+     * @param basis the offset of the state on which the writer based the record
+     * @param planId the id of the plan
+     * @param operator the operator who confirmed it
      */
     record PlanConfirmed(String id, long basis, String planId, String operator) implements Record {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public PlanConfirmed {
             Objects.requireNonNull(id, "id is null");
             Objects.requireNonNull(planId, "planId is null");
@@ -71,18 +71,18 @@
     }
 
     /**
-     * The replacement of a lost replica inside a confirmed envelope.
+     * The replacement of a lost replica, as the confirmed envelope allows.
      *
      * @param id the record's id
-     * @param basis the offset of the state that the writer had seen
-     * @param placement the placement
-     * @param lost the instance that is gone
-     * @param replacement where the replica goes
+     * @param basis the offset of the state on which the writer based the record
+     * @param placement the name of the placement
+     * @param lost the id of the instance that is gone
+     * @param replacement the new replica
      */
     record ReplicaReplaced(String id, long basis, String placement, String lost, Replica replacement)
             implements Record {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public ReplicaReplaced {
             Objects.requireNonNull(id, "id is null");
             Objects.requireNonNull(placement, "placement is null");
@@ -92,17 +92,17 @@
     }
 
     /**
-     * An instance's wish to draw bytes from the origin beyond the plan's feeds.
+     * A request of an instance to fetch bytes from the origin in addition to those of the plan.
      *
      * @param id the record's id
-     * @param basis the offset of the state that the writer had seen
-     * @param placement the placement in whose envelope it draws
-     * @param instance the instance that draws
-     * @param bytes how many bytes
+     * @param basis the offset of the state on which the writer based the record
+     * @param placement the name of the placement whose envelope must allow it
+     * @param instance the id of the instance that fetches
+     * @param bytes the number of bytes
      */
     record OriginDrawn(String id, long basis, String placement, String instance, long bytes) implements Record {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public OriginDrawn {
             Objects.requireNonNull(id, "id is null");
             Objects.requireNonNull(placement, "placement is null");
@@ -111,15 +111,15 @@
     }
 
     /**
-     * The folded state, written again before the log lets its records go.
+     * The folded state, written to the log before the records that it summarises expire.
      *
      * @param id the record's id
-     * @param state the state
-     * @param digest the state's digest
+     * @param state the folded state
+     * @param digest the digest of the state
      */
     record Checkpoint(String id, FoldedState state, String digest) implements Record {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public Checkpoint {
             Objects.requireNonNull(id, "id is null");
             Objects.requireNonNull(state, "state is null");
@@ -133,14 +133,14 @@
     }
 
     /**
-     * A record with the version of its form.
+     * A record with its schema version, as written to the log.
      *
-     * @param schema the version
+     * @param schema the schema version
      * @param record the record
      */
     record Envelope(int schema, Record record) {
 
-        /** Checks the parts. */
+        /** Rejects null values. */
         public Envelope {
             Objects.requireNonNull(record, "record is null");
         }
--- a/src/main/java/org/micabarrow/state/Reducer.java
+++ b/src/main/java/org/micabarrow/state/Reducer.java
@@ -10,8 +10,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Folds records into the state. Every node folds the same records in the same order to the same state, so the order of
- * offsets decides between writers and no node asks another.
+ * Folds records into the state. Every node computes the same state from the same records in the same order, so the order
+ * of offsets decides between conflicting writers, and nodes need no further agreement.
  *
  * <pre>{@code
  * Reducer.Outcome outcome = Reducer.fold(state, offset, record);
@@ -19,30 +19,30 @@
  */
 public final class Reducer {
 
-    /** How many proposals are kept; the oldest goes first. */
-    public static final int PROPOSALS_KEPT = 64;
+    /** The maximum number of proposals kept; the oldest is discarded first. */
+    public static final int MAX_PROPOSALS = 64;
 
-    /** How many verdicts are kept; the oldest goes first. */
-    public static final int VERDICTS_KEPT = 1024;
+    /** The maximum number of verdicts kept; the oldest is discarded first. */
+    public static final int MAX_VERDICTS = 1024;
 
     private Reducer() {}
 
     /**
-     * The state after a record, and what was made of it.
+     * The result of folding a record.
      *
-     * @param state the state
-     * @param verdict the verdict
+     * @param state the state after the record
+     * @param verdict the verdict on the record
      */
     public record Outcome(FoldedState state, Verdict verdict) {}
 
     /**
      * Folds one record.
      *
-     * @param state the state before it
-     * @param offset the record's offset, greater than the state's
+     * @param state the state before the record
+     * @param offset the offset of the record, which must be the state's offset plus one
      * @param record the record
-     * @return the state after it and the verdict
-     * @throws IllegalArgumentException if the offset does not follow
+     * @return the state after the record, and the verdict
+     * @throws IllegalArgumentException if the offset is not the next one
      */
     public static Outcome fold(FoldedState state, long offset, Record record) {
         Objects.requireNonNull(state, "state is null");
@@ -53,17 +53,17 @@
         Optional<FoldedState.Seen> earlier = Optional.ofNullable(state.seen().get(record.id()));
         if (earlier.isPresent()) {
             return new Outcome(
-                    new Draft(state, offset).finish(),
+                    new StateBuilder(state, offset).build(),
                     new Verdict.Duplicate(earlier.get().offset()));
         }
-        Draft draft = new Draft(state, offset);
-        Verdict verdict = draft.apply(record);
-        draft.seen.put(record.id(), new FoldedState.Seen(offset, verdict));
-        return new Outcome(draft.finish(), verdict);
+        StateBuilder builder = new StateBuilder(state, offset);
+        Verdict verdict = builder.apply(record);
+        builder.seen.put(record.id(), new FoldedState.Seen(offset, verdict));
+        return new Outcome(builder.build(), verdict);
     }
 
-    /** The mutable copy on which one record works. */
-    private static final class Draft {
+    /** A mutable copy of the state to which one record is applied. */
+    private static final class StateBuilder {
 
         private final long offset;
         private final FoldedState before;
@@ -73,7 +73,7 @@
         private final SortedMap<String, Long> touched;
         private final SortedMap<String, FoldedState.Seen> seen;
 
-        Draft(FoldedState state, long offset) {
+        StateBuilder(FoldedState state, long offset) {
             this.offset = offset;
             before = state;
             placements = new TreeMap<>(state.placements());
@@ -87,9 +87,9 @@
             return switch (record) {
                 case Record.PlanProposed proposed -> propose(proposed);
                 case Record.PlanConfirmed confirmed -> confirm(confirmed);
-                case Record.ReplicaReplaced replaced -> replace(replaced);
-                case Record.OriginDrawn drawn -> draw(drawn);
-                case Record.Checkpoint checkpoint -> compare(checkpoint);
+                case Record.ReplicaReplaced replaced -> replaceReplica(replaced);
+                case Record.OriginDrawn drawn -> grantOriginBytes(drawn);
+                case Record.Checkpoint checkpoint -> verifyCheckpoint(checkpoint);
             };
         }
 
@@ -104,18 +104,18 @@
                 return new Verdict.Refused("no plan " + record.planId() + " is waiting to be confirmed");
             }
             Plan plan = proposal.plan();
-            Optional<Verdict> changed = changedSince(plan.basis(), plan.touches());
-            if (changed.isPresent()) {
-                return changed.get();
+            Optional<Verdict> superseded = supersededSince(plan.basis(), plan.changedKeys());
+            if (superseded.isPresent()) {
+                return superseded.get();
             }
             plan.organisations().forEach(organisation -> organisations.put(organisation.name(), organisation));
-            plan.placements().forEach(step -> place(record.planId(), step));
-            plan.touches().forEach(key -> touched.put(key, offset));
+            plan.placements().forEach(step -> applyStep(record.planId(), step));
+            plan.changedKeys().forEach(key -> touched.put(key, offset));
             proposals.remove(record.planId());
             return new Verdict.Accepted();
         }
 
-        private void place(String planId, Plan.Step step) {
+        private void applyStep(String planId, Plan.Step step) {
             Placement placement = step.placement();
             if (placement.replicas() == 0) {
                 placements.remove(placement.name());
@@ -128,7 +128,7 @@
                     placement.name(), new FoldedState.Placed(placement, planId, offset, step.chains(), 0, 0, previous));
         }
 
-        private Verdict replace(Record.ReplicaReplaced record) {
+        private Verdict replaceReplica(Record.ReplicaReplaced record) {
             FoldedState.Placed placed = placements.get(record.placement());
             if (placed == null) {
                 return new Verdict.Refused("no placement " + record.placement());
@@ -136,23 +136,23 @@
             List<String> keys = List.of(
                     "placement/" + record.placement(),
                     "instance/" + record.replacement().instance());
-            Optional<Verdict> changed = changedSince(record.basis(), keys);
-            if (changed.isPresent()) {
-                return changed.get();
+            Optional<Verdict> superseded = supersededSince(record.basis(), keys);
+            if (superseded.isPresent()) {
+                return superseded.get();
             }
-            Optional<String> objection = objectionTo(record, placed);
-            if (objection.isPresent()) {
-                return new Verdict.Refused(objection.get());
+            Optional<String> refusalReason = findRefusalReason(record, placed);
+            if (refusalReason.isPresent()) {
+                return new Verdict.Refused(refusalReason.get());
             }
             List<List<Replica>> chains = placed.chains().stream()
-                    .map(chain -> swap(chain, record.lost(), record.replacement()))
+                    .map(chain -> replaceIn(chain, record.lost(), record.replacement()))
                     .toList();
             placements.put(record.placement(), placed.withReplacement(chains));
             keys.forEach(key -> touched.put(key, offset));
             return new Verdict.Accepted();
         }
 
-        private static Optional<String> objectionTo(Record.ReplicaReplaced record, FoldedState.Placed placed) {
+        private static Optional<String> findRefusalReason(Record.ReplicaReplaced record, FoldedState.Placed placed) {
             Replica replacement = record.replacement();
             if (placed.replaced() >= placed.placement().envelope().replacements()) {
                 return Optional.of("the envelope of " + record.placement() + " allows no further replacement");
@@ -169,13 +169,13 @@
             return Optional.empty();
         }
 
-        private static List<Replica> swap(List<Replica> chain, String lost, Replica replacement) {
-            List<Replica> swapped = new ArrayList<>(chain);
-            swapped.replaceAll(replica -> replica.instance().equals(lost) ? replacement : replica);
-            return swapped;
+        private static List<Replica> replaceIn(List<Replica> chain, String lost, Replica replacement) {
+            List<Replica> replaced = new ArrayList<>(chain);
+            replaced.replaceAll(replica -> replica.instance().equals(lost) ? replacement : replica);
+            return replaced;
         }
 
-        private Verdict draw(Record.OriginDrawn record) {
+        private Verdict grantOriginBytes(Record.OriginDrawn record) {
             FoldedState.Placed placed = placements.get(record.placement());
             if (placed == null || placed.replicaOn(record.instance()).isEmpty()) {
                 return new Verdict.Refused(record.instance() + " carries no replica of " + record.placement());
@@ -189,13 +189,13 @@
             return new Verdict.Accepted();
         }
 
-        private Verdict compare(Record.Checkpoint checkpoint) {
-            boolean same = checkpoint.state().offset() < before.offset()
+        private Verdict verifyCheckpoint(Record.Checkpoint checkpoint) {
+            boolean matches = checkpoint.state().offset() < before.offset()
                     || checkpoint.digest().equals(before.digest());
-            return same ? new Verdict.Accepted() : new Verdict.Refused("checkpoint differs from the folded records");
+            return matches ? new Verdict.Accepted() : new Verdict.Refused("checkpoint differs from the folded records");
         }
 
-        private Optional<Verdict> changedSince(long basis, Iterable<String> keys) {
+        private Optional<Verdict> supersededSince(long basis, Iterable<String> keys) {
             for (String key : keys) {
                 long at = touched.getOrDefault(key, -1L);
                 if (at > basis) {
@@ -205,16 +205,16 @@
             return Optional.empty();
         }
 
-        FoldedState finish() {
-            trim(proposals, PROPOSALS_KEPT, FoldedState.Proposal::offset);
-            trim(seen, VERDICTS_KEPT, FoldedState.Seen::offset);
+        FoldedState build() {
+            discardOldest(proposals, MAX_PROPOSALS, FoldedState.Proposal::offset);
+            discardOldest(seen, MAX_VERDICTS, FoldedState.Seen::offset);
             return new FoldedState(offset, placements, organisations, proposals, touched, seen);
         }
 
-        private static <T> void trim(SortedMap<String, T> map, int kept, ToLongFunction<T> age) {
-            while (map.size() > kept) {
+        private static <T> void discardOldest(SortedMap<String, T> map, int maxSize, ToLongFunction<T> offsetOf) {
+            while (map.size() > maxSize) {
                 map.entrySet().stream()
-                        .min(Comparator.comparingLong(entry -> age.applyAsLong(entry.getValue())))
+                        .min(Comparator.comparingLong(entry -> offsetOf.applyAsLong(entry.getValue())))
                         .ifPresent(oldest -> map.remove(oldest.getKey()));
             }
         }
--- a/src/main/java/org/micabarrow/state/Replica.java
+++ b/src/main/java/org/micabarrow/state/Replica.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * An instance's part in a placement.
+ * A replica of a placement on an instance.
  *
- * @param instance the instance
- * @param region its region
- * @param hall its data hall
- * @param address the host and port of its agent
+ * @param instance the id of the instance
+ * @param region the region of the instance
+ * @param hall the data hall of the instance
+ * @param address the host and port of the instance's agent
  */
 public record Replica(String instance, String region, String hall, String address) {
 
-    /** Checks the parts. */
+    /** Rejects null values. */
     public Replica {
         Objects.requireNonNull(instance, "instance is null");
         Objects.requireNonNull(region, "region is null");
--- a/src/main/java/org/micabarrow/state/Result.java
+++ b/src/main/java/org/micabarrow/state/Result.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 
 /**
- * A value, or the fault that took its place.
+ * Either a value or the fault because of which there is none.
  *
  * <pre>{@code
  * Result<Integer> port = Result.success(8080).map(p -> p + 1);
@@ -16,44 +16,44 @@
 public sealed interface Result<T> {
 
     /**
-     * Wraps a value.
+     * Creates a success.
      *
      * @param value the value
-     * @param <T> its type
-     * @return a success
+     * @param <T> the type of the value
+     * @return a success with the value
      */
     static <T> Result<T> success(T value) {
         return new Success<>(value);
     }
 
     /**
-     * Wraps a fault.
+     * Creates a failure.
      *
-     * @param fault what went wrong
-     * @param <T> the type of the value that is absent
-     * @return a failure
+     * @param fault the fault
+     * @param <T> the type of the absent value
+     * @return a failure with the fault
      */
     static <T> Result<T> failure(Fault fault) {
         return new Failure<>(fault);
     }
 
     /**
-     * Applies a function to the value, if there is one.
+     * Applies a function to the value of a success.
      *
      * @param mapper the function
-     * @param <U> the type it gives
-     * @return the mapped value or the same fault
+     * @param <U> the result type of the function
+     * @return the mapped value, or the same fault
      */
     default <U> Result<U> map(Function<? super T, ? extends U> mapper) {
         return flatMap(value -> success(mapper.apply(value)));
     }
 
     /**
-     * Applies a function that may itself fail.
+     * Applies a function that may itself fail to the value of a success.
      *
      * @param mapper the function
-     * @param <U> the type it gives
-     * @return what the function gave, or the same fault
+     * @param <U> the value type of the function's result
+     * @return the result of the function, or the same fault
      */
     default <U> Result<U> flatMap(Function<? super T, Result<U>> mapper) {
         Objects.requireNonNull(mapper, "mapper is null");
@@ -64,7 +64,7 @@
     }
 
     /**
-     * The value, if there is one.
+     * Returns the value as an optional.
      *
      * @return the value, or empty for a failure
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * The fault, if there is one.
+     * Returns the fault as an optional.
      *
      * @return the fault, or empty for a success
      */
@@ -82,28 +82,28 @@
     }
 
     /**
-     * A present value.
+     * A success.
      *
      * @param value the value
-     * @param <T> its type
+     * @param <T> the type of the value
      */
     record Success<T>(T value) implements Result<T> {
 
-        /** Checks that the value is present. */
+        /** Rejects a null value. */
         public Success {
             Objects.requireNonNull(value, "value is null");
         }
     }
 
     /**
-     * An absent value.
+     * A failure.
      *
-     * @param fault why it is absent
-     * @param <T> the type of the value that is absent
+     * @param fault the fault because of which there is no value
+     * @param <T> the type of the absent value
      */
     record Failure<T>(Fault fault) implements Result<T> {
 
-        /** Checks that the fault is present. */
+        /** Rejects a null fault. */
         public Failure {
             Objects.requireNonNull(fault, "fault is null");
         }
--- a/src/main/java/org/micabarrow/state/Verdict.java
+++ b/src/main/java/org/micabarrow/state/Verdict.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** What the reducer made of a record; the same on every node. */
+/**
+ * The decision of the reducer on a record, which is the same on every node. Verdicts are part of the folded state and of
+ * its digest, so the reasons of refusals must be the same on every node too.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Verdict.Accepted.class, name = "accepted"),
@@ -13,28 +16,28 @@
 })
 public sealed interface Verdict {
 
-    /** The record is in force. */
+    /** The record was applied. */
     record Accepted() implements Verdict {}
 
     /**
-     * The same record was folded before.
+     * A record with the same id was folded before.
      *
-     * @param first the offset at which it was
+     * @param first the offset at which it was first folded
      */
     record Duplicate(long first) implements Verdict {}
 
     /**
-     * Something that the record touches has changed since its basis.
+     * A key that the record changes was changed by another record after the state on which this one is based.
      *
-     * @param key what has changed
-     * @param at the offset of that change
+     * @param key the key of the changed placement, organisation or instance
+     * @param at the offset of the other change
      */
     record Superseded(String key, long at) implements Verdict {}
 
     /**
-     * The record asks for what is not allowed.
+     * The record requests a change that is not allowed.
      *
-     * @param reason a sentence for a person
+     * @param reason a description for people
      */
     record Refused(String reason) implements Verdict {}
 }
--- a/src/main/java/org/micabarrow/state/Workload.java
+++ b/src/main/java/org/micabarrow/state/Workload.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import java.util.stream.Stream;
 
-/** What a placement places: a model with its weights, or a plain service. */
+/** What a placement runs: a model with its weights, or a service without weights. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = Workload.Model.class, name = "model"),
@@ -16,16 +16,16 @@
 public sealed interface Workload {
 
     /**
-     * The name by which callers ask for it.
+     * Returns the name by which callers request the workload.
      *
-     * @return the model's or the service's name
+     * @return the name of the model or service
      */
     String name();
 
     /**
-     * The weights that an instance must hold before it may serve.
+     * Returns the weights that an instance must hold before it may serve the workload.
      *
-     * @return the artifacts, none for a service
+     * @return the artifacts, empty for a service
      */
     @JsonIgnore
     default List<Artifact> artifacts() {
@@ -38,9 +38,9 @@
     }
 
     /**
-     * The version that an answer must have been made with.
+     * Returns the version of the weights by which responses must be computed.
      *
-     * @return the weights' digest, with adapters a digest over all; empty for a service
+     * @return the digest of the weights; with adapters, a digest of all digests; empty for a service
      */
     @JsonIgnore
     default String version() {
@@ -56,13 +56,13 @@
     /**
      * A model.
      *
-     * @param name the name in callers' requests
-     * @param weights its base weights
-     * @param adapters the adapters loaded on top
+     * @param name the model name in callers' requests
+     * @param weights the base weights
+     * @param adapters the adapters applied to the base weights
      */
     record Model(String name, Artifact weights, List<Artifact> adapters) implements Workload {
 
-        /** Copies the list. */
+        /** Rejects null values and copies the list defensively. */
         public Model {
             Objects.requireNonNull(name, "name is null");
             Objects.requireNonNull(weights, "weights is null");
@@ -71,14 +71,14 @@
     }
 
     /**
-     * A plain service.
+     * A service without weights.
      *
-     * @param name the name in callers' paths
-     * @param repeatable whether its calls may be run again
+     * @param name the service name in callers' request paths
+     * @param repeatable whether its calls are idempotent and may be retried
      */
     record Service(String name, boolean repeatable) implements Workload {
 
-        /** Checks the parts. */
+        /** Rejects a null name. */
         public Service {
             Objects.requireNonNull(name, "name is null");
         }
--- a/src/test/java/org/micabarrow/state/PlannerTest.java
+++ b/src/test/java/org/micabarrow/state/PlannerTest.java
@@ -20,7 +20,7 @@
 
 class PlannerTest {
 
-    private static Fault refused(Intent.Declared declared) {
+    private static Fault planFault(Intent.Declared declared) {
         Intent intent = new Intent(List.of(RIDERS), List.of(declared));
         return new Planner(LINKS, FoldedState.empty(), instances(3), ARTIFACTS)
                 .plan(intent)
@@ -28,41 +28,41 @@
                 .orElseThrow();
     }
 
-    // -- bad intents
+    // -- invalid intents
 
     @Test
     void shouldNameKnownHallsWhenHallIsUnknown() {
-        Fault fault = refused(declared("assistant", WEIGHTS, 1, List.of("este-a")));
+        Fault fault = planFault(declared("assistant", WEIGHTS, 1, List.of("este-a")));
         assertEquals(Fault.Reason.INVALID, fault.reason());
         assertTrue(fault.message().contains("unknown data hall \"este-a\"; known: centro-a, norte-a, sur-a"));
     }
 
     @Test
-    void shouldSayHowManyFitWhenPlacementCannotBeSatisfied() {
-        Fault fault = refused(declared("assistant", WEIGHTS, 4, List.of("norte-a")));
+    void shouldReportEligibleInstancesWhenPlacementCannotBeSatisfied() {
+        Fault fault = planFault(declared("assistant", WEIGHTS, 4, List.of("norte-a")));
         assertEquals(Fault.Reason.UNSATISFIABLE, fault.reason());
         assertTrue(fault.message().contains("only 3 instances fit"), fault.message());
     }
 
     @Test
-    void shouldRefuseWeightsThatNobodyHas() {
+    void shouldRejectPlanWhenWeightsAreUnknown() {
         Artifact missing = new Artifact(Digest.of("missing"), 1, 1);
         assertEquals(
                 Fault.Reason.NOT_FOUND,
-                refused(declared("assistant", missing, 1, List.of())).reason());
+                planFault(declared("assistant", missing, 1, List.of())).reason());
     }
 
-    // -- choosing
+    // -- selection of instances
 
     @Test
-    void shouldGiveSamePlanOnEveryNode() {
-        Plan one = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 5, List.of()));
-        Plan other = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 5, List.of()));
-        assertEquals(one.id(), other.id());
+    void shouldComputeSamePlanWhenInputsAreEqual() {
+        Plan first = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 5, List.of()));
+        Plan second = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 5, List.of()));
+        assertEquals(first.id(), second.id());
     }
 
     @Test
-    void shouldSpreadReplicasOverHalls() {
+    void shouldSpreadReplicasEvenlyOverHalls() {
         Plan.Step step = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 6, List.of()))
                 .placements()
                 .getFirst();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void shouldKeepInstancesThatServeWhenPlacementGrows() {
+    void shouldKeepCurrentInstancesWhenReplicasAreAdded() {
         FoldedState state = assistantOn(3);
         Set<String> before = state.placed("assistant").orElseThrow().replicas().stream()
                 .map(Replica::instance)
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void shouldMoveToAllWhenVersionChanges() {
+    void shouldSendWeightsToAllReplicasWhenVersionChanges() {
         Plan.Step step = plan(assistantOn(3), declared("assistant", NEW_WEIGHTS, 3, List.of()))
                 .placements()
                 .getFirst();
@@ -97,7 +97,7 @@
     // -- chains
 
     @Test
-    void shouldFeedNoMoreChainsThanOriginAffords() {
+    void shouldLimitChainsToCapacityOfOriginLink() {
         Plan.Step step = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 9, List.of()))
                 .placements()
                 .getFirst();
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void shouldStopAllWhenReplicasAreZero() {
+    void shouldRemoveAllInstancesWhenReplicasAreZero() {
         Plan.Step step = plan(assistantOn(3), declared("assistant", WEIGHTS, 0, List.of()))
                 .placements()
                 .getFirst();
--- a/src/test/java/org/micabarrow/state/ReducerProperties.java
+++ b/src/test/java/org/micabarrow/state/ReducerProperties.java
@@ -24,13 +24,19 @@
 import org.micabarrow.coordination.configuration.ConfigurationFold;
 import org.micabarrow.coordination.log.PlatformLog;
 
-/** Operators plan and confirm in any interleaving, on views of any age; some records come twice. */
+/**
+ * Checks the reducer with random sequences of actions. Operators propose and confirm plans in any order, on the basis of
+ * states of any age, and some records are written twice.
+ */
 class ReducerProperties {
 
     private static final int OPERATORS = 3;
 
-    /** One operator's action: look, propose or confirm, on one of two placements. */
-    record Action(int operator, int what, int placement, int replicas) {}
+    /**
+     * An action of an operator: 0 reads the state, 1 and 2 propose a plan for one of two placements, 3 confirms the plan,
+     * and 4 repeats an earlier record.
+     */
+    record Action(int operator, int kind, int placement, int replicas) {}
 
     @Provide
     Arbitrary<List<Action>> actions() {
@@ -45,23 +51,23 @@
                 .ofMaxSize(60);
     }
 
-    /** Runs actions, and returns the log that they wrote. */
-    private static List<Record> write(List<Action> actions, Oracle oracle) {
+    /** Performs the actions and returns the records that they write. */
+    private static List<Record> performActions(List<Action> actions, Model model) {
         List<Record> log = new ArrayList<>();
         FoldedState state = FoldedState.empty();
-        FoldedState[] seen = new FoldedState[OPERATORS];
+        FoldedState[] views = new FoldedState[OPERATORS];
         Plan[] plans = new Plan[OPERATORS];
-        Arrays.fill(seen, state);
+        Arrays.fill(views, state);
         for (Action action : actions) {
             int operator = action.operator();
             Record record = null;
-            switch (action.what()) {
-                case 0 -> seen[operator] = state;
+            switch (action.kind()) {
+                case 0 -> views[operator] = state;
                 case 1, 2 -> {
                     Intent intent = new Intent(
                             List.of(RIDERS),
                             List.of(declared("p" + action.placement(), WEIGHTS, action.replicas(), List.of())));
-                    plans[operator] = new Planner(LINKS, seen[operator], instances(3), ARTIFACTS)
+                    plans[operator] = new Planner(LINKS, views[operator], instances(3), ARTIFACTS)
                             .plan(intent)
                             .toOptional()
                             .orElse(null);
@@ -79,25 +85,28 @@
             }
             if (record != null) {
                 Reducer.Outcome outcome = Reducer.fold(state, log.size(), record);
-                oracle.judge(state, record, outcome);
+                model.verify(state, record, outcome);
                 log.add(record);
                 state = outcome.state();
             }
         }
-        oracle.compare(state);
+        model.verifyFinalState(state);
         return log;
     }
 
-    /** Knows only: an accepted confirmation sets its placements, and nothing else does. */
-    private static final class Oracle {
+    /** A reference model: an accepted confirmation sets the placements of its plan, and nothing else changes them. */
+    private static final class Model {
 
         private final Map<String, Integer> replicas = new HashMap<>();
         private final Map<String, Long> acceptedAt = new HashMap<>();
 
-        void judge(FoldedState before, Record record, Reducer.Outcome outcome) {
+        void verify(FoldedState before, Record record, Reducer.Outcome outcome) {
             boolean accepted = outcome.verdict() instanceof Verdict.Accepted;
             if (!(record instanceof Record.PlanConfirmed confirmed) || !accepted) {
-                assertEquals(before.placements(), outcome.state().placements(), "only a confirmation changes anything");
+                assertEquals(
+                        before.placements(),
+                        outcome.state().placements(),
+                        "only an accepted confirmation may change placements");
                 return;
             }
             Plan plan = before.proposals().get(confirmed.planId()).plan();
@@ -105,41 +114,43 @@
                 String name = step.placement().name();
                 assertTrue(
                         acceptedAt.getOrDefault(name, -1L) <= plan.basis(),
-                        "a plan that did not see the latest change must not be accepted");
+                        "a plan based on a state before the latest change must not be accepted");
                 acceptedAt.put(name, outcome.state().offset());
                 replicas.put(name, step.placement().replicas());
             });
         }
 
-        void compare(FoldedState state) {
-            Map<String, Integer> inForce = new HashMap<>();
+        void verifyFinalState(FoldedState state) {
+            Map<String, Integer> actual = new HashMap<>();
             state.placements()
-                    .forEach((name, placed) ->
-                            inForce.put(name, placed.replicas().size()));
-            assertEquals(replicas, inForce);
+                    .forEach(
+                            (name, placed) -> actual.put(name, placed.replicas().size()));
+            assertEquals(replicas, actual);
         }
     }
 
     @Property(tries = 300, seed = "20261202")
-    void shouldNeverLoseOrRevertWhatWasAccepted(@ForAll("actions") List<Action> actions) {
-        write(actions, new Oracle());
+    void shouldNeverLoseOrRevertAcceptedPlans(@ForAll("actions") List<Action> actions) {
+        performActions(actions, new Model());
     }
 
     @Property(tries = 100, seed = "20261202")
-    void shouldReachOneDigestHoweverTheLogIsPagedAndFromAnyCheckpoint(
-            @ForAll("actions") List<Action> actions, @ForAll int cuts) throws IOException {
-        List<Record> log = write(actions, new Oracle());
-        FoldedState whole = FoldedState.empty();
+    void shouldReachSameDigestForAnyPageSizeAndCheckpoint(@ForAll("actions") List<Action> actions, @ForAll int cut)
+            throws IOException {
+        List<Record> log = performActions(actions, new Model());
+        FoldedState expected = FoldedState.empty();
         List<PlatformLog.Entry> entries = new ArrayList<>();
         for (int i = 0; i < log.size(); i++) {
-            whole = Reducer.fold(whole, i, log.get(i)).state();
+            expected = Reducer.fold(expected, i, log.get(i)).state();
             entries.add(entry(i, log.get(i)));
         }
-        assertEquals(whole.digest(), paged(entries, Math.floorMod(cuts, 7) + 1).digest());
+        assertEquals(
+                expected.digest(),
+                foldInPages(entries, Math.floorMod(cut, 7) + 1).digest());
         if (!log.isEmpty()) {
             assertEquals(
-                    whole.digest(),
-                    fromCheckpoint(log, Math.floorMod(cuts, log.size())).digest());
+                    expected.digest(),
+                    foldFromCheckpoint(log, Math.floorMod(cut, log.size())).digest());
         }
     }
 
@@ -147,12 +158,12 @@
         return new PlatformLog.Entry(offset, offset, CanonicalJson.write(new Record.Envelope(Record.SCHEMA, record)));
     }
 
-    private static FoldedState paged(List<PlatformLog.Entry> entries, int size) {
+    private static FoldedState foldInPages(List<PlatformLog.Entry> entries, int pageSize) {
         FoldedState state = FoldedState.empty();
-        for (int from = 0; from < entries.size(); from += size) {
-            // Pages overlap by one record, as they do when an answer was lost and is asked for again.
+        for (int from = 0; from < entries.size(); from += pageSize) {
+            // Pages overlap by one record, as they do when a response was lost and the page is requested again.
             List<PlatformLog.Entry> page =
-                    entries.subList(Math.max(0, from - 1), Math.min(entries.size(), from + size));
+                    entries.subList(Math.max(0, from - 1), Math.min(entries.size(), from + pageSize));
             state = ConfigurationFold.fold(state, new PlatformLog.Page(0, page))
                     .toOptional()
                     .orElseThrow()
@@ -161,17 +172,17 @@
         return state;
     }
 
-    /** A reader that comes when the log has let go of all before a checkpoint. */
-    private static FoldedState fromCheckpoint(List<Record> log, int at) throws IOException {
+    /** Folds the log as a reader does that starts at a checkpoint because the log no longer has the earlier records. */
+    private static FoldedState foldFromCheckpoint(List<Record> log, int checkpointOffset) throws IOException {
         FoldedState state = FoldedState.empty();
-        for (int i = 0; i <= at; i++) {
+        for (int i = 0; i <= checkpointOffset; i++) {
             state = Reducer.fold(state, i, log.get(i)).state();
         }
-        FoldedState written = CanonicalJson.read(CanonicalJson.write(state), FoldedState.class);
-        assertEquals(state.digest(), written.digest());
-        for (int i = at + 1; i < log.size(); i++) {
-            written = Reducer.fold(written, i, log.get(i)).state();
+        FoldedState restored = CanonicalJson.read(CanonicalJson.write(state), FoldedState.class);
+        assertEquals(state.digest(), restored.digest());
+        for (int i = checkpointOffset + 1; i < log.size(); i++) {
+            restored = Reducer.fold(restored, i, log.get(i)).state();
         }
-        return written;
+        return restored;
     }
 }
--- a/src/test/java/org/micabarrow/state/ReducerTest.java
+++ b/src/test/java/org/micabarrow/state/ReducerTest.java
@@ -19,7 +19,7 @@
 
 class ReducerTest {
 
-    private static Reducer.Outcome next(FoldedState state, Record record) {
+    private static Reducer.Outcome foldNext(FoldedState state, Record record) {
         return Reducer.fold(state, state.offset() + 1, record);
     }
 
@@ -27,83 +27,84 @@
         return new Record.PlanConfirmed(id, plan.basis(), plan.id(), "ana");
     }
 
-    // -- confirming
+    // -- confirmation of plans
 
     @Test
-    void shouldChangeNothingWhenPlanIsOnlyProposed() {
+    void shouldNotApplyPlanWhenItIsOnlyProposed() {
         Plan plan = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 3, List.of()));
-        FoldedState proposed =
-                next(FoldedState.empty(), new Record.PlanProposed("p", plan)).state();
+        FoldedState proposed = foldNext(FoldedState.empty(), new Record.PlanProposed("p", plan))
+                .state();
         assertTrue(proposed.placements().isEmpty());
         assertTrue(proposed.organisations().isEmpty());
     }
 
     @Test
-    void shouldTakeFirstOfTwoConfirmationsWhenOperatorsRace() {
+    void shouldAcceptOnlyFirstConfirmationWhenPlansConflict() {
         FoldedState before = assistantOn(3);
-        Plan one = plan(before, declared("assistant", WEIGHTS, 4, List.of()));
-        Plan other = plan(before, declared("assistant", NEW_WEIGHTS, 5, List.of()));
-        FoldedState proposed = next(before, new Record.PlanProposed("p1", one)).state();
-        proposed = next(proposed, new Record.PlanProposed("p2", other)).state();
-        Reducer.Outcome first = next(proposed, confirm("c1", one));
-        Reducer.Outcome second = next(first.state(), confirm("c2", other));
+        Plan winning = plan(before, declared("assistant", WEIGHTS, 4, List.of()));
+        Plan losing = plan(before, declared("assistant", NEW_WEIGHTS, 5, List.of()));
+        FoldedState proposed =
+                foldNext(before, new Record.PlanProposed("p1", winning)).state();
+        proposed = foldNext(proposed, new Record.PlanProposed("p2", losing)).state();
+        Reducer.Outcome first = foldNext(proposed, confirm("c1", winning));
+        Reducer.Outcome second = foldNext(first.state(), confirm("c2", losing));
         assertInstanceOf(Verdict.Accepted.class, first.verdict());
-        Verdict.Superseded lost = assertInstanceOf(Verdict.Superseded.class, second.verdict());
-        assertEquals(first.state().offset(), lost.at());
+        Verdict.Superseded superseded = assertInstanceOf(Verdict.Superseded.class, second.verdict());
+        assertEquals(first.state().offset(), superseded.at());
         assertEquals(
                 4, second.state().placed("assistant").orElseThrow().replicas().size());
     }
 
     @Test
-    void shouldRefuseSecondConfirmationOfOnePlan() {
+    void shouldRefuseConfirmationWhenPlanIsAlreadyConfirmed() {
         Plan plan = plan(FoldedState.empty(), declared("assistant", WEIGHTS, 3, List.of()));
-        FoldedState proposed =
-                next(FoldedState.empty(), new Record.PlanProposed("p", plan)).state();
-        FoldedState confirmed = next(proposed, confirm("c1", plan)).state();
+        FoldedState proposed = foldNext(FoldedState.empty(), new Record.PlanProposed("p", plan))
+                .state();
+        FoldedState confirmed = foldNext(proposed, confirm("c1", plan)).state();
         assertInstanceOf(
-                Verdict.Refused.class, next(confirmed, confirm("c2", plan)).verdict());
+                Verdict.Refused.class, foldNext(confirmed, confirm("c2", plan)).verdict());
     }
 
     @Test
-    void shouldNotRevertWhenOldPlanComesAgainAfterItsIdIsForgotten() {
+    void shouldRejectRepeatedOldPlanWhenItsRecordIdIsNoLongerKept() {
         FoldedState before = assistantOn(3);
         Plan old = plan(before, declared("assistant", WEIGHTS, 4, List.of()));
-        FoldedState state = next(before, new Record.PlanProposed("p1", old)).state();
-        state = next(state, confirm("c1", old)).state();
+        FoldedState state = foldNext(before, new Record.PlanProposed("p1", old)).state();
+        state = foldNext(state, confirm("c1", old)).state();
         Plan newer = plan(state, declared("assistant", WEIGHTS, 6, List.of()));
-        state = next(state, new Record.PlanProposed("p2", newer)).state();
-        state = next(state, confirm("c2", newer)).state();
-        for (int i = 0; i < Reducer.VERDICTS_KEPT + 1; i++) {
-            state = next(state, new Record.OriginDrawn("noise-" + i, state.offset(), "nothing", "x", 1))
+        state = foldNext(state, new Record.PlanProposed("p2", newer)).state();
+        state = foldNext(state, confirm("c2", newer)).state();
+        for (int i = 0; i < Reducer.MAX_VERDICTS + 1; i++) {
+            state = foldNext(state, new Record.OriginDrawn("noise-" + i, state.offset(), "nothing", "x", 1))
                     .state();
         }
-        state = next(state, new Record.PlanProposed("p1", old)).state();
-        Reducer.Outcome delayed = next(state, confirm("c1", old));
+        state = foldNext(state, new Record.PlanProposed("p1", old)).state();
+        Reducer.Outcome delayed = foldNext(state, confirm("c1", old));
         assertInstanceOf(Verdict.Superseded.class, delayed.verdict());
         assertEquals(
                 6, delayed.state().placed("assistant").orElseThrow().replicas().size());
     }
 
     @Test
-    void shouldCountOneIdOnceWhenRecordIsWrittenTwice() {
+    void shouldApplyRecordOnceWhenItIsWrittenTwice() {
         FoldedState before = assistantOn(3);
         String instance =
                 before.placed("assistant").orElseThrow().replicas().getFirst().instance();
         Record draw = new Record.OriginDrawn("d", before.offset(), "assistant", instance, 300);
-        FoldedState once = next(before, draw).state();
-        Reducer.Outcome twice = next(once, draw);
+        FoldedState once = foldNext(before, draw).state();
+        Reducer.Outcome twice = foldNext(once, draw);
         assertEquals(new Verdict.Duplicate(once.offset()), twice.verdict());
         assertEquals(300, twice.state().placed("assistant").orElseThrow().drawn());
     }
 
     @Test
-    void shouldRefuseRecordWhenOffsetDoesNotFollow() {
+    void shouldThrowWhenOffsetIsNotTheNext() {
         FoldedState state = assistantOn(1);
         Record record = new Record.OriginDrawn("d", 0, "assistant", "x", 1);
         assertThrows(IllegalArgumentException.class, () -> Reducer.fold(state, state.offset() + 2, record));
     }
 
-    // -- the envelope
+    // -- limits of the envelope
 
     @ParameterizedTest
     @CsvSource({
@@ -113,48 +114,48 @@
         "300, 0, false",
         "300, -5, false",
     })
-    void shouldGrantOriginBytesOnlyInsideEnvelope(long first, long second, boolean granted) {
+    void shouldGrantOriginBytesOnlyWhenEnvelopeAllows(long first, long second, boolean granted) {
         FoldedState state = assistantOn(3);
         String instance =
                 state.placed("assistant").orElseThrow().replicas().getFirst().instance();
-        state = next(state, new Record.OriginDrawn("d1", state.offset(), "assistant", instance, first))
+        state = foldNext(state, new Record.OriginDrawn("d1", state.offset(), "assistant", instance, first))
                 .state();
-        Verdict verdict = next(state, new Record.OriginDrawn("d2", state.offset(), "assistant", instance, second))
+        Verdict verdict = foldNext(state, new Record.OriginDrawn("d2", state.offset(), "assistant", instance, second))
                 .verdict();
         assertEquals(granted, verdict instanceof Verdict.Accepted, verdict.toString());
     }
 
     @Test
-    void shouldReplaceOnlyAsOftenAsEnvelopeAllows() {
+    void shouldRefuseReplacementWhenEnvelopeIsExhausted() {
         FoldedState state = assistantOn(3);
         Replica lost = state.placed("assistant").orElseThrow().replicas().getFirst();
         Replica spare = new Replica("norte-a-3", "norte", "norte-a", "norte-a-3:1");
         Reducer.Outcome first =
-                next(state, new Record.ReplicaReplaced("r1", state.offset(), "assistant", lost.instance(), spare));
+                foldNext(state, new Record.ReplicaReplaced("r1", state.offset(), "assistant", lost.instance(), spare));
         assertInstanceOf(Verdict.Accepted.class, first.verdict());
         Replica another = new Replica("sur-a-3", "sur", "sur-a", "sur-a-3:1");
-        Reducer.Outcome second = next(
+        Reducer.Outcome second = foldNext(
                 first.state(),
                 new Record.ReplicaReplaced("r2", first.state().offset(), "assistant", "norte-a-3", another));
         assertInstanceOf(Verdict.Refused.class, second.verdict());
     }
 
     @Test
-    void shouldRefuseReplacementOutsidePlacement() {
+    void shouldRefuseReplacementWhenHallIsNotAllowed() {
         FoldedState empty = FoldedState.empty();
         FoldedState state = confirmed(empty, plan(empty, declared("assistant", WEIGHTS, 2, List.of("norte-a"))));
         String lost =
                 state.placed("assistant").orElseThrow().replicas().getFirst().instance();
         Replica outside = new Replica("sur-a-1", "sur", "sur-a", "sur-a-1:1");
-        Verdict verdict = next(state, new Record.ReplicaReplaced("r", state.offset(), "assistant", lost, outside))
+        Verdict verdict = foldNext(state, new Record.ReplicaReplaced("r", state.offset(), "assistant", lost, outside))
                 .verdict();
         assertInstanceOf(Verdict.Refused.class, verdict);
     }
 
-    // -- the written form
+    // -- serialisation
 
     @Test
-    void shouldKeepDigestWhenStateIsWrittenAndRead() throws IOException {
+    void shouldKeepDigestWhenStateIsSerialisedAndDeserialised() throws IOException {
         FoldedState state = assistantOn(5);
         FoldedState read = CanonicalJson.read(CanonicalJson.write(state), FoldedState.class);
         assertEquals(state, read);
