--- a/src/main/java/org/micabarrow/state/Chains.java
+++ b/src/main/java/org/micabarrow/state/Chains.java
@@ -62,7 +62,7 @@
     private int originFeeds() {
         return switch (placement.prefer()) {
             case ORIGIN_BYTES -> 1;
-            case TIME -> Math.min(MAX_ORIGIN_FEEDS, links.feeds());
+            case TIME -> Math.min(MAX_ORIGIN_FEEDS, links.fullRateChains());
         };
     }
 
--- a/src/main/java/org/micabarrow/state/Links.java
+++ b/src/main/java/org/micabarrow/state/Links.java
@@ -20,7 +20,7 @@
      *
      * @return the number of chains, at least one
      */
-    public int feeds() {
+    public int fullRateChains() {
         return (int) Math.max(1, originBytesPerSecond / instanceBytesPerSecond);
     }
 
