--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -36,7 +36,7 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.WeightsClient;
 import org.micabarrow.transport.grpc.PeerService;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -175,7 +175,7 @@
                 HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.watching(node.metrics(), node::healthy));
+                OperatorHandlers.watching(node.metrics(), node::healthy));
         node.configuration()
                 .onStep(step -> replicas.configured(node.configuration().current()));
         node.start();
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -31,10 +31,10 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.TlsFiles;
 import org.micabarrow.transport.WeightsClient;
-import org.micabarrow.transport.callers.CallerServer;
+import org.micabarrow.transport.callers.CallerHandler;
 import org.micabarrow.transport.grpc.PeerService;
 import org.micabarrow.transport.operators.OperatorApi;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -68,7 +68,7 @@
     private final AgentStatuses statuses;
     private final List<Claims> claims = new ArrayList<>();
     private final RequestFlow flow;
-    private final CallerServer callers;
+    private final CallerHandler callers;
     private final ExecutorService threads = Node.workers("entry-work");
     private Server server;
     private HttpListener callerListener;
@@ -107,7 +107,7 @@
                         Node::newId,
                         node.clock(),
                         Duration.ofMillis(limits.claimMillis())));
-        this.callers = new CallerServer(
+        this.callers = new CallerHandler(
                 node.configuration()::current, flow, Node::newId, node.clock(), limits.deadlineMillis());
     }
 
@@ -167,8 +167,8 @@
                 HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.api(
-                        operatorApi(), settings.operators(), OperatorServer.watching(node.metrics(), this::healthy)));
+                OperatorHandlers.api(
+                        operatorApi(), settings.operators(), OperatorHandlers.watching(node.metrics(), this::healthy)));
     }
 
     private Optional<SSLContext> callerContext() throws IOException {
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -14,7 +14,7 @@
 import org.micabarrow.platform.RequestHeaders;
 import org.micabarrow.process.HostedNode.Paces;
 import org.micabarrow.routing.EndpointSelector;
-import org.micabarrow.serving.Crashes;
+import org.micabarrow.serving.CrashTracking;
 import org.micabarrow.serving.ManifestAge;
 import org.micabarrow.serving.ServingHandler;
 import org.micabarrow.settings.HostedSettings;
@@ -131,7 +131,7 @@
                         Math.round(bounds.versionMillis() * DEMAND_PART),
                         Math.round(bounds.versionMillis() * CANCEL_PART)),
                 new ManifestAge(node.views()::operatorAsOfMillis, bounds.configurationMillis()),
-                new Crashes(book, new ListenerProbe(node.worker()), crashes::tell)));
+                new CrashTracking(book, new ListenerProbe(node.worker()), crashes::tell)));
     }
 
     /**
--- a/src/main/java/org/micabarrow/serving/Crashes.java
+++ b/src/main/java/org/micabarrow/serving/CrashTracking.java
@@ -13,10 +13,10 @@
  * @param probe finds out whether an endpoint has ended
  * @param sharing takes what other processes are to know
  */
-public record Crashes(CrashRegistry book, PortProbe probe, Consumer<CrashUpdate> sharing) {
+public record CrashTracking(CrashRegistry book, PortProbe probe, Consumer<CrashUpdate> sharing) {
 
     /** Checks that nothing is missing. */
-    public Crashes {
+    public CrashTracking {
         Objects.requireNonNull(book, "book is null");
         Objects.requireNonNull(probe, "probe is null");
         Objects.requireNonNull(sharing, "sharing is null");
@@ -27,7 +27,7 @@
      *
      * @return the parts
      */
-    public static Crashes unnoticed() {
-        return new Crashes(new CrashRegistry(1, 1, () -> 1), (endpoint, then) -> {}, news -> {});
+    public static CrashTracking unnoticed() {
+        return new CrashTracking(new CrashRegistry(1, 1, () -> 1), (endpoint, then) -> {}, news -> {});
     }
 }
--- a/src/main/java/org/micabarrow/serving/CrashWatch.java
+++ b/src/main/java/org/micabarrow/serving/CrashWatch.java
@@ -80,7 +80,7 @@
         }
     }
 
-    CrashWatch(Crashes crashes, LongSupplier steadyMillis) {
+    CrashWatch(CrashTracking crashes, LongSupplier steadyMillis) {
         this.book = crashes.book();
         this.probe = crashes.probe();
         this.sharing = crashes.sharing();
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -81,7 +81,7 @@
             AgentQuestions questions,
             VersionTimes versionTimes,
             ManifestAge manifestAge,
-            Crashes crashes) {
+            CrashTracking crashes) {
 
         /** Checks that nothing is missing. */
         public Parts {
--- a/src/main/java/org/micabarrow/transport/callers/CallerServer.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerHandler.java
@@ -35,7 +35,7 @@
  * Takes callers' requests: chat completions for models under {@code /v1/chat/completions}, and plain HTTP for services
  * under {@code /services/NAME/}.
  */
-public final class CallerServer implements HttpHandler {
+public final class CallerHandler implements HttpHandler {
 
     private static final String CHAT = "/v1/chat/completions";
     private static final String SERVICES = "/services/";
@@ -72,7 +72,7 @@
      * @param clock tells the time
      * @param deadlineMillis the deadline of a request that states none
      */
-    public CallerServer(
+    public CallerHandler(
             Supplier<FoldedState> state,
             RequestFlow flow,
             Supplier<String> ids,
--- a/src/main/java/org/micabarrow/transport/operators/OperatorServer.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorHandlers.java
@@ -30,12 +30,12 @@
  * Answers operators over HTTP: {@code POST /plan}, {@code POST /confirm}, {@code GET /status}, {@code GET /explain}; and
  * whoever watches, without a token: {@code GET /metrics} and {@code GET /health}.
  */
-public final class OperatorServer {
+public final class OperatorHandlers {
 
     private static final String BEARER = "Bearer ";
     private static final HttpString FILE = new HttpString("X-File");
 
-    private OperatorServer() {}
+    private OperatorHandlers() {}
 
     /**
      * What every process shows to whoever watches.
--- a/src/test/java/org/micabarrow/serving/CrashWatchTest.java
+++ b/src/test/java/org/micabarrow/serving/CrashWatchTest.java
@@ -28,7 +28,7 @@
     private long clockMillis = 1_000;
     private int goneOn;
     private final CrashWatch watch =
-            new CrashWatch(new Crashes(book, (endpoint, then) -> asked.add(then), told::add), () -> clockMillis);
+            new CrashWatch(new CrashTracking(book, (endpoint, then) -> asked.add(then), told::add), () -> clockMillis);
 
     private static CrashUpdate crash(Set<RequestDigest> aboard, Set<RequestDigest> begun) {
         return new CrashUpdate.Crashed(new EndpointCrash("e", aboard, begun));
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -84,7 +84,7 @@
                 questions,
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
+                CrashTracking.unnoticed()));
         HttpListener.startOnWorker(clients(), HttpListener.Limits.defaults(), worker, handler);
         FollowedStore.follow(client, settings, WITHIN, views);
     }
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -239,7 +239,7 @@
                 (endpoint, then) -> then.accept(true),
                 new ServingHandler.VersionTimes(GRACE_MILLIS, GRACE_MILLIS, GRACE_MILLIS),
                 new ManifestAge(OptionalLong::empty, 0),
-                Crashes.unnoticed()));
+                CrashTracking.unnoticed()));
         protocol.first.set(handler.connections()::leave);
         String clients = settings.listen().clients().orElseThrow();
         HttpListener.startOnWorker(clients, HttpListener.Limits.defaults(), worker, handler);
--- a/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
+++ b/src/test/java/org/micabarrow/serving/UnknownManifestTest.java
@@ -77,7 +77,7 @@
                         (endpoint, then) -> then.accept(true),
                         new ServingHandler.VersionTimes(WITHIN.toMillis(), WITHIN.toMillis(), WITHIN.toMillis()),
                         new ManifestAge(views::operatorAsOfMillis, MOST_MILLIS),
-                        Crashes.unnoticed())));
+                        CrashTracking.unnoticed())));
         views.apply(Topic.OPERATOR, List.of(manifest(1, LATE)), LATE + 1);
     }
 
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -32,7 +32,7 @@
     private final ManualClock clock = new ManualClock();
     private final Traffic traffic = new Traffic();
 
-    private CallerServer callers() {
+    private CallerHandler callers() {
         RequestFlow flow = new RequestFlow(
                 FoldedState::empty,
                 Map::of,
@@ -46,7 +46,7 @@
                         () -> "attempt",
                         clock,
                         Duration.ofSeconds(1)));
-        return new CallerServer(FoldedState::empty, flow, () -> "id", clock, 1_000);
+        return new CallerHandler(FoldedState::empty, flow, () -> "id", clock, 1_000);
     }
 
     /** Tokens of all organisations stand in the configuration, of which nothing is known. */
