--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -164,8 +164,8 @@
         node.gauge("requests.open", flow::open);
         node.gauge("requests.limit", flow::mostOpen);
         node.gauge("weights.share", share::share);
-        PeerService.AgentParts parts =
-                new PeerService.AgentParts(flow, replicas::holding, this::load, linkOut, threads);
+        PeerService.AgentComponents parts =
+                new PeerService.AgentComponents(flow, replicas::holding, this::load, linkOut, threads);
         server = node.channels()
                 .serve(
                         settings.listen().peers(),
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -133,7 +133,7 @@
     }
 
     private void begin() throws IOException {
-        node.gauge("requests.open", callers::open);
+        node.gauge("requests.open", callers::openRequests);
         node.gauge("requests.waiting", flow::waiting);
         node.gauge("requests.taken", flow::requests);
         node.gauge("requests.attempts", flow::attempts);
@@ -144,7 +144,7 @@
                 .serve(
                         settings.listen().peers(),
                         new PeerService(node.configuration(), this::status, Optional.empty()));
-        node.peers().onLoad((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
+        node.peers().setLoadListener((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
         node.start();
         node.control().every(Duration.ofMillis(settings.peers().statusMillis()), statuses::ask);
         node.control().every(TICK, this::tick);
@@ -183,7 +183,7 @@
         WeightsClient weights = new WeightsClient(
                 node.http(), settings.platform(), node.peers()::chunks, unpaced, node.configuration()::generation, 0);
         return new OperatorApi(
-                new OperatorApi.Parts(
+                new OperatorApi.Dependencies(
                         settings.instance().id(),
                         links,
                         node.configuration(),
@@ -199,7 +199,7 @@
     }
 
     private boolean healthy() {
-        return node.healthy() && !callers.leaving();
+        return node.healthy() && !callers.draining();
     }
 
     private StatusReply status() {
@@ -244,9 +244,9 @@
     /** Takes no new requests, waits for those that are open, and stops. */
     @Override
     public void close() {
-        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.open());
-        callers.leave();
-        Node.awaitIdle(() -> callers.open() > 0);
+        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.openRequests());
+        callers.startDraining();
+        Node.awaitIdle(() -> callers.openRequests() > 0);
         kill();
         LOG.info("entry instance={} has stopped", node.identity().instance());
     }
--- a/src/main/java/org/micabarrow/process/HostedEntryProcess.java
+++ b/src/main/java/org/micabarrow/process/HostedEntryProcess.java
@@ -116,7 +116,7 @@
                 System::currentTimeMillis);
         node.metrics().registerGauge("crashes.known", book::crashCount);
         node.metrics().registerGauge("crashes.culprits", () -> book.refused().size());
-        this.handler = ServingHandler.of(new ServingHandler.Parts(
+        this.handler = ServingHandler.of(new ServingHandler.Dependencies(
                 node.views()::view,
                 choice,
                 node.fresh(),
@@ -165,7 +165,7 @@
         node.views().onCrashRecords(crashes::take);
         crashNews = Optional.of(node.followCrashes(CRASHES_PACE, this::peers));
         crashes.start();
-        loadFeed.start(handler::lookAfterRequests);
+        loadFeed.start(handler::checkRequests);
         LOG.info(
                 "event=started role=entry instance={} countsSuspensions={}",
                 settings.instance().id(),
@@ -214,7 +214,7 @@
      * @return their number
      */
     public int open() {
-        return handler.connections().busy();
+        return handler.connections().inFlightCount();
     }
 
     /**
--- /dev/null
+++ b/src/main/java/org/micabarrow/serving/SuspectAdmission.java
@@ -0,0 +1,95 @@
+package org.micabarrow.serving;
+
+import java.util.List;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.crashes.CrashRegistry;
+import org.micabarrow.crashes.LazyDigest;
+import org.micabarrow.crashes.SuspectIsolation;
+import org.micabarrow.crashes.SuspicionLevel;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.RoutingRequest;
+
+/**
+ * Decides how to handle a request with regard to the endpoint crashes it was involved in: poison requests are refused,
+ * and suspects are kept apart. While no crash is known, digests are not computed. Used by the traffic thread.
+ */
+final class SuspectAdmission {
+
+    private static final SuspicionLevel UNSUSPECTED = new SuspicionLevel.Unsuspected();
+
+    private final CrashRegistry registry;
+    private final EndpointSelector selector;
+    private final AdmissionControl admission;
+    private final SuspectIsolation isolation = new SuspectIsolation();
+
+    SuspectAdmission(CrashRegistry registry, EndpointSelector selector, AdmissionControl admission) {
+        this.registry = registry;
+        this.selector = selector;
+        this.admission = admission;
+    }
+
+    /** What is known about a request's involvement in crashes. */
+    SuspicionLevel suspicion(LazyDigest digest, long nowMillis) {
+        return registry.mayBeSuspect(digest) ? registry.suspicion(digest.get(), nowMillis) : UNSUSPECTED;
+    }
+
+    /** Records that a request is sent; the returned action must run once the request has left its endpoint. */
+    Runnable onSent(EndpointRegistration endpoint, LazyDigest digest, long nowMillis) {
+        if (!(suspicion(digest, nowMillis) instanceof SuspicionLevel.Suspected)) {
+            return () -> {};
+        }
+        isolation.started(endpoint.start(), digest.get());
+        return () -> isolation.ended(endpoint.start(), digest.get());
+    }
+
+    // -- routing
+
+    /** Decides how to handle a request. */
+    Decision decide(
+            List<EndpointRegistration> endpoints, RoutingRequest routingRequest, LazyDigest digest, long nowMillis) {
+        return switch (suspicion(digest, nowMillis)) {
+            case SuspicionLevel.Unsuspected ignored -> admission.decide(endpoints, routingRequest, nowMillis);
+            case SuspicionLevel.Refused(int crashes, long forMillis) -> new Decision.PoisonRequest(crashes, forMillis);
+            case SuspicionLevel.Suspected suspected -> {
+                List<EndpointRegistration> available =
+                        isolation.withoutOtherSuspects(endpoints, digest.get(), suspected);
+                yield SuspectIsolation.mustIsolate(suspected)
+                        ? decideFirst(available, endpoints, routingRequest, nowMillis)
+                        : decidePreferring(available, endpoints, routingRequest, nowMillis);
+            }
+        };
+    }
+
+    private Decision decidePreferring(
+            List<EndpointRegistration> available,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest routingRequest,
+            long nowMillis) {
+        Decision decision = admission.decide(available, routingRequest, nowMillis);
+        return decision instanceof Decision.Send ? decision : admission.decide(endpoints, routingRequest, nowMillis);
+    }
+
+    /**
+     * Chooses the first of the given endpoints that has a free slot. If none has, the request waits, even if other
+     * endpoints have free slots.
+     */
+    private Decision decideFirst(
+            List<EndpointRegistration> available,
+            List<EndpointRegistration> endpoints,
+            RoutingRequest routingRequest,
+            long nowMillis) {
+        for (EndpointRegistration endpoint : available) {
+            boolean healthy = !selector.ejected(endpoint, nowMillis);
+            if (healthy
+                    && admission.decide(List.of(endpoint), routingRequest, nowMillis) instanceof Decision.Send send) {
+                return send;
+            }
+        }
+        Decision elsewhere = admission.decide(endpoints, routingRequest, nowMillis);
+        return elsewhere instanceof Decision.Send
+                ? admission.withoutFreeSlot(endpoints.size(), routingRequest)
+                : elsewhere;
+    }
+}
