--- a/src/main/java/org/micabarrow/bench/ControlBench.java
+++ b/src/main/java/org/micabarrow/bench/ControlBench.java
@@ -172,9 +172,9 @@
         int inForce = 0;
         long start = System.nanoTime();
         for (int i = 1; i <= CHANGES; i++) {
-            OperatorMessages.Planned planned = operator.plan(intent(version, count, i));
+            OperatorMessages.PlanResponse planned = operator.plan(intent(version, count, i));
             long from = System.nanoTime();
-            OperatorMessages.Confirmed confirmed = operator.confirm(planned.id());
+            OperatorMessages.ConfirmResponse confirmed = operator.confirm(planned.id());
             long millis = (System.nanoTime() - from) / 1_000_000;
             slowest = Math.max(slowest, millis);
             sum += millis;
@@ -287,8 +287,8 @@
                 List.of("norte-a"),
                 List.of("riders"),
                 replicas,
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(1, 1));
         Plan.Step step = new Plan.Step(placed, List.of(chain), List.of(), List.of(), new Plan.Estimate(1, 1, 0, 1));
         return new Plan(state.offset(), List.of(new Organisation("riders", Digest.of("riders"), 1)), List.of(step));
--- a/src/main/java/org/micabarrow/bench/DemoOperator.java
+++ b/src/main/java/org/micabarrow/bench/DemoOperator.java
@@ -56,7 +56,7 @@
                 """.formatted(
                         Digest.of(Demo.RIDERS), Digest.of(Demo.VANS), assistant.version(), notes.version()));
         command(0, "plan", "-f", file.toString());
-        return answer(OperatorMessages.Planned.class, "plan", "-f", file.toString(), "--json")
+        return answer(OperatorMessages.PlanResponse.class, "plan", "-f", file.toString(), "--json")
                 .id();
     }
 
--- a/src/main/java/org/micabarrow/bench/OperatorCalls.java
+++ b/src/main/java/org/micabarrow/bench/OperatorCalls.java
@@ -24,12 +24,12 @@
         this.base = base;
     }
 
-    OperatorMessages.Planned plan(String intent) {
-        return ask("POST", "/plan", intent, OperatorMessages.Planned.class);
+    OperatorMessages.PlanResponse plan(String intent) {
+        return ask("POST", "/plan", intent, OperatorMessages.PlanResponse.class);
     }
 
-    OperatorMessages.Confirmed confirm(String id) {
-        return ask("POST", "/confirm", "{\"id\":\"" + id + "\"}", OperatorMessages.Confirmed.class);
+    OperatorMessages.ConfirmResponse confirm(String id) {
+        return ask("POST", "/confirm", "{\"id\":\"" + id + "\"}", OperatorMessages.ConfirmResponse.class);
     }
 
     OperatorMessages.Status status() {
--- a/src/main/java/org/micabarrow/bench/RequestsBench.java
+++ b/src/main/java/org/micabarrow/bench/RequestsBench.java
@@ -108,7 +108,7 @@
         system.listAll();
         operator = new OperatorCalls(system.operators("entry-1"));
         operator.awaitListed(ENGINES + 2);
-        OperatorMessages.Planned planned = operator.plan(intent());
+        OperatorMessages.PlanResponse planned = operator.plan(intent());
         engineCalls = new DirectCalls(caller, system, weights.version(), ENGINES);
         operator.confirm(planned.id());
         operator.awaitReady(ENGINES + 1);
--- a/src/main/java/org/micabarrow/bench/RolloutBench.java
+++ b/src/main/java/org/micabarrow/bench/RolloutBench.java
@@ -117,10 +117,10 @@
             system.listAll();
             operator = new OperatorCalls(system.operators("entry-1"));
             operator.awaitListed(count + 1);
-            rollOut(system, count, "warm-up", Placement.Prefer.TIME, () -> {}, Set.of());
+            rollOut(system, count, "warm-up", Placement.RolloutPreference.TIME, () -> {}, Set.of());
             rows.removeLast();
-            rollOut(system, count, "no fault", Placement.Prefer.TIME, () -> {}, Set.of());
-            rollOut(system, count, "no fault", Placement.Prefer.ORIGIN_BYTES, () -> {}, Set.of());
+            rollOut(system, count, "no fault", Placement.RolloutPreference.TIME, () -> {}, Set.of());
+            rollOut(system, count, "no fault", Placement.RolloutPreference.ORIGIN_BYTES, () -> {}, Set.of());
             if (withFaults) {
                 measureFaults(system, faulty, count);
             }
@@ -129,7 +129,7 @@
 
     private void measureFaults(LocalSystem system, FaultyWeights faulty, int count) throws Exception {
         List<String> ids = system.engineIds();
-        for (Placement.Prefer prefer : Placement.Prefer.values()) {
+        for (Placement.RolloutPreference prefer : Placement.RolloutPreference.values()) {
             rollOut(system, count, "1% of chunks corrupted", prefer, () -> faulty.corruptOneIn(100), Set.of());
             faulty.none();
             rollOut(system, count, "one link stalled", prefer, () -> faulty.stall(ids.get(1)), Set.of());
@@ -198,7 +198,7 @@
             LocalSystem system,
             int count,
             String name,
-            Placement.Prefer prefer,
+            Placement.RolloutPreference prefer,
             Runnable afterConfirmation,
             Set<String> dead)
             throws Exception {
@@ -242,7 +242,7 @@
         }
     }
 
-    private String intent(String version, int count, Placement.Prefer prefer) {
+    private String intent(String version, int count, Placement.RolloutPreference prefer) {
         return """
                 { "organisations": [ { "name": "riders", "tokenDigest": "%s" } ],
                   "placements": [ { "name": "bench",
@@ -252,8 +252,8 @@
                 """.formatted(Digest.of("riders"), version, count, name(prefer), bytes / 2);
     }
 
-    private static String name(Placement.Prefer prefer) {
-        return prefer == Placement.Prefer.TIME ? "time" : "originBytes";
+    private static String name(Placement.RolloutPreference prefer) {
+        return prefer == Placement.RolloutPreference.TIME ? "time" : "originBytes";
     }
 
     // -- baselines
--- a/src/main/java/org/micabarrow/command/OperatorCommand.java
+++ b/src/main/java/org/micabarrow/command/OperatorCommand.java
@@ -110,13 +110,13 @@
 
         @Override
         ExitCode run(Console console) {
-            Result<OperatorMessages.Planned> planned = SettingsReader.bytes(Path.of(file), Step.INTENT)
+            Result<OperatorMessages.PlanResponse> planned = SettingsReader.bytes(Path.of(file), Step.INTENT)
                     .flatMap(bytes ->
-                            ask("POST", "/plan", bytes, Map.of("X-File", file), OperatorMessages.Planned.class));
+                            ask("POST", "/plan", bytes, Map.of("X-File", file), OperatorMessages.PlanResponse.class));
             return print(console, planned, answer -> show(console, answer));
         }
 
-        private static void show(Console console, OperatorMessages.Planned planned) {
+        private static void show(Console console, OperatorMessages.PlanResponse planned) {
             console.out()
                     .println("plan " + planned.id() + " (made on generation "
                             + planned.plan().basis() + ")");
@@ -177,13 +177,13 @@
 
         @Override
         ExitCode run(Console console) {
-            byte[] body = CanonicalJson.write(new OperatorMessages.Confirm(plan.getFirst()));
-            Result<OperatorMessages.Confirmed> confirmed =
-                    ask("POST", "/confirm", body, Map.of(), OperatorMessages.Confirmed.class);
+            byte[] body = CanonicalJson.write(new OperatorMessages.ConfirmRequest(plan.getFirst()));
+            Result<OperatorMessages.ConfirmResponse> confirmed =
+                    ask("POST", "/confirm", body, Map.of(), OperatorMessages.ConfirmResponse.class);
             return print(console, confirmed, answer -> console.out().println(sentence(answer)));
         }
 
-        private static String sentence(OperatorMessages.Confirmed answer) {
+        private static String sentence(OperatorMessages.ConfirmResponse answer) {
             String sentence = "in force since offset " + answer.offset() + " on " + answer.inForceOn() + " of "
                     + answer.instances() + " instances";
             return answer.notConfirmedBy().isEmpty()
@@ -217,12 +217,12 @@
                 return ExitCode.USAGE;
             }
             String workload = model == null ? "&service=" + encode(service) : "&model=" + encode(model);
-            Result<OperatorMessages.Explained> explained = ask(
+            Result<OperatorMessages.ExplainResponse> explained = ask(
                     "GET",
                     "/explain?organisation=" + encode(organisation) + workload,
                     new byte[0],
                     Map.of(),
-                    OperatorMessages.Explained.class);
+                    OperatorMessages.ExplainResponse.class);
             return print(console, explained, answer -> {
                 console.out().println(answer.verdict());
                 answer.replicas()
--- a/src/main/java/org/micabarrow/coordination/agents/ReplicaControl.java
+++ b/src/main/java/org/micabarrow/coordination/agents/ReplicaControl.java
@@ -21,7 +21,7 @@
 import org.micabarrow.state.Artifact;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.FoldedState;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Result;
 import org.micabarrow.state.Workload;
 import org.slf4j.Logger;
@@ -57,7 +57,7 @@
     public ReplicaControl(
             Identity identity,
             Options options,
-            BiFunction<TransferTask, Placed, Transfer> starter,
+            BiFunction<TransferTask, ActivePlacement, Transfer> starter,
             Function<String, Integer> running,
             InstantSource clock) {
         this.identity = Objects.requireNonNull(identity, "identity is null");
@@ -142,7 +142,7 @@
 
     /** An endpoint that no longer has a version it had must receive it again. */
     private void forgetLost(Endpoint.Report report) {
-        for (Placed placed : mine()) {
+        for (ActivePlacement placed : mine()) {
             String version = placed.placement().workload().version();
             boolean lost = everLoaded.contains(version) && !report.loaded().contains(version);
             if (lost) {
@@ -162,7 +162,7 @@
         transfers.end(mine(), view.report());
     }
 
-    private List<Placed> mine() {
+    private List<ActivePlacement> mine() {
         return state.placements().values().stream()
                 .filter(placed -> placed.replicaOn(identity.instance()).isPresent())
                 .toList();
@@ -174,7 +174,7 @@
         Endpoint.Fence fence = new Endpoint.Fence(identity.epoch(), state.offset());
         List<Endpoint.Order> orders = new ArrayList<>();
         Set<String> wanted = new HashSet<>();
-        for (Placed placed : mine()) {
+        for (ActivePlacement placed : mine()) {
             Workload workload = placed.placement().workload();
             wanted.add(workload.version());
             boolean loaded = report.loaded().contains(workload.version());
@@ -199,7 +199,7 @@
 
     private void publish(Optional<Endpoint.Report> report, boolean leaving) {
         Map<String, ReplicaView> replicas = new HashMap<>();
-        for (Placed placed : mine()) {
+        for (ActivePlacement placed : mine()) {
             List<Transfer.Progress> progress =
                     transfers.progress(placed.placement().workload());
             replicas.put(placed.placement().name(), ReplicaProgress.of(placed, report, progress, orderFault));
--- a/src/main/java/org/micabarrow/coordination/agents/ReplicaProgress.java
+++ b/src/main/java/org/micabarrow/coordination/agents/ReplicaProgress.java
@@ -8,7 +8,7 @@
 import org.micabarrow.coordination.weights.Transfer;
 import org.micabarrow.state.Artifact;
 import org.micabarrow.state.Fault;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Workload;
 
 /** How far each replica has come, from the endpoint's report and the transfers of its weights. */
@@ -26,7 +26,7 @@
      * @return its state
      */
     static ReplicaView of(
-            Placed placed,
+            ActivePlacement placed,
             Optional<Endpoint.Report> report,
             List<Transfer.Progress> progress,
             Optional<Fault> orderFault) {
--- a/src/main/java/org/micabarrow/coordination/agents/ReplicaTransfers.java
+++ b/src/main/java/org/micabarrow/coordination/agents/ReplicaTransfers.java
@@ -17,7 +17,7 @@
 import org.micabarrow.coordination.weights.Transfer;
 import org.micabarrow.coordination.weights.TransferTask;
 import org.micabarrow.state.Artifact;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
 import org.slf4j.Logger;
@@ -34,7 +34,7 @@
 
     private final Identity identity;
     private final ReplicaControl.Options options;
-    private final BiFunction<TransferTask, Placed, Transfer> starter;
+    private final BiFunction<TransferTask, ActivePlacement, Transfer> starter;
     private final InstantSource clock;
     private final Map<String, Transfer> transfers = new ConcurrentHashMap<>();
     private final Map<String, Long> finished = new HashMap<>();
@@ -43,7 +43,7 @@
     ReplicaTransfers(
             Identity identity,
             ReplicaControl.Options options,
-            BiFunction<TransferTask, Placed, Transfer> starter,
+            BiFunction<TransferTask, ActivePlacement, Transfer> starter,
             InstantSource clock) {
         this.identity = Objects.requireNonNull(identity, "identity is null");
         this.options = Objects.requireNonNull(options, "options is null");
@@ -87,12 +87,12 @@
      * @param report the endpoint's latest report, empty if it does not answer
      * @param knownFrom the generation from which on this process has followed the configuration
      */
-    void start(List<Placed> mine, Optional<Endpoint.Report> report, long knownFrom) {
+    void start(List<ActivePlacement> mine, Optional<Endpoint.Report> report, long knownFrom) {
         awaited = awaitedNow(mine, loaded(report));
         if (report.isEmpty()) {
             return;
         }
-        for (Placed placed : mine) {
+        for (ActivePlacement placed : mine) {
             Workload workload = placed.placement().workload();
             if (!report.get().loaded().contains(workload.version())) {
                 workload.artifacts().forEach(artifact -> startTransfer(placed, artifact, knownFrom));
@@ -104,7 +104,7 @@
         return report.map(Endpoint.Report::loaded).orElse(List.of());
     }
 
-    private static Set<String> awaitedNow(List<Placed> mine, List<String> loaded) {
+    private static Set<String> awaitedNow(List<ActivePlacement> mine, List<String> loaded) {
         return mine.stream()
                 .map(placed -> placed.placement().workload())
                 .filter(workload -> !loaded.contains(workload.version()))
@@ -113,7 +113,7 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    private void startTransfer(Placed placed, Artifact artifact, long knownFrom) {
+    private void startTransfer(ActivePlacement placed, Artifact artifact, long knownFrom) {
         transfers.computeIfAbsent(artifact.digest(), digest -> {
             boolean fed = Source.isHead(placed, identity.instance()) && placed.since() > knownFrom;
             TransferTask task = new TransferTask(
@@ -135,7 +135,7 @@
         });
     }
 
-    private Optional<String> follower(Placed placed) {
+    private Optional<String> follower(ActivePlacement placed) {
         for (List<Replica> chain : placed.chains()) {
             for (int i = 0; i + 1 < chain.size(); i++) {
                 if (chain.get(i).instance().equals(identity.instance())) {
@@ -149,7 +149,7 @@
     // -- ending
 
     /** Ends transfers that nothing asks for any more, and frees those that ended a while ago. */
-    void end(List<Placed> mine, Optional<Endpoint.Report> report) {
+    void end(List<ActivePlacement> mine, Optional<Endpoint.Report> report) {
         Set<String> wanted = new HashSet<>();
         mine.forEach(
                 placed -> placed.placement().workload().artifacts().forEach(artifact -> wanted.add(artifact.digest())));
@@ -165,7 +165,7 @@
         }
     }
 
-    private static boolean isLoaded(String artifact, List<Placed> mine, List<String> loaded) {
+    private static boolean isLoaded(String artifact, List<ActivePlacement> mine, List<String> loaded) {
         return mine.stream()
                 .map(placed -> placed.placement().workload())
                 .filter(workload -> workload.artifacts().stream()
--- a/src/main/java/org/micabarrow/coordination/agents/StartCheck.java
+++ b/src/main/java/org/micabarrow/coordination/agents/StartCheck.java
@@ -68,7 +68,7 @@
             return refuse(
                     Reason.BEHIND, "generation " + state.offset() + " is behind the entry's " + request.generation());
         }
-        Optional<FoldedState.Placed> placed = state.placed(request.placement());
+        Optional<FoldedState.ActivePlacement> placed = state.activePlacement(request.placement());
         if (placed.isEmpty() || placed.get().replicaOn(identity.instance()).isEmpty()) {
             return refuse(Reason.OUTSIDE_PLACEMENT, "the instance carries no replica of " + request.placement());
         }
@@ -79,7 +79,7 @@
         if (!placement.organisations().contains(request.organisation())) {
             return refuse(Reason.OUTSIDE_PLACEMENT, request.placement() + " is not for " + request.organisation());
         }
-        if (placement.whenCutOff() == Placement.CutOff.REFUSE && silentMillis > cutOffMillis) {
+        if (placement.whenCutOff() == Placement.CutOffPolicy.REFUSE && silentMillis > cutOffMillis) {
             return refuse(Reason.BEHIND, "the log has not been heard for " + silentMillis + " ms");
         }
         return serving(view, request);
--- a/src/main/java/org/micabarrow/coordination/configuration/Duties.java
+++ b/src/main/java/org/micabarrow/coordination/configuration/Duties.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
-import org.micabarrow.state.Candidates;
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.FoldedState;
 import org.micabarrow.state.Instance;
+import org.micabarrow.state.InstanceSelector;
 import org.micabarrow.state.Record;
 import org.micabarrow.state.Replica;
 
@@ -81,7 +81,7 @@
         if (listed.isEmpty() || !first(instances, now / Math.max(1, repairMillis))) {
             return List.of();
         }
-        Candidates candidates = new Candidates(state, instances);
+        InstanceSelector candidates = new InstanceSelector(state, instances);
         return state.placements().values().stream()
                 .flatMap(placed -> placed.replicas().stream()
                         .filter(replica -> lost(replica, listed, silent, now))
@@ -101,12 +101,12 @@
     }
 
     private Optional<Record> replacement(
-            Candidates candidates, FoldedState state, FoldedState.Placed placed, Replica lost) {
+            InstanceSelector candidates, FoldedState state, FoldedState.ActivePlacement placed, Replica lost) {
         if (placed.replaced() >= placed.placement().envelope().replacements()) {
             return Optional.empty();
         }
         return candidates
-                .replacement(placed, lost)
+                .selectReplacement(placed, lost)
                 .map(instance -> new Record.ReplicaReplaced(
                         ids.get(), state.offset(), placed.placement().name(), lost.instance(), instance.replica()));
     }
--- a/src/main/java/org/micabarrow/coordination/configuration/RecordWriter.java
+++ b/src/main/java/org/micabarrow/coordination/configuration/RecordWriter.java
@@ -19,7 +19,7 @@
  * the record's id and appends again under the same id, which counts once.
  *
  * <pre>{@code
- * Result<FoldedState.Seen> seen = writer.write(record, Duration.ofSeconds(9));
+ * Result<FoldedState.RecordVerdict> seen = writer.write(record, Duration.ofSeconds(9));
  * }</pre>
  */
 public final class RecordWriter {
@@ -55,7 +55,7 @@
      * @param within how long to try
      * @return where and how it was judged; a failure of reason {@code UNKNOWN} means that it may still take effect
      */
-    public Result<FoldedState.Seen> write(Record record, Duration within) {
+    public Result<FoldedState.RecordVerdict> write(Record record, Duration within) {
         Objects.requireNonNull(record, "record is null");
         byte[] body = CanonicalJson.write(new Record.Envelope(Record.SCHEMA, record));
         long end = clock.millis() + within.toMillis();
@@ -67,7 +67,7 @@
                     target,
                     Math.min(POLL.toMillis(), end - clock.millis()),
                     appended.cause().isPresent());
-            FoldedState.Seen seen = configuration.current().seen().get(record.id());
+            FoldedState.RecordVerdict seen = configuration.current().seen().get(record.id());
             if (seen != null) {
                 return Result.success(seen);
             }
--- a/src/main/java/org/micabarrow/coordination/requests/KeyClaim.java
+++ b/src/main/java/org/micabarrow/coordination/requests/KeyClaim.java
@@ -13,7 +13,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 import org.slf4j.Logger;
@@ -51,7 +51,7 @@
     interface Next {
 
         /** The key is claimed: the attempt may be sent. */
-        void won(Placed placed, Replica replica, String attempt, Claim claim);
+        void won(ActivePlacement placed, Replica replica, String attempt, Claim claim);
 
         /** The attempt that held the key was refused for good: another may be claimed. */
         void refused(Claim holder);
@@ -68,7 +68,7 @@
      * @param attempt the attempt
      * @param after the attempt with this key that was refused before it, if there was one
      */
-    void claim(Placed placed, Replica replica, String attempt, Optional<String> after) {
+    void claim(ActivePlacement placed, Replica replica, String attempt, Optional<String> after) {
         String epoch = flow.peer(replica.instance()).map(PeerView::epoch).orElse("");
         String key = RequestFlow.claimKey(
                 request.organisation().name(), request.key().orElseThrow());
@@ -89,7 +89,7 @@
                 String.join("\n", request.workload(), request.method(), request.path(), Digest.of(request.body())));
     }
 
-    private void heldBy(Placed placed, Claim mine, Claim holder, long ageMillis) {
+    private void heldBy(ActivePlacement placed, Claim mine, Claim holder, long ageMillis) {
         if (!holder.bodyDigest().equals(mine.bodyDigest())) {
             next.end(Outcome.notRun(
                     Fault.of(
@@ -110,7 +110,7 @@
     }
 
     /** Finds out what became of a claimed key, and goes on only if it has been refused for good. */
-    void settle(Placed placed, Claim holder) {
+    void settle(ActivePlacement placed, Claim holder) {
         Optional<Replica> replica = placed.replicaOn(holder.instance());
         if (replica.isEmpty()) {
             next.end(Outcome.unknown(
--- a/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
@@ -23,7 +23,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Workload;
 
 /**
@@ -92,7 +92,7 @@
     public Runnable begin(CallerRequest request, AnswerListener sink) {
         Objects.requireNonNull(request, "request is null");
         Objects.requireNonNull(sink, "sink is null");
-        Optional<Placed> placed = placementFor(state.get(), request);
+        Optional<ActivePlacement> placed = placementFor(state.get(), request);
         if (placed.isEmpty()) {
             sink.onEnd(Outcome.notRun(unplaced(request), RETRY_AFTER));
             return () -> {};
@@ -114,7 +114,7 @@
         return run::cancel;
     }
 
-    private static Optional<Placed> placementFor(FoldedState state, CallerRequest request) {
+    private static Optional<ActivePlacement> placementFor(FoldedState state, CallerRequest request) {
         return placementFor(state, request.organisation().name(), request.workload(), request.model());
     }
 
@@ -127,7 +127,7 @@
      * @param model whether it is a model
      * @return the first placement by name that has the workload and allows the organisation
      */
-    public static Optional<Placed> placementFor(
+    public static Optional<ActivePlacement> placementFor(
             FoldedState state, String organisation, String workload, boolean model) {
         return state.placements().values().stream()
                 .filter(placed -> places(placed, workload, model))
@@ -135,7 +135,7 @@
                 .findFirst();
     }
 
-    private static boolean places(Placed placed, String name, boolean model) {
+    private static boolean places(ActivePlacement placed, String name, boolean model) {
         Workload workload = placed.placement().workload();
         boolean sameKind = workload instanceof Workload.Model == model;
         return sameKind && workload.name().equals(name);
@@ -157,7 +157,7 @@
 
     // -- for runs
 
-    Optional<Placed> placementOf(CallerRequest request) {
+    Optional<ActivePlacement> placementOf(CallerRequest request) {
         return placementFor(state.get(), request);
     }
 
@@ -165,7 +165,7 @@
         return state.get().offset();
     }
 
-    Router.Decision route(Placed placed, Router.Wish wish) {
+    Router.Decision route(ActivePlacement placed, Router.Wish wish) {
         return parts.router().route(placed, peers.get(), wish);
     }
 
@@ -174,17 +174,17 @@
     }
 
     /** Where requests of one kind wait for one placement; short and long ones never block each other. */
-    private PlacementQueue queue(RequestRun run, Placed placed) {
+    private PlacementQueue queue(RequestRun run, ActivePlacement placed) {
         String name = placed.placement().name() + (run.request().shortRequest() ? "/short" : "/long");
         return queues.computeIfAbsent(name, key -> new PlacementQueue(parts.clock()));
     }
 
-    boolean mustQueue(RequestRun run, Placed placed) {
+    boolean mustQueue(RequestRun run, ActivePlacement placed) {
         return queue(run, placed).size() > 0;
     }
 
     /** Lets a request wait, unless its turn would come too late. */
-    Optional<Outcome.NotRun> enqueue(RequestRun run, Placed placed) {
+    Optional<Outcome.NotRun> enqueue(RequestRun run, ActivePlacement placed) {
         PlacementQueue queue = queue(run, placed);
         long wait = queue.expectedWaitMillis();
         long most = Math.min(
--- a/src/main/java/org/micabarrow/coordination/requests/RequestRun.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestRun.java
@@ -15,7 +15,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
 import org.slf4j.Logger;
@@ -73,7 +73,7 @@
     }
 
     /** Whether the request may run at most once. The caller may be stricter than the configuration, never laxer. */
-    boolean unrepeatable(Placed placed) {
+    boolean unrepeatable(ActivePlacement placed) {
         boolean byConfiguration =
                 placed.placement().workload() instanceof Workload.Service(String ignored, boolean repeatable)
                         && !repeatable;
@@ -84,7 +84,7 @@
 
     /** Tries to send the request, or lets it wait for room. */
     void next() {
-        Optional<Placed> placed = flow.placementOf(request);
+        Optional<ActivePlacement> placed = flow.placementOf(request);
         boolean othersWait = placed.isPresent() && flow.mustQueue(this, placed.get());
         if (othersWait || !tryAgain()) {
             placed.flatMap(one -> flow.enqueue(this, one)).ifPresent(this::end);
@@ -113,7 +113,7 @@
             end(Outcome.notRun(fault(Reason.TOO_LATE, "the deadline has passed"), RETRY_SOON));
             return true;
         }
-        Optional<Placed> placed = flow.placementOf(request);
+        Optional<ActivePlacement> placed = flow.placementOf(request);
         if (placed.isEmpty()) {
             end(Outcome.notRun(fault(Reason.OUTSIDE_PLACEMENT, "the placement was narrowed"), RETRY_SOON));
             return true;
@@ -131,7 +131,7 @@
     }
 
     /** Waiting helps only where room is what is missing; everything else is told to the caller at once. */
-    private boolean mayWait(Placed placed, Router.Decision decision) {
+    private boolean mayWait(ActivePlacement placed, Router.Decision decision) {
         boolean full = decision.exclusions().stream().anyMatch(one -> one.reason() == Exclusion.Reason.FULL);
         if (full && !waitedEnough()) {
             return true;
@@ -146,7 +146,7 @@
         return false;
     }
 
-    private void send(Placed placed, Router.Decision decision) {
+    private void send(ActivePlacement placed, Router.Decision decision) {
         Replica replica = decision.chosen().orElseThrow();
         if (now() + decision.expectedWaitMillis() > request.deadlineMillis()) {
             end(Outcome.notRun(fault(Reason.TOO_LATE, "the answer would begin after the deadline"), RETRY_LATER));
@@ -162,7 +162,7 @@
         }
     }
 
-    private void log(Placed placed, Router.Decision decision, String attempt) {
+    private void log(ActivePlacement placed, Router.Decision decision, String attempt) {
         LOG.info(
                 "route request={} attempt={} organisation={} placement={} chosen={} wait={} excluded={}",
                 request.id(),
@@ -180,7 +180,7 @@
     private final class AfterClaim implements KeyClaim.Next {
 
         @Override
-        public void won(Placed placed, Replica replica, String attempt, Claim claim) {
+        public void won(ActivePlacement placed, Replica replica, String attempt, Claim claim) {
             dispatch(placed, replica, attempt, Optional.of(claim));
         }
 
@@ -196,7 +196,7 @@
         }
     }
 
-    private void dispatch(Placed placed, Replica replica, String attempt, Optional<Claim> claim) {
+    private void dispatch(ActivePlacement placed, Replica replica, String attempt, Optional<Claim> claim) {
         flow.attempted();
         lastClaim = claim;
         tried.add(replica.instance());
@@ -223,7 +223,7 @@
         }
     }
 
-    private void ended(Placed placed, Replica replica, Outcome outcome) {
+    private void ended(ActivePlacement placed, Replica replica, Outcome outcome) {
         switch (outcome) {
             case Outcome.Answered answered -> end(answered);
             case Outcome.NotRun notRun -> refused(replica, notRun);
@@ -250,7 +250,7 @@
     }
 
     /** After an attempt whose fate is not known: settle a claimed one, repeat a repeatable one, else say so. */
-    private void broken(Placed placed, Replica replica, Outcome.Unknown unknown) {
+    private void broken(ActivePlacement placed, Replica replica, Outcome.Unknown unknown) {
         parts.traffic().failed(replica.instance(), now());
         if (begun || cancelled) {
             end(unknown);
--- a/src/main/java/org/micabarrow/coordination/routing/Router.java
+++ b/src/main/java/org/micabarrow/coordination/routing/Router.java
@@ -102,7 +102,7 @@
      * @param wish the request's properties
      * @return the decision
      */
-    public Decision route(FoldedState.Placed placed, Map<String, PeerView> peers, Wish wish) {
+    public Decision route(FoldedState.ActivePlacement placed, Map<String, PeerView> peers, Wish wish) {
         List<Exclusion> exclusions = new ArrayList<>();
         List<Replica> eligible = new ArrayList<>();
         List<Replica> ejected = new ArrayList<>();
@@ -125,7 +125,7 @@
     }
 
     private Optional<Exclusion.Reason> exclusion(
-            FoldedState.Placed placed, Map<String, PeerView> peers, Replica replica, Wish wish) {
+            FoldedState.ActivePlacement placed, Map<String, PeerView> peers, Replica replica, Wish wish) {
         PeerView peer = peers.get(replica.instance());
         if (!placed.placement().allows(replica.region(), replica.hall())) {
             return Optional.of(Exclusion.Reason.OUTSIDE_PLACEMENT);
--- a/src/main/java/org/micabarrow/coordination/weights/Source.java
+++ b/src/main/java/org/micabarrow/coordination/weights/Source.java
@@ -24,7 +24,7 @@
      * @param instance the instance
      * @return the sources, none if the instance carries no replica
      */
-    static List<Source> order(FoldedState.Placed placed, String instance) {
+    static List<Source> order(FoldedState.ActivePlacement placed, String instance) {
         Objects.requireNonNull(placed, "placed is null");
         for (List<Replica> chain : placed.chains()) {
             int position = positionIn(chain, instance);
@@ -44,7 +44,7 @@
      * @param instance the instance
      * @return the same sources as in {@link #order}, with the last of the other chains in front
      */
-    static List<Source> orderAfterStall(FoldedState.Placed placed, String instance) {
+    static List<Source> orderAfterStall(FoldedState.ActivePlacement placed, String instance) {
         List<Source> idle = new ArrayList<>();
         placed.chains().stream()
                 .filter(chain -> positionIn(chain, instance) < 0)
@@ -62,12 +62,12 @@
      * @param instance the instance
      * @return true if the plan feeds it from the origin
      */
-    static boolean isHead(FoldedState.Placed placed, String instance) {
+    static boolean isHead(FoldedState.ActivePlacement placed, String instance) {
         return placed.chains().stream()
                 .anyMatch(chain -> chain.getFirst().instance().equals(instance));
     }
 
-    private static List<Source> orderAt(FoldedState.Placed placed, List<Replica> chain, int position) {
+    private static List<Source> orderAt(FoldedState.ActivePlacement placed, List<Replica> chain, int position) {
         List<Source> sources = new ArrayList<>();
         if (position == 0) {
             sources.add(new Origin());
--- a/src/main/java/org/micabarrow/crashes/RequestDigest.java
+++ b/src/main/java/org/micabarrow/crashes/RequestDigest.java
@@ -46,7 +46,7 @@
      */
     public static RequestDigest of(ClientRequest request) {
         Objects.requireNonNull(request, "request is null");
-        MessageDigest digest = Digest.start();
+        MessageDigest digest = Digest.newSha256();
         add(digest, request.method());
         add(digest, request.host());
         add(digest, request.target());
--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -175,7 +175,7 @@
                 HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorHandlers.watching(node.metrics(), node::healthy));
+                OperatorHandlers.monitoring(node.metrics(), node::healthy));
         node.configuration()
                 .onStep(step -> replicas.configured(node.configuration().current()));
         node.start();
@@ -230,7 +230,7 @@
 
     // -- weights
 
-    private Transfer startTransfer(TransferTask task, FoldedState.Placed placed) {
+    private Transfer startTransfer(TransferTask task, FoldedState.ActivePlacement placed) {
         OriginBudget budget = bytes -> draw(placed.placement().name(), bytes);
         Transfer transfer =
                 new Transfer(task, weights, endpoint, budget, new TransferMetrics(node.metrics()), node.clock());
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -168,7 +168,9 @@
                 1,
                 Optional.empty(),
                 OperatorHandlers.api(
-                        operatorApi(), settings.operators(), OperatorHandlers.watching(node.metrics(), this::healthy)));
+                        operatorApi(),
+                        settings.operators(),
+                        OperatorHandlers.monitoring(node.metrics(), this::healthy)));
     }
 
     private Optional<SSLContext> callerContext() throws IOException {
--- a/src/main/java/org/micabarrow/protocol/OperatorMessages.java
+++ b/src/main/java/org/micabarrow/protocol/OperatorMessages.java
@@ -14,14 +14,14 @@
      * @param id the plan's digest, by which an operator confirms it
      * @param plan the proposed plan
      */
-    public record Planned(String id, Plan plan) {}
+    public record PlanResponse(String id, Plan plan) {}
 
     /**
      * A request to confirm a plan.
      *
      * @param id the id of the plan
      */
-    public record Confirm(String id) {}
+    public record ConfirmRequest(String id) {}
 
     /**
      * The response to a confirmation.
@@ -34,7 +34,7 @@
      * @param instances the number of listed instances
      * @param notConfirmedBy the instances that did not confirm the plan in time
      */
-    public record Confirmed(
+    public record ConfirmResponse(
             String id,
             boolean accepted,
             long offset,
@@ -44,7 +44,7 @@
             List<String> notConfirmedBy) {
 
         /** Copies the list defensively. */
-        public Confirmed {
+        public ConfirmResponse {
             notConfirmedBy = List.copyOf(notConfirmedBy);
         }
     }
@@ -112,11 +112,11 @@
      * @param verdict the conclusion in one sentence
      * @param replicas the eligibility of each replica
      */
-    public record Explained(
+    public record ExplainResponse(
             String organisation, String workload, String placement, String verdict, List<Candidate> replicas) {
 
         /** Copies the list defensively. */
-        public Explained {
+        public ExplainResponse {
             replicas = List.copyOf(replicas);
         }
     }
--- a/src/main/java/org/micabarrow/protocol/PlatformMessages.java
+++ b/src/main/java/org/micabarrow/protocol/PlatformMessages.java
@@ -13,7 +13,7 @@
      *
      * @param offset the offset of the appended record
      */
-    public record Appended(long offset) {}
+    public record AppendResponse(long offset) {}
 
     /**
      * A page of a log stream.
@@ -56,7 +56,7 @@
      *
      * @param chunks the number of staged chunks
      */
-    public record Staged(int chunks) {}
+    public record StagedChunkCount(int chunks) {}
 
     /**
      * The response to an order to an endpoint.
@@ -64,5 +64,5 @@
      * @param accepted whether the endpoint accepted the order
      * @param reason why it did not
      */
-    public record Ordered(boolean accepted, String reason) {}
+    public record OrderResponse(boolean accepted, String reason) {}
 }
--- a/src/main/java/org/micabarrow/protocol/AnswerMessages.java
+++ b/src/main/java/org/micabarrow/protocol/ResponseMessages.java
@@ -15,9 +15,9 @@
 import org.micabarrow.state.Fault.Step;
 
 /** Converts responses, outcomes and the states of idempotency keys to protobuf messages and back. */
-public final class AnswerMessages {
+public final class ResponseMessages {
 
-    private AnswerMessages() {}
+    private ResponseMessages() {}
 
     /**
      * Converts a response head to a message.
--- a/src/main/java/org/micabarrow/settings/IntentReader.java
+++ b/src/main/java/org/micabarrow/settings/IntentReader.java
@@ -89,17 +89,21 @@
             Optional<String> whenCutOff,
             Optional<EnvelopeForm> envelope) {
 
-        Intent.Declared declared() {
+        Intent.DeclaredPlacement declared() {
             EnvelopeForm allowed = envelope.orElse(new EnvelopeForm(Optional.empty(), Optional.empty()));
-            return new Intent.Declared(
+            return new Intent.DeclaredPlacement(
                     name,
                     target.target(),
                     regions.orElse(List.of()),
                     halls.orElse(List.of()),
                     organisations,
                     replicas,
-                    prefer.orElse("time").equals("time") ? Placement.Prefer.TIME : Placement.Prefer.ORIGIN_BYTES,
-                    whenCutOff.orElse("serve").equals("serve") ? Placement.CutOff.SERVE : Placement.CutOff.REFUSE,
+                    prefer.orElse("time").equals("time")
+                            ? Placement.RolloutPreference.TIME
+                            : Placement.RolloutPreference.ORIGIN_BYTES,
+                    whenCutOff.orElse("serve").equals("serve")
+                            ? Placement.CutOffPolicy.SERVE
+                            : Placement.CutOffPolicy.REFUSE,
                     new Placement.Envelope(
                             allowed.replacements().orElse(0),
                             allowed.originBytes().orElse(0L)));
--- a/src/main/java/org/micabarrow/standin/EngineStandin.java
+++ b/src/main/java/org/micabarrow/standin/EngineStandin.java
@@ -117,7 +117,7 @@
         TreeMap<Integer, String> chunks = staged.computeIfAbsent(path[1], key -> new TreeMap<>());
         synchronized (chunks) {
             chunks.put(Integer.parseInt(path[3]), Digest.of(data));
-            Replies.json(exchange, new PlatformMessages.Staged(chunks.size()));
+            Replies.json(exchange, new PlatformMessages.StagedChunkCount(chunks.size()));
         }
     }
 
@@ -125,7 +125,7 @@
         Endpoint.Order order = Replies.body(exchange, Endpoint.Order.class);
         if (order.fence().compareTo(highest) < 0) {
             refusedOrders.incrementAndGet();
-            Replies.json(exchange, new PlatformMessages.Ordered(false, "the fence is lower than " + highest));
+            Replies.json(exchange, new PlatformMessages.OrderResponse(false, "the fence is lower than " + highest));
             return;
         }
         highest = order.fence();
@@ -133,7 +133,7 @@
             case LOAD -> load(order);
             case UNLOAD -> loaded.remove(order.version());
         }
-        Replies.json(exchange, new PlatformMessages.Ordered(true, ""));
+        Replies.json(exchange, new PlatformMessages.OrderResponse(true, ""));
     }
 
     private void load(Endpoint.Order order) {
--- a/src/main/java/org/micabarrow/standin/PlatformStandin.java
+++ b/src/main/java/org/micabarrow/standin/PlatformStandin.java
@@ -169,7 +169,7 @@
         if (now.loseAppendAnswers()) {
             Replies.status(exchange, 504);
         } else {
-            Replies.json(exchange, new PlatformMessages.Appended(offset));
+            Replies.json(exchange, new PlatformMessages.AppendResponse(offset));
         }
     }
 
--- a/src/main/java/org/micabarrow/state/Chains.java
+++ b/src/main/java/org/micabarrow/state/ChainPlanner.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 /** Arranges the replicas of a placement in chains, along which instances relay weights, and estimates the cost. */
-final class Chains {
+final class ChainPlanner {
 
     /** The maximum number of chains of one placement that receive weights from the origin at the same time. */
     private static final int MAX_ORIGIN_FEEDS = 3;
@@ -23,7 +23,7 @@
      * @param placement the placement
      * @param moves the ids of the instances that must receive the weights
      */
-    Chains(Links links, Placement placement, Set<String> moves) {
+    ChainPlanner(Links links, Placement placement, Set<String> moves) {
         this.links = links;
         this.placement = placement;
         this.moves = moves;
@@ -68,7 +68,7 @@
 
     /** Estimates the traffic and the time for the transfer of the weights along the chains. */
     Plan.Estimate estimate(List<List<Replica>> chains) {
-        long bytes = Candidates.bytesOf(placement.workload());
+        long bytes = InstanceSelector.bytesOf(placement.workload());
         if (moves.isEmpty()) {
             return new Plan.Estimate(bytes, 0, 0, 0);
         }
--- a/src/main/java/org/micabarrow/state/Digest.java
+++ b/src/main/java/org/micabarrow/state/Digest.java
@@ -36,7 +36,7 @@
      * @return the digest
      */
     public static String of(byte[] bytes) {
-        return HexFormat.of().formatHex(start().digest(bytes));
+        return HexFormat.of().formatHex(newSha256().digest(bytes));
     }
 
     /**
@@ -44,7 +44,7 @@
      *
      * @return a new SHA-256 message digest
      */
-    public static MessageDigest start() {
+    public static MessageDigest newSha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -70,7 +70,7 @@
      * @return the first eight bytes of their digest as a signed number
      */
     public static long rank(String... parts) {
-        byte[] digest = start().digest(String.join("\n", parts).getBytes(StandardCharsets.UTF_8));
+        byte[] digest = newSha256().digest(String.join("\n", parts).getBytes(StandardCharsets.UTF_8));
         return java.nio.ByteBuffer.wrap(digest).getLong();
     }
 }
--- a/src/main/java/org/micabarrow/state/FoldedState.java
+++ b/src/main/java/org/micabarrow/state/FoldedState.java
@@ -24,11 +24,11 @@
  */
 public record FoldedState(
         long offset,
-        SortedMap<String, Placed> placements,
+        SortedMap<String, ActivePlacement> placements,
         SortedMap<String, Organisation> organisations,
         SortedMap<String, Proposal> proposals,
         SortedMap<String, Long> touched,
-        SortedMap<String, Seen> seen) {
+        SortedMap<String, RecordVerdict> seen) {
 
     private static final FoldedState EMPTY =
             new FoldedState(-1, new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>(), new TreeMap<>());
@@ -66,7 +66,7 @@
      * @param name the name of the placement
      * @return the placement, empty if none is active under this name
      */
-    public Optional<Placed> placed(String name) {
+    public Optional<ActivePlacement> activePlacement(String name) {
         return Optional.ofNullable(placements.get(name));
     }
 
@@ -93,7 +93,7 @@
      * @param drawn the bytes granted from the origin in addition to those of the plan
      * @param previous the workload that continues to serve until the new one is ready
      */
-    public record Placed(
+    public record ActivePlacement(
             Placement placement,
             String planId,
             long since,
@@ -103,7 +103,7 @@
             Optional<Workload> previous) {
 
         /** Rejects null values and copies the lists defensively. */
-        public Placed {
+        public ActivePlacement {
             Objects.requireNonNull(placement, "placement is null");
             Objects.requireNonNull(planId, "planId is null");
             Objects.requireNonNull(previous, "previous is null");
@@ -116,8 +116,8 @@
          * @param newChains the chains with the replacement
          * @return the changed placement
          */
-        Placed withReplacement(List<List<Replica>> newChains) {
-            return new Placed(placement, planId, since, newChains, replaced + 1, drawn, previous);
+        ActivePlacement withReplacement(List<List<Replica>> newChains) {
+            return new ActivePlacement(placement, planId, since, newChains, replaced + 1, drawn, previous);
         }
 
         /**
@@ -126,8 +126,8 @@
          * @param totalBytes all bytes granted so far
          * @return the changed placement
          */
-        Placed withDrawn(long totalBytes) {
-            return new Placed(placement, planId, since, chains, replaced, totalBytes, previous);
+        ActivePlacement withDrawn(long totalBytes) {
+            return new ActivePlacement(placement, planId, since, chains, replaced, totalBytes, previous);
         }
 
         /**
@@ -167,5 +167,5 @@
      * @param offset the offset at which the record was first folded
      * @param verdict what the reducer decided
      */
-    public record Seen(long offset, Verdict verdict) {}
+    public record RecordVerdict(long offset, Verdict verdict) {}
 }
--- a/src/main/java/org/micabarrow/state/Candidates.java
+++ b/src/main/java/org/micabarrow/state/InstanceSelector.java
@@ -18,7 +18,7 @@
  * Selects instances for placements, considering the capacity of each instance and the weights that the configuration
  * already assigns to it. The same state and list of instances give the same selection on every node.
  */
-public final class Candidates {
+public final class InstanceSelector {
 
     private final FoldedState state;
     private final List<Instance> instances;
@@ -29,7 +29,7 @@
      * @param state the active configuration
      * @param instances the listed instances; entries among them are ignored
      */
-    public Candidates(FoldedState state, List<Instance> instances) {
+    public InstanceSelector(FoldedState state, List<Instance> instances) {
         this.state = Objects.requireNonNull(state, "state is null");
         this.instances = instances.stream()
                 .filter(instance -> !instance.kind().equals(Instance.ENTRY))
@@ -122,7 +122,7 @@
      * @param lost the replica whose instance is gone
      * @return the instance to use, empty if none is eligible
      */
-    public Optional<Instance> replacement(FoldedState.Placed placed, Replica lost) {
+    public Optional<Instance> selectReplacement(FoldedState.ActivePlacement placed, Replica lost) {
         return eligibleFor(placed.placement())
                 .filter(instance -> placed.replicaOn(instance.id()).isEmpty())
                 .min(Comparator.comparing(
--- a/src/main/java/org/micabarrow/state/Intent.java
+++ b/src/main/java/org/micabarrow/state/Intent.java
@@ -11,7 +11,7 @@
  * @param organisations the organisations to set
  * @param placements the placements to set
  */
-public record Intent(List<Organisation> organisations, List<Declared> placements) {
+public record Intent(List<Organisation> organisations, List<DeclaredPlacement> placements) {
 
     /** Copies the lists defensively. */
     public Intent {
@@ -89,19 +89,19 @@
      * @param whenCutOff whether an instance without contact to the log serves or refuses requests
      * @param envelope the changes allowed later without a new confirmation
      */
-    public record Declared(
+    public record DeclaredPlacement(
             String name,
             Target target,
             List<String> regions,
             List<String> halls,
             List<String> organisations,
             int replicas,
-            Placement.Prefer prefer,
-            Placement.CutOff whenCutOff,
+            Placement.RolloutPreference prefer,
+            Placement.CutOffPolicy whenCutOff,
             Placement.Envelope envelope) {
 
         /** Rejects null values and copies the lists defensively. */
-        public Declared {
+        public DeclaredPlacement {
             Objects.requireNonNull(name, "name is null");
             Objects.requireNonNull(target, "target is null");
             regions = List.copyOf(regions);
--- a/src/main/java/org/micabarrow/state/Placement.java
+++ b/src/main/java/org/micabarrow/state/Placement.java
@@ -23,8 +23,8 @@
         List<String> halls,
         List<String> organisations,
         int replicas,
-        Prefer prefer,
-        CutOff whenCutOff,
+        RolloutPreference prefer,
+        CutOffPolicy whenCutOff,
         Envelope envelope) {
 
     /** Rejects null values and copies the lists defensively. */
@@ -40,13 +40,13 @@
     }
 
     /** What a rollout minimises: its duration, or the bytes sent by the origin. */
-    public enum Prefer {
+    public enum RolloutPreference {
         TIME,
         ORIGIN_BYTES
     }
 
     /** How an instance handles requests after it has had no contact with the log for longer than the configured time. */
-    public enum CutOff {
+    public enum CutOffPolicy {
         SERVE,
         REFUSE
     }
--- a/src/main/java/org/micabarrow/state/Planner.java
+++ b/src/main/java/org/micabarrow/state/Planner.java
@@ -21,7 +21,7 @@
 
     private final Links links;
     private final FoldedState state;
-    private final Candidates candidates;
+    private final InstanceSelector candidates;
     private final Map<String, Artifact> artifacts;
     private final Set<String> usedInPlan = new HashSet<>();
 
@@ -36,7 +36,7 @@
     public Planner(Links links, FoldedState state, List<Instance> instances, Map<String, Artifact> artifacts) {
         this.links = Objects.requireNonNull(links, "links is null");
         this.state = Objects.requireNonNull(state, "state is null");
-        this.candidates = new Candidates(state, instances);
+        this.candidates = new InstanceSelector(state, instances);
         this.artifacts = Map.copyOf(artifacts);
     }
 
@@ -49,7 +49,7 @@
     public Result<Plan> plan(Intent intent) {
         Objects.requireNonNull(intent, "intent is null");
         List<Plan.Step> steps = new ArrayList<>();
-        for (Intent.Declared declared : intent.placements()) {
+        for (Intent.DeclaredPlacement declared : intent.placements()) {
             Result<Plan.Step> step = planStep(intent, declared);
             if (step instanceof Result.Failure<Plan.Step> failure) {
                 return Result.failure(failure.fault());
@@ -59,7 +59,7 @@
         return Result.success(new Plan(state.offset(), intent.organisations(), steps));
     }
 
-    private Result<Plan.Step> planStep(Intent intent, Intent.Declared declared) {
+    private Result<Plan.Step> planStep(Intent intent, Intent.DeclaredPlacement declared) {
         Optional<Fault> unknown = findUnknownName(intent, declared);
         if (unknown.isPresent()) {
             return Result.failure(unknown.get());
@@ -79,7 +79,7 @@
         });
     }
 
-    private Optional<Fault> findUnknownName(Intent intent, Intent.Declared declared) {
+    private Optional<Fault> findUnknownName(Intent intent, Intent.DeclaredPlacement declared) {
         Set<String> regions = candidates.distinctValues(Instance::region);
         Set<String> halls = candidates.distinctValues(Instance::hall);
         Set<String> organisations = new TreeSet<>(state.organisations().keySet());
@@ -90,7 +90,7 @@
     }
 
     private static Optional<Fault> findFirstUnknown(
-            Intent.Declared declared, String kind, List<String> named, Set<String> known) {
+            Intent.DeclaredPlacement declared, String kind, List<String> named, Set<String> known) {
         return named.stream()
                 .filter(name -> !known.contains(name))
                 .findFirst()
@@ -101,7 +101,7 @@
                                 + String.join(", ", known)));
     }
 
-    private Result<Workload> resolveWorkload(Intent.Declared declared) {
+    private Result<Workload> resolveWorkload(Intent.DeclaredPlacement declared) {
         return switch (declared.target()) {
             case Intent.Target.Service service ->
                 Result.success(new Workload.Service(service.name(), service.repeatable()));
@@ -124,8 +124,9 @@
     }
 
     private Result<Plan.Step> planPlacement(Placement placement) {
-        List<Replica> current =
-                state.placed(placement.name()).map(FoldedState.Placed::replicas).orElse(List.of());
+        List<Replica> current = state.activePlacement(placement.name())
+                .map(FoldedState.ActivePlacement::replicas)
+                .orElse(List.of());
         if (placement.replicas() == 0) {
             return Result.success(
                     new Plan.Step(placement, List.of(), List.of(), idsOf(current), new Plan.Estimate(0, 0, 0, 0)));
@@ -136,7 +137,7 @@
                     placement.name(), Reason.UNSATISFIABLE, candidates.describeShortage(placement, selected.size())));
         }
         selected.forEach(instance -> usedInPlan.add(instance.id()));
-        boolean sameWeights = state.placed(placement.name())
+        boolean sameWeights = state.activePlacement(placement.name())
                 .map(placed -> placed.placement().workload().equals(placement.workload()))
                 .orElse(false);
         Set<String> holders = sameWeights ? Set.copyOf(idsOf(current)) : Set.of();
@@ -146,7 +147,7 @@
                 : selectedIds.stream().filter(id -> !holders.contains(id)).toList();
         List<String> removed =
                 idsOf(current).stream().filter(id -> !selectedIds.contains(id)).toList();
-        Chains chains = new Chains(links, placement, Set.copyOf(moves));
+        ChainPlanner chains = new ChainPlanner(links, placement, Set.copyOf(moves));
         List<List<Replica>> planned = chains.chainsFor(selected);
         return Result.success(new Plan.Step(placement, planned, moves, removed, chains.estimate(planned)));
     }
--- a/src/main/java/org/micabarrow/state/Reducer.java
+++ b/src/main/java/org/micabarrow/state/Reducer.java
@@ -50,7 +50,8 @@
         if (offset != state.offset() + 1) {
             throw new IllegalArgumentException("offset " + offset + " does not follow " + state.offset());
         }
-        Optional<FoldedState.Seen> earlier = Optional.ofNullable(state.seen().get(record.id()));
+        Optional<FoldedState.RecordVerdict> earlier =
+                Optional.ofNullable(state.seen().get(record.id()));
         if (earlier.isPresent()) {
             return new Outcome(
                     new StateBuilder(state, offset).build(),
@@ -58,7 +59,7 @@
         }
         StateBuilder builder = new StateBuilder(state, offset);
         Verdict verdict = builder.apply(record);
-        builder.seen.put(record.id(), new FoldedState.Seen(offset, verdict));
+        builder.seen.put(record.id(), new FoldedState.RecordVerdict(offset, verdict));
         return new Outcome(builder.build(), verdict);
     }
 
@@ -67,11 +68,11 @@
 
         private final long offset;
         private final FoldedState before;
-        private final SortedMap<String, FoldedState.Placed> placements;
+        private final SortedMap<String, FoldedState.ActivePlacement> placements;
         private final SortedMap<String, Organisation> organisations;
         private final SortedMap<String, FoldedState.Proposal> proposals;
         private final SortedMap<String, Long> touched;
-        private final SortedMap<String, FoldedState.Seen> seen;
+        private final SortedMap<String, FoldedState.RecordVerdict> seen;
 
         StateBuilder(FoldedState state, long offset) {
             this.offset = offset;
@@ -125,11 +126,12 @@
                     .map(placed -> placed.placement().workload())
                     .filter(workload -> !workload.equals(placement.workload()));
             placements.put(
-                    placement.name(), new FoldedState.Placed(placement, planId, offset, step.chains(), 0, 0, previous));
+                    placement.name(),
+                    new FoldedState.ActivePlacement(placement, planId, offset, step.chains(), 0, 0, previous));
         }
 
         private Verdict replaceReplica(Record.ReplicaReplaced record) {
-            FoldedState.Placed placed = placements.get(record.placement());
+            FoldedState.ActivePlacement placed = placements.get(record.placement());
             if (placed == null) {
                 return new Verdict.Refused("no placement " + record.placement());
             }
@@ -152,7 +154,8 @@
             return new Verdict.Accepted();
         }
 
-        private static Optional<String> findRefusalReason(Record.ReplicaReplaced record, FoldedState.Placed placed) {
+        private static Optional<String> findRefusalReason(
+                Record.ReplicaReplaced record, FoldedState.ActivePlacement placed) {
             Replica replacement = record.replacement();
             if (placed.replaced() >= placed.placement().envelope().replacements()) {
                 return Optional.of("the envelope of " + record.placement() + " allows no further replacement");
@@ -176,7 +179,7 @@
         }
 
         private Verdict grantOriginBytes(Record.OriginDrawn record) {
-            FoldedState.Placed placed = placements.get(record.placement());
+            FoldedState.ActivePlacement placed = placements.get(record.placement());
             if (placed == null || placed.replicaOn(record.instance()).isEmpty()) {
                 return new Verdict.Refused(record.instance() + " carries no replica of " + record.placement());
             }
@@ -207,7 +210,7 @@
 
         FoldedState build() {
             discardOldest(proposals, MAX_PROPOSALS, FoldedState.Proposal::offset);
-            discardOldest(seen, MAX_VERDICTS, FoldedState.Seen::offset);
+            discardOldest(seen, MAX_VERDICTS, FoldedState.RecordVerdict::offset);
             return new FoldedState(offset, placements, organisations, proposals, touched, seen);
         }
 
--- a/src/main/java/org/micabarrow/transport/EndpointClient.java
+++ b/src/main/java/org/micabarrow/transport/EndpointClient.java
@@ -67,15 +67,15 @@
         URI uri = URI.create(url + "/weights/" + artifact + "/chunks/" + index);
         HttpCall call = new HttpCall(Step.STAGE, "PUT", uri, Map.of(), data);
         return client.call(call, STAGE_TIMEOUT)
-                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.Staged.class))
-                .map(PlatformMessages.Staged::chunks);
+                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.StagedChunkCount.class))
+                .map(PlatformMessages.StagedChunkCount::chunks);
     }
 
     @Override
     public Result<Boolean> order(Order order) {
         HttpCall call = HttpCall.post(Step.ORDER, URI.create(url + "/orders"), CanonicalJson.write(order));
         return client.call(call, ORDER_TIMEOUT)
-                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.Ordered.class))
+                .flatMap(response -> PlatformClient.read(call, response, PlatformMessages.OrderResponse.class))
                 .flatMap(ordered -> ordered.accepted()
                         ? Result.success(true)
                         : Result.failure(Fault.of(Step.ORDER, call.peer(), Reason.CONFLICT, ordered.reason())));
--- a/src/main/java/org/micabarrow/transport/PlatformClient.java
+++ b/src/main/java/org/micabarrow/transport/PlatformClient.java
@@ -49,8 +49,8 @@
     public Result<Long> append(String stream, byte[] body) {
         HttpCall call = HttpCall.post(Step.LOG, URI.create(platform.log() + "/streams/" + stream), body);
         return client.call(call, APPEND_TIMEOUT)
-                .flatMap(response -> read(call, response, PlatformMessages.Appended.class))
-                .map(PlatformMessages.Appended::offset);
+                .flatMap(response -> read(call, response, PlatformMessages.AppendResponse.class))
+                .map(PlatformMessages.AppendResponse::offset);
     }
 
     @Override
--- a/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
@@ -24,8 +24,8 @@
 import org.micabarrow.coordination.log.PlatformLog;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.weights.Weights;
-import org.micabarrow.protocol.AnswerMessages;
 import org.micabarrow.protocol.RequestMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.wire.ChunksRequest;
 import org.micabarrow.protocol.wire.PeerGrpc;
 import org.micabarrow.protocol.wire.RecordsReply;
@@ -121,7 +121,7 @@
                 .build();
         UnaryReplyObserver<SettleRequest, SettleReply> reply = new UnaryReplyObserver<>(Step.CLAIM, replica.instance());
         stubWithTimeout(replica.address(), CALL_TIMEOUT).settle(request, reply);
-        return reply.result().thenApply(result -> result.map(AnswerMessages::fromWire));
+        return reply.result().thenApply(result -> result.map(ResponseMessages::fromWire));
     }
 
     // -- status and records
--- a/src/main/java/org/micabarrow/transport/grpc/PeerService.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerService.java
@@ -19,8 +19,8 @@
 import org.micabarrow.coordination.calls.Outcome;
 import org.micabarrow.coordination.configuration.Configuration;
 import org.micabarrow.coordination.log.PlatformLog;
-import org.micabarrow.protocol.AnswerMessages;
 import org.micabarrow.protocol.RequestMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.wire.Chunk;
 import org.micabarrow.protocol.wire.ChunksRequest;
 import org.micabarrow.protocol.wire.HandleReply;
@@ -137,7 +137,7 @@
 
         @Override
         public void onHead(AnswerHead head) {
-            send(AnswerMessages.toWire(head));
+            send(ResponseMessages.toWire(head));
         }
 
         @Override
@@ -160,7 +160,7 @@
         public void onEnd(Outcome outcome) {
             send(HandleReply.newBuilder()
                     .setAttempt(attempt)
-                    .setEnd(AnswerMessages.toWire(outcome))
+                    .setEnd(ResponseMessages.toWire(outcome))
                     .setLoad(agent.orElseThrow().load().get())
                     .build());
             if (!cancelled) {
@@ -178,7 +178,7 @@
     @Override
     public void settle(SettleRequest request, StreamObserver<SettleReply> replies) {
         SettleReply reply = agent.map(components ->
-                        AnswerMessages.toWire(components.flow().settle(RequestMessages.fromWire(request.getClaim()))))
+                        ResponseMessages.toWire(components.flow().settle(RequestMessages.fromWire(request.getClaim()))))
                 .orElse(SettleReply.newBuilder()
                         .setState(SettleReply.State.LOST)
                         .build());
--- a/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
@@ -9,7 +9,7 @@
 import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
 import org.micabarrow.coordination.membership.PeerView;
-import org.micabarrow.protocol.AnswerMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.StatusMessages;
 import org.micabarrow.protocol.wire.HandleReply;
 import org.micabarrow.protocol.wire.HandleRequest;
@@ -60,13 +60,13 @@
         }
         switch (reply.getPartCase()) {
             case HEAD -> {
-                listener.onHead(AnswerMessages.headOf(reply));
+                listener.onHead(ResponseMessages.headOf(reply));
                 call.request(1);
             }
             case DATA -> listener.onData(reply.getData().toByteArray(), () -> call.request(1));
             case END -> {
                 loadListener.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
-                finish(AnswerMessages.fromWire(replica.instance(), reply.getEnd()));
+                finish(ResponseMessages.fromWire(replica.instance(), reply.getEnd()));
                 call.request(1);
             }
             default -> call.request(1);
--- a/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorApi.java
@@ -80,7 +80,7 @@
      * @param bytes the content of the intent
      * @return the plan, or a failure if there is none
      */
-    public Result<OperatorMessages.Planned> plan(String file, byte[] bytes) {
+    public Result<OperatorMessages.PlanResponse> plan(String file, byte[] bytes) {
         return planProposer.plan(file, bytes);
     }
 
@@ -91,7 +91,7 @@
      * @param operator the name of the operator who confirms it
      * @return where the plan is active, or why it was not accepted
      */
-    public Result<OperatorMessages.Confirmed> confirm(String planId, String operator) {
+    public Result<OperatorMessages.ConfirmResponse> confirm(String planId, String operator) {
         return planConfirmer.confirm(planId, operator);
     }
 
@@ -112,7 +112,7 @@
      * @param model whether the workload is a model
      * @return the eligibility of each replica, or a failure if the organisation is unknown
      */
-    public Result<OperatorMessages.Explained> explain(String organisationName, String workload, boolean model) {
+    public Result<OperatorMessages.ExplainResponse> explain(String organisationName, String workload, boolean model) {
         return routeExplainer.explain(organisationName, workload, model);
     }
 }
--- a/src/main/java/org/micabarrow/transport/operators/OperatorHandlers.java
+++ b/src/main/java/org/micabarrow/transport/operators/OperatorHandlers.java
@@ -93,7 +93,7 @@
 
     private static Result<String> readPlanId(HttpServerExchange exchange) throws IOException {
         try {
-            return Result.success(CanonicalJson.read(readBody(exchange), OperatorMessages.Confirm.class)
+            return Result.success(CanonicalJson.read(readBody(exchange), OperatorMessages.ConfirmRequest.class)
                     .id());
         } catch (JsonProcessingException e) {
             return Result.failure(
@@ -101,7 +101,7 @@
         }
     }
 
-    private static Result<OperatorMessages.Explained> explain(OperatorApi api, HttpServerExchange exchange) {
+    private static Result<OperatorMessages.ExplainResponse> explain(OperatorApi api, HttpServerExchange exchange) {
         Optional<String> model = queryParameter(exchange, "model");
         Optional<String> workload = model.or(() -> queryParameter(exchange, "service"));
         Optional<String> organisation = queryParameter(exchange, "organisation");
--- a/src/main/java/org/micabarrow/transport/operators/PlanConfirmer.java
+++ b/src/main/java/org/micabarrow/transport/operators/PlanConfirmer.java
@@ -46,7 +46,7 @@
      * @param operator the name of the operator who confirms it
      * @return where the plan is active, or why it was not accepted
      */
-    Result<OperatorMessages.Confirmed> confirm(String planId, String operator) {
+    Result<OperatorMessages.ConfirmResponse> confirm(String planId, String operator) {
         long basis = dependencies.configuration().generation();
         Record record = new Record.PlanConfirmed(recordIds.get(), basis, planId, operator);
         return dependencies.writer().write(record, OperatorApi.WRITE_TIMEOUT).flatMap(folded -> {
@@ -60,7 +60,7 @@
         });
     }
 
-    private Result<OperatorMessages.Confirmed> resultOf(String planId, FoldedState.Seen folded) {
+    private Result<OperatorMessages.ConfirmResponse> resultOf(String planId, FoldedState.RecordVerdict folded) {
         return switch (folded.verdict()) {
             case Verdict.Accepted ignored -> Result.success(awaitActive(planId, folded.offset()));
             case Verdict.Duplicate ignored -> Result.success(awaitActive(planId, folded.offset()));
@@ -74,7 +74,7 @@
         return Result.failure(Fault.of(Step.CONFIRM, "plan " + planId, Reason.CONFLICT, message));
     }
 
-    private OperatorMessages.Confirmed awaitActive(String planId, long offset) {
+    private OperatorMessages.ConfirmResponse awaitActive(String planId, long offset) {
         List<Instance> instances = dependencies.agentTable().instances();
         Map<String, String> pending = new TreeMap<>();
         instances.forEach(instance -> pending.put(instance.id(), instance.address()));
@@ -83,7 +83,7 @@
             pending.keySet().removeAll(findCaughtUp(pending, offset));
             pauseUnless(pending.isEmpty());
         }
-        return new OperatorMessages.Confirmed(
+        return new OperatorMessages.ConfirmResponse(
                 planId,
                 true,
                 offset,
--- a/src/main/java/org/micabarrow/transport/operators/PlanProposer.java
+++ b/src/main/java/org/micabarrow/transport/operators/PlanProposer.java
@@ -37,7 +37,7 @@
      * @param bytes the content of the intent
      * @return the plan, or a failure if there is none
      */
-    Result<OperatorMessages.Planned> plan(String file, byte[] bytes) {
+    Result<OperatorMessages.PlanResponse> plan(String file, byte[] bytes) {
         return IntentReader.read(file, bytes)
                 .flatMap(intent -> dependencies
                         .instanceList()
@@ -66,7 +66,7 @@
         return Result.success(artifacts);
     }
 
-    private Result<OperatorMessages.Planned> propose(Plan plan) {
+    private Result<OperatorMessages.PlanResponse> propose(Plan plan) {
         LOG.info(
                 "plan id={} basis={} placements={}",
                 plan.id(),
@@ -75,6 +75,6 @@
         return dependencies
                 .writer()
                 .write(new Record.PlanProposed(recordIds.get(), plan), OperatorApi.WRITE_TIMEOUT)
-                .map(seen -> new OperatorMessages.Planned(plan.id(), plan));
+                .map(seen -> new OperatorMessages.PlanResponse(plan.id(), plan));
     }
 }
--- a/src/main/java/org/micabarrow/transport/operators/ReplicaStatusCollector.java
+++ b/src/main/java/org/micabarrow/transport/operators/ReplicaStatusCollector.java
@@ -15,7 +15,7 @@
 import org.micabarrow.protocol.wire.StatusReply;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.FoldedState;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
@@ -59,7 +59,8 @@
                 replicas);
     }
 
-    private static OperatorMessages.Replica toMessage(Placed placed, Replica replica, Result<StatusReply> reply) {
+    private static OperatorMessages.Replica toMessage(
+            ActivePlacement placed, Replica replica, Result<StatusReply> reply) {
         Optional<ReplicaView> view = reply.toOptional()
                 .flatMap(status -> status.getReplicasList().stream()
                         .filter(replicaStatus -> replicaStatus
--- a/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
+++ b/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
@@ -14,7 +14,7 @@
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Organisation;
 import org.micabarrow.state.Result;
 
@@ -37,7 +37,7 @@
      * @param model whether the workload is a model
      * @return the eligibility of each replica, or a failure if the organisation is unknown
      */
-    Result<OperatorMessages.Explained> explain(String organisationName, String workload, boolean model) {
+    Result<OperatorMessages.ExplainResponse> explain(String organisationName, String workload, boolean model) {
         FoldedState state = dependencies.configuration().current();
         Organisation organisation = state.organisations().get(organisationName);
         if (organisation == null) {
@@ -48,9 +48,9 @@
                     "unknown organisation \"" + organisationName + "\"; known: "
                             + String.join(", ", state.organisations().keySet())));
         }
-        Optional<Placed> placed = RequestFlow.placementFor(state, organisationName, workload, model);
+        Optional<ActivePlacement> placed = RequestFlow.placementFor(state, organisationName, workload, model);
         return Result.success(placed.map(found -> explanationOf(organisationName, workload, found))
-                .orElseGet(() -> new OperatorMessages.Explained(
+                .orElseGet(() -> new OperatorMessages.ExplainResponse(
                         organisationName,
                         workload,
                         "",
@@ -58,7 +58,8 @@
                         List.of())));
     }
 
-    private OperatorMessages.Explained explanationOf(String organisation, String workload, Placed placed) {
+    private OperatorMessages.ExplainResponse explanationOf(
+            String organisation, String workload, ActivePlacement placed) {
         Router.Wish preferences = new Router.Wish(List.of(), true, Set.of(), clock.millis());
         Router.Decision decision =
                 dependencies.router().route(placed, dependencies.agentTable().peers(), preferences);
@@ -77,7 +78,7 @@
         String verdict = decision.chosen()
                 .map(replica -> "a request now would go to " + replica.instance())
                 .orElse("no replica may take a request now");
-        return new OperatorMessages.Explained(
+        return new OperatorMessages.ExplainResponse(
                 organisation, workload, placed.placement().name(), verdict, candidates);
     }
 }
--- a/src/test/java/org/micabarrow/Samples.java
+++ b/src/test/java/org/micabarrow/Samples.java
@@ -47,20 +47,20 @@
         return instances;
     }
 
-    public static Intent.Declared declared(String name, Artifact weights, int replicas, List<String> halls) {
-        return new Intent.Declared(
+    public static Intent.DeclaredPlacement declared(String name, Artifact weights, int replicas, List<String> halls) {
+        return new Intent.DeclaredPlacement(
                 name,
                 new Intent.Target.Model("assistant", weights.digest(), List.of()),
                 List.of(),
                 halls,
                 List.of("riders"),
                 replicas,
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(1, 500));
     }
 
-    public static Plan plan(FoldedState state, Intent.Declared... declared) {
+    public static Plan plan(FoldedState state, Intent.DeclaredPlacement... declared) {
         Intent intent = new Intent(state.organisations().isEmpty() ? List.of(RIDERS) : List.of(), List.of(declared));
         return new Planner(LINKS, state, instances(3), ARTIFACTS)
                 .plan(intent)
@@ -97,8 +97,8 @@
                 List.of("norte-a"),
                 List.of("riders"),
                 replicas.size(),
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(0, 0));
         Plan plan = new Plan(
                 -1,
@@ -108,8 +108,8 @@
         return confirmed(FoldedState.empty(), plan);
     }
 
-    public static Optional<FoldedState.Placed> assistant(FoldedState state) {
-        return state.placed("assistant");
+    public static Optional<FoldedState.ActivePlacement> assistant(FoldedState state) {
+        return state.activePlacement("assistant");
     }
 
     /** A route of streams that may be resumed, on the users' platform, which holds a request for so long. */
--- a/src/test/java/org/micabarrow/coordination/agents/AgentFlowTest.java
+++ b/src/test/java/org/micabarrow/coordination/agents/AgentFlowTest.java
@@ -41,7 +41,7 @@
     private final ManualClock clock = new ManualClock();
     private final FoldedState state = Samples.assistantOn(2);
     private final Replica here =
-            state.placed("assistant").orElseThrow().replicas().getFirst();
+            state.activePlacement("assistant").orElseThrow().replicas().getFirst();
     private final Identity identity = new Identity(here.instance(), here.region(), here.hall(), 7);
     private final ConcurrencyLimit limit = new ConcurrencyLimit(1, 4, 4);
     private final Ledger ledger = new Ledger("7", 10, 1000, 1000);
--- a/src/test/java/org/micabarrow/coordination/configuration/DutiesTest.java
+++ b/src/test/java/org/micabarrow/coordination/configuration/DutiesTest.java
@@ -24,7 +24,7 @@
     private final ManualClock clock = new ManualClock();
     private final FoldedState state = Samples.assistantOn(3);
     private final Replica lost =
-            state.placed("assistant").orElseThrow().replicas().getFirst();
+            state.activePlacement("assistant").orElseThrow().replicas().getFirst();
 
     private Duties duties(String entry) {
         return new Duties(entry, REPAIR_MILLIS, CHECKPOINT_MILLIS, () -> "id", clock);
--- a/src/test/java/org/micabarrow/coordination/configuration/RecordWriterTest.java
+++ b/src/test/java/org/micabarrow/coordination/configuration/RecordWriterTest.java
@@ -57,7 +57,7 @@
         };
     }
 
-    private Result<FoldedState.Seen> write(String id, Duration within) {
+    private Result<FoldedState.RecordVerdict> write(String id, Duration within) {
         Record record = new Record.OriginDrawn(id, -1, "nothing", "x", 1);
         return new RecordWriter(readBack(), configuration, InstantSource.system()).write(record, within);
     }
@@ -65,7 +65,7 @@
     @Test
     void shouldFindRecordWhenAnswerIsLostAfterItTookEffect() {
         log.loseAnswers(1);
-        FoldedState.Seen seen = write("a", LONG).toOptional().orElseThrow();
+        FoldedState.RecordVerdict seen = write("a", LONG).toOptional().orElseThrow();
         assertEquals(0, seen.offset());
         assertEquals(1, log.appends());
     }
@@ -79,8 +79,8 @@
 
     @Test
     void shouldGiveFirstVerdictWhenSameIdIsWrittenAgain() {
-        FoldedState.Seen first = write("a", LONG).toOptional().orElseThrow();
-        FoldedState.Seen second = write("a", LONG).toOptional().orElseThrow();
+        FoldedState.RecordVerdict first = write("a", LONG).toOptional().orElseThrow();
+        FoldedState.RecordVerdict second = write("a", LONG).toOptional().orElseThrow();
         assertEquals(first, second);
         assertInstanceOf(Verdict.Refused.class, second.verdict());
         assertEquals(
--- a/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
@@ -66,7 +66,7 @@
 
     private Map<String, PeerView> peers() {
         Map<String, PeerView> peers = new HashMap<>();
-        state.placed("assistant").orElseThrow().replicas().forEach(replica -> {
+        state.activePlacement("assistant").orElseThrow().replicas().forEach(replica -> {
             ReplicaView view = new ReplicaView(
                     "assistant", "v", ReplicaView.State.READY, 1, 1, Optional.of("v"), Optional.empty());
             peers.put(
@@ -223,7 +223,10 @@
 
     @Test
     void shouldTellNotRunAtOnceWhenNobodyIsReady() {
-        state.placed("assistant").orElseThrow().replicas().forEach(replica -> traffic.opened(replica.instance()));
+        state.activePlacement("assistant")
+                .orElseThrow()
+                .replicas()
+                .forEach(replica -> traffic.opened(replica.instance()));
         limit = 0;
         clock.advance(RequestFlow.LONGEST_QUEUE.toMillis());
         begin("r", 1, 0);
--- a/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
+++ b/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Placement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
@@ -28,7 +28,8 @@
     private static final long NOW = 1_000_000;
     private static final int LIMIT = 10;
 
-    private final Placed placed = assistantOn(3).placed("assistant").orElseThrow();
+    private final ActivePlacement placed =
+            assistantOn(3).activePlacement("assistant").orElseThrow();
     private final Traffic traffic = new Traffic();
     private final PrefixIndex prefixes = new PrefixIndex(100);
     private final Router router = new Router("norte", "norte-a", traffic, prefixes, new Random(1));
@@ -108,10 +109,10 @@
                 List.of("nowhere"),
                 List.of("riders"),
                 3,
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(0, 0));
-        Placed elsewhere = new Placed(narrowed, "plan", 0, placed.chains(), 0, 0, Optional.empty());
+        ActivePlacement elsewhere = new ActivePlacement(narrowed, "plan", 0, placed.chains(), 0, 0, Optional.empty());
         Router.Decision decision = router.route(elsewhere, peers, new Router.Wish(List.of(), true, Set.of(), NOW));
         assertTrue(decision.chosen().isEmpty());
     }
--- a/src/test/java/org/micabarrow/coordination/weights/SourceChoiceTest.java
+++ b/src/test/java/org/micabarrow/coordination/weights/SourceChoiceTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.micabarrow.Samples;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 
 class SourceChoiceTest {
@@ -59,7 +59,8 @@
 
     @Test
     void shouldFollowChainThenOtherChainsThenStoreThenOrigin() {
-        Placed placed = Samples.assistantOn(6).placed("assistant").orElseThrow();
+        ActivePlacement placed =
+                Samples.assistantOn(6).activePlacement("assistant").orElseThrow();
         List<Replica> chain = placed.chains().getFirst();
         List<Source> order = Source.order(placed, chain.get(2).instance());
         assertEquals(new Source.Peer(chain.get(1)), order.get(0));
@@ -72,7 +73,8 @@
 
     @Test
     void shouldTurnToIdleLinksFirstAfterStall() {
-        Placed placed = Samples.assistantOn(6).placed("assistant").orElseThrow();
+        ActivePlacement placed =
+                Samples.assistantOn(6).activePlacement("assistant").orElseThrow();
         List<Replica> chain = placed.chains().getFirst();
         List<Source> order = Source.orderAfterStall(placed, chain.get(2).instance());
         assertEquals(new Source.Peer(placed.chains().get(1).getLast()), order.get(0));
--- a/src/test/java/org/micabarrow/process/SystemFixture.java
+++ b/src/test/java/org/micabarrow/process/SystemFixture.java
@@ -77,12 +77,12 @@
         return http.call(call, WITHIN).toOptional().orElseThrow();
     }
 
-    OperatorMessages.Planned plan(String entry, String intent) throws IOException {
+    OperatorMessages.PlanResponse plan(String entry, String intent) throws IOException {
         HttpClient.HttpResponse answer = operator(entry, LocalSystem.OPERATOR_TOKEN, "POST", "/plan", intent);
         if (answer.status() != 200) {
             throw new AssertionError(new String(answer.body(), StandardCharsets.UTF_8));
         }
-        return CanonicalJson.read(answer.body(), OperatorMessages.Planned.class);
+        return CanonicalJson.read(answer.body(), OperatorMessages.PlanResponse.class);
     }
 
     HttpClient.HttpResponse confirm(String entry, String id) {
@@ -150,16 +150,16 @@
         }
     }
 
-    OperatorMessages.Explained explain(String entry) {
+    OperatorMessages.ExplainResponse explain(String entry) {
         return explain(entry, "model=assistant");
     }
 
-    private OperatorMessages.Explained explain(String entry, String workload) {
+    private OperatorMessages.ExplainResponse explain(String entry, String workload) {
         try {
             return CanonicalJson.read(
                     operator(entry, LocalSystem.OPERATOR_TOKEN, "GET", "/explain?organisation=riders&" + workload, "")
                             .body(),
-                    OperatorMessages.Explained.class);
+                    OperatorMessages.ExplainResponse.class);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/org/micabarrow/process/WholePathTest.java
+++ b/src/test/java/org/micabarrow/process/WholePathTest.java
@@ -59,7 +59,7 @@
     @Order(1)
     void shouldMoveNothingUntilPlanIsConfirmed() throws IOException {
         fixture.awaitListed();
-        OperatorMessages.Planned planned =
+        OperatorMessages.PlanResponse planned =
                 fixture.plan("entry-1", fixture.intent(fixture.weights.version(), "\"norte-a\"", 2));
         assertEquals(2, planned.plan().placements().getFirst().moves().size());
         Await.until(
@@ -128,7 +128,7 @@
     @Test
     @Order(5)
     void shouldRefuseSecondConfirmation() throws IOException {
-        OperatorMessages.Planned planned =
+        OperatorMessages.PlanResponse planned =
                 fixture.plan("entry-1", fixture.intent(fixture.weights.version(), "\"norte-a\"", 2));
         assertEquals(200, fixture.confirm("entry-1", planned.id()).status());
         HttpResponse again = fixture.confirm("entry-2", planned.id());
--- a/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
+++ b/src/test/java/org/micabarrow/serving/ManifestAgeTest.java
@@ -77,10 +77,10 @@
                         new MetricRegistry(),
                         clock::get,
                         (endpoint, then) -> then.accept(true),
-                        new ServingHandler.VersionTimes(WITHIN.toMillis(), WITHIN.toMillis(), WITHIN.toMillis()),
-                        new ManifestAge(views::operatorAsOfMillis, MOST_MILLIS),
-                        CrashTracking.unnoticed())));
-        views.apply(Topic.OPERATOR, List.of(manifest(1, LATE)), LATE + 1);
+                        new ServingHandler.VersionTimes(TIMEOUT.toMillis(), TIMEOUT.toMillis(), TIMEOUT.toMillis()),
+                        new ManifestAge(views::operatorAsOfMillis, MAX_AGE_MILLIS),
+                        CrashTracking.disabled())));
+        views.apply(Topic.OPERATOR, List.of(manifest(1, LATE_OFFSET)), LATE_OFFSET + 1);
     }
 
     @AfterEach
--- a/src/test/java/org/micabarrow/serving/ServingFixture.java
+++ b/src/test/java/org/micabarrow/serving/ServingFixture.java
@@ -84,9 +84,9 @@
                 agentQueries,
                 times,
                 new ManifestAge(OptionalLong::empty, 0),
-                CrashTracking.unnoticed()));
-        HttpListener.startOnWorker(clients(), HttpListener.Limits.defaults(), worker, handler);
-        FollowedStore.follow(client, settings, WITHIN, views);
+                CrashTracking.disabled()));
+        HttpListener.startOnWorker(clientAddress(), HttpListener.Limits.defaults(), worker, handler);
+        TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
     }
 
     /** Adds a manifest and one plain endpoint. */
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -247,8 +247,8 @@
                 (endpoint, then) -> then.accept(true),
                 new ServingHandler.VersionTimes(GRACE_MILLIS, GRACE_MILLIS, GRACE_MILLIS),
                 new ManifestAge(OptionalLong::empty, 0),
-                CrashTracking.unnoticed()));
-        protocol.first.set(handler.connections()::leave);
+                CrashTracking.disabled()));
+        protocol.onFirstResponse.set(handler.connections()::startDraining);
         String clients = settings.listen().clients().orElseThrow();
         HttpListener.startOnWorker(clients, HttpListener.Limits.defaults(), worker, handler);
         TopicFollowers.startAndAwaitView(client, settings, TIMEOUT, views);
--- a/src/test/java/org/micabarrow/state/PlannerTest.java
+++ b/src/test/java/org/micabarrow/state/PlannerTest.java
@@ -20,7 +20,7 @@
 
 class PlannerTest {
 
-    private static Fault planFault(Intent.Declared declared) {
+    private static Fault planFault(Intent.DeclaredPlacement declared) {
         Intent intent = new Intent(List.of(RIDERS), List.of(declared));
         return new Planner(LINKS, FoldedState.empty(), instances(3), ARTIFACTS)
                 .plan(intent)
@@ -74,7 +74,7 @@
     @Test
     void shouldKeepCurrentInstancesWhenReplicasAreAdded() {
         FoldedState state = assistantOn(3);
-        Set<String> before = state.placed("assistant").orElseThrow().replicas().stream()
+        Set<String> before = state.activePlacement("assistant").orElseThrow().replicas().stream()
                 .map(Replica::instance)
                 .collect(Collectors.toSet());
         Plan.Step step = plan(state, declared("assistant", WEIGHTS, 5, List.of()))
--- a/src/test/java/org/micabarrow/state/ReducerTest.java
+++ b/src/test/java/org/micabarrow/state/ReducerTest.java
@@ -52,7 +52,12 @@
         Verdict.Superseded superseded = assertInstanceOf(Verdict.Superseded.class, second.verdict());
         assertEquals(first.state().offset(), superseded.at());
         assertEquals(
-                4, second.state().placed("assistant").orElseThrow().replicas().size());
+                4,
+                second.state()
+                        .activePlacement("assistant")
+                        .orElseThrow()
+                        .replicas()
+                        .size());
     }
 
     @Test
@@ -82,19 +87,28 @@
         Reducer.Outcome delayed = foldNext(state, confirm("c1", old));
         assertInstanceOf(Verdict.Superseded.class, delayed.verdict());
         assertEquals(
-                6, delayed.state().placed("assistant").orElseThrow().replicas().size());
+                6,
+                delayed.state()
+                        .activePlacement("assistant")
+                        .orElseThrow()
+                        .replicas()
+                        .size());
     }
 
     @Test
     void shouldApplyRecordOnceWhenItIsWrittenTwice() {
         FoldedState before = assistantOn(3);
-        String instance =
-                before.placed("assistant").orElseThrow().replicas().getFirst().instance();
+        String instance = before.activePlacement("assistant")
+                .orElseThrow()
+                .replicas()
+                .getFirst()
+                .instance();
         Record draw = new Record.OriginDrawn("d", before.offset(), "assistant", instance, 300);
         FoldedState once = foldNext(before, draw).state();
         Reducer.Outcome twice = foldNext(once, draw);
         assertEquals(new Verdict.Duplicate(once.offset()), twice.verdict());
-        assertEquals(300, twice.state().placed("assistant").orElseThrow().drawn());
+        assertEquals(
+                300, twice.state().activePlacement("assistant").orElseThrow().drawn());
     }
 
     @Test
@@ -116,8 +130,11 @@
     })
     void shouldGrantOriginBytesOnlyWhenEnvelopeAllows(long first, long second, boolean granted) {
         FoldedState state = assistantOn(3);
-        String instance =
-                state.placed("assistant").orElseThrow().replicas().getFirst().instance();
+        String instance = state.activePlacement("assistant")
+                .orElseThrow()
+                .replicas()
+                .getFirst()
+                .instance();
         state = foldNext(state, new Record.OriginDrawn("d1", state.offset(), "assistant", instance, first))
                 .state();
         Verdict verdict = foldNext(state, new Record.OriginDrawn("d2", state.offset(), "assistant", instance, second))
@@ -128,7 +145,8 @@
     @Test
     void shouldRefuseReplacementWhenEnvelopeIsExhausted() {
         FoldedState state = assistantOn(3);
-        Replica lost = state.placed("assistant").orElseThrow().replicas().getFirst();
+        Replica lost =
+                state.activePlacement("assistant").orElseThrow().replicas().getFirst();
         Replica spare = new Replica("norte-a-3", "norte", "norte-a", "norte-a-3:1");
         Reducer.Outcome first =
                 foldNext(state, new Record.ReplicaReplaced("r1", state.offset(), "assistant", lost.instance(), spare));
@@ -144,8 +162,11 @@
     void shouldRefuseReplacementWhenHallIsNotAllowed() {
         FoldedState empty = FoldedState.empty();
         FoldedState state = confirmed(empty, plan(empty, declared("assistant", WEIGHTS, 2, List.of("norte-a"))));
-        String lost =
-                state.placed("assistant").orElseThrow().replicas().getFirst().instance();
+        String lost = state.activePlacement("assistant")
+                .orElseThrow()
+                .replicas()
+                .getFirst()
+                .instance();
         Replica outside = new Replica("sur-a-1", "sur", "sur-a", "sur-a-1:1");
         Verdict verdict = foldNext(state, new Record.ReplicaReplaced("r", state.offset(), "assistant", lost, outside))
                 .verdict();
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -35,7 +35,7 @@
     private final ManualClock clock = new ManualClock();
     private final Traffic traffic = new Traffic();
 
-    private CallerHandler callers() {
+    private CallerHandler callerHandler() {
         RequestFlow flow = new RequestFlow(
                 FoldedState::empty,
                 Map::of,
