--- a/src/main/java/org/micabarrow/coordination/admission/ConcurrencyLimit.java
+++ b/src/main/java/org/micabarrow/coordination/admission/ConcurrencyLimit.java
@@ -7,7 +7,7 @@
  * <p>Thread-safe.
  *
  * <pre>{@code
- * if (limit.tryOpen(true)) { ... limit.close(firstByteMillis); }
+ * if (limit.tryAcquire(true)) { ... limit.release(firstByteMillis); }
  * }</pre>
  */
 public final class ConcurrencyLimit {
@@ -57,7 +57,7 @@
      * @param shortRequest whether the request may use the slots reserved for short requests
      * @return whether a slot was acquired
      */
-    public synchronized boolean tryOpen(boolean shortRequest) {
+    public synchronized boolean tryAcquire(boolean shortRequest) {
         int currentLimit = limit();
         boolean full = inFlight >= currentLimit
                 || !shortRequest
@@ -75,7 +75,7 @@
      *
      * @param shortRequest the value with which the slot was acquired
      */
-    public synchronized void close(boolean shortRequest) {
+    public synchronized void release(boolean shortRequest) {
         inFlight--;
         longInFlight -= shortRequest ? 0 : 1;
     }
@@ -85,7 +85,7 @@
      *
      * @param millis the time to first byte, in milliseconds
      */
-    public synchronized void began(double millis) {
+    public synchronized void recordFirstByte(double millis) {
         baselineMillis = Math.min(baselineMillis * BASELINE_DRIFT, millis);
         boolean slow = millis > baselineMillis * SLOW_FACTOR + SLACK_MILLIS;
         if (slow) {
@@ -101,7 +101,7 @@
      *
      * @param slots the number of requests that the endpoint reports it can run concurrently
      */
-    public synchronized void suggest(int slots) {
+    public synchronized void initialize(int slots) {
         if (!initialized) {
             initialized = true;
             limit = Math.clamp(slots, min, max);
@@ -122,7 +122,7 @@
      *
      * @return the count
      */
-    public synchronized int open() {
+    public synchronized int inFlight() {
         return inFlight;
     }
 }
--- a/src/main/java/org/micabarrow/coordination/admission/RetryBudget.java
+++ b/src/main/java/org/micabarrow/coordination/admission/RetryBudget.java
@@ -6,7 +6,7 @@
  * <p>Thread-safe.
  *
  * <pre>{@code
- * budget.sent();
+ * budget.recordFirstAttempt();
  * boolean again = budget.tryRetry();
  * }</pre>
  */
@@ -29,7 +29,7 @@
     }
 
     /** Counts a first attempt. */
-    public synchronized void sent() {
+    public synchronized void recordFirstAttempt() {
         credit = Math.min(maxCredit, credit + ratio);
     }
 
--- a/src/main/java/org/micabarrow/coordination/calls/AgentCalls.java
+++ b/src/main/java/org/micabarrow/coordination/calls/AgentClient.java
@@ -8,7 +8,7 @@
 import org.micabarrow.state.Result;
 
 /** Calls from an entry to agents. */
-public interface AgentCalls {
+public interface AgentClient {
 
     /**
      * Sends a request.
@@ -18,7 +18,7 @@
      * @param listener receives the response, always including its end
      * @return cancels the request when run
      */
-    Runnable handle(Replica to, AgentRequest request, AnswerListener listener);
+    Runnable handle(Replica to, AgentRequest request, ResponseListener listener);
 
     /**
      * Requests that an agent refuse a claimed key permanently unless it has started.
@@ -28,5 +28,5 @@
      * @return the state of the key; a failure if the agent does not respond; empty if the process that the claim names has
      *     been replaced
      */
-    CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim);
+    CompletableFuture<Result<Optional<Ledger.Settlement>>> settle(Replica to, Claim claim);
 }
--- a/src/main/java/org/micabarrow/coordination/calls/AnswerHead.java
+++ b/src/main/java/org/micabarrow/coordination/calls/ResponseHead.java
@@ -14,7 +14,7 @@
  * @param hall the instance's data hall
  * @param generation the configuration generation under which the agent started the request
  */
-public record AnswerHead(
+public record ResponseHead(
         String attempt,
         int status,
         String contentType,
@@ -25,7 +25,7 @@
         long generation) {
 
     /** Validates the components. */
-    public AnswerHead {
+    public ResponseHead {
         Objects.requireNonNull(attempt, "attempt is null");
         Objects.requireNonNull(contentType, "contentType is null");
         Objects.requireNonNull(version, "version is null");
--- a/src/main/java/org/micabarrow/coordination/calls/AnswerListener.java
+++ b/src/main/java/org/micabarrow/coordination/calls/ResponseListener.java
@@ -1,14 +1,14 @@
 package org.micabarrow.coordination.calls;
 
 /** Receives the parts of one attempt's response, in order, one call at a time. */
-public interface AnswerListener {
+public interface ResponseListener {
 
     /**
      * Called when the response starts.
      *
      * @param head the head of the response
      */
-    void onHead(AnswerHead head);
+    void onHead(ResponseHead head);
 
     /**
      * Called for each part of the body.
--- a/src/main/java/org/micabarrow/coordination/claims/Claims.java
+++ b/src/main/java/org/micabarrow/coordination/claims/ClaimStream.java
@@ -28,12 +28,12 @@
  * so that a few hundred appends a second carry many claims.
  *
  * <pre>{@code
- * Claims claims = Claims.start(log, "claims-0", Duration.ofHours(1), clock);
+ * ClaimStream claims = Claims.start(log, "claims-0", Duration.ofHours(1), clock);
  * }</pre>
  */
-public final class Claims implements ClaimWriter, AutoCloseable {
+public final class ClaimStream implements ClaimWriter, AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Claims.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ClaimStream.class);
 
     /** The maximum number of claims in one append, which bounds the size of a record. */
     private static final int MAX_BATCH_SIZE = 256;
@@ -56,7 +56,7 @@
     private long nextOffset;
     private volatile boolean caughtUp;
 
-    private Claims(PlatformLog log, String stream, Duration retention, InstantSource clock) {
+    private ClaimStream(PlatformLog log, String stream, Duration retention, InstantSource clock) {
         this.log = Objects.requireNonNull(log, "log is null");
         this.stream = Objects.requireNonNull(stream, "stream is null");
         this.clock = Objects.requireNonNull(clock, "clock is null");
@@ -77,8 +77,8 @@
      * @param clock measures timeouts and the age of claims
      * @return the claims, with their threads running
      */
-    public static Claims start(PlatformLog log, String stream, Duration retention, InstantSource clock) {
-        Claims claims = new Claims(log, stream, retention, clock);
+    public static ClaimStream start(PlatformLog log, String stream, Duration retention, InstantSource clock) {
+        ClaimStream claims = new ClaimStream(log, stream, retention, clock);
         claims.writer.start();
         claims.reader.start();
         return claims;
--- a/src/main/java/org/micabarrow/coordination/claims/Ledger.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Ledger.java
@@ -61,9 +61,9 @@
         /**
          * It has ended.
          *
-         * @param answer its response, if that is still stored
+         * @param response its response, if that is still stored
          */
-        record Done(Optional<Answer> answer) implements Start {}
+        record Done(Optional<StoredResponse> response) implements Start {}
     }
 
     /**
@@ -73,17 +73,17 @@
      * @param contentType the content type of the body
      * @param body the body
      */
-    public record Answer(int status, String contentType, byte[] body) {}
+    public record StoredResponse(int status, String contentType, byte[] body) {}
 
     /** The state of a key. */
-    public enum Fate {
+    public enum KeyState {
         REFUSED,
         RUNNING,
         DONE
     }
 
     /** The entry of a key. */
-    private record Entry(Fate fate, long latestStartMillis, Optional<Answer> answer) {}
+    private record Entry(KeyState state, long latestStartMillis, Optional<StoredResponse> response) {}
 
     /**
      * Decides whether a claimed request starts now.
@@ -100,10 +100,10 @@
         }
         Entry entry = entries.get(claim.key());
         if (entry != null) {
-            return switch (entry.fate()) {
+            return switch (entry.state()) {
                 case REFUSED -> new Start.Refused("the key was refused permanently by this process");
                 case RUNNING -> new Start.Running();
-                case DONE -> new Start.Done(entry.answer());
+                case DONE -> new Start.Done(entry.response());
             };
         }
         if (nowMillis > claim.latestStartMillis()) {
@@ -112,7 +112,7 @@
         if (entries.size() >= capacity) {
             return new Start.Refused("the ledger is full");
         }
-        entries.put(claim.key(), new Entry(Fate.RUNNING, claim.latestStartMillis(), Optional.empty()));
+        entries.put(claim.key(), new Entry(KeyState.RUNNING, claim.latestStartMillis(), Optional.empty()));
         return new Start.Run();
     }
 
@@ -124,35 +124,35 @@
      * @param nowMillis the current time
      * @return the final or current state of the key, with the stored response if there is one
      */
-    public synchronized Settled settle(String key, long latestStartMillis, long nowMillis) {
+    public synchronized Settlement settle(String key, long latestStartMillis, long nowMillis) {
         removeExpired(nowMillis);
-        Entry entry =
-                entries.computeIfAbsent(key, missing -> new Entry(Fate.REFUSED, latestStartMillis, Optional.empty()));
-        return new Settled(entry.fate(), entry.answer());
+        Entry entry = entries.computeIfAbsent(
+                key, missing -> new Entry(KeyState.REFUSED, latestStartMillis, Optional.empty()));
+        return new Settlement(entry.state(), entry.response());
     }
 
     /**
      * The settled state of a key.
      *
-     * @param fate its state
-     * @param answer its response, if it has ended and the response is stored
+     * @param state its state
+     * @param response its response, if it has ended and the response is stored
      */
-    public record Settled(Fate fate, Optional<Answer> answer) {}
+    public record Settlement(KeyState state, Optional<StoredResponse> response) {}
 
     /**
      * Records that a started request has ended.
      *
      * @param key the key
-     * @param answer the response, empty if there is no complete one
+     * @param response the response, empty if there is no complete one
      */
-    public synchronized void ended(String key, Optional<Answer> answer) {
+    public synchronized void recordEnd(String key, Optional<StoredResponse> response) {
         Entry entry = entries.get(key);
-        if (entry == null || entry.fate() != Fate.RUNNING) {
+        if (entry == null || entry.state() != KeyState.RUNNING) {
             return;
         }
-        Optional<Answer> stored = answer.filter(response -> response.body().length <= maxResponseBytes);
-        storedBytes += stored.map(response -> response.body().length).orElse(0);
-        entries.put(key, new Entry(Fate.DONE, entry.latestStartMillis(), stored));
+        Optional<StoredResponse> stored = response.filter(value -> value.body().length <= maxResponseBytes);
+        storedBytes += stored.map(value -> value.body().length).orElse(0);
+        entries.put(key, new Entry(KeyState.DONE, entry.latestStartMillis(), stored));
         evictOldResponses();
     }
 
@@ -161,9 +161,9 @@
      *
      * @param key the key
      */
-    public synchronized void neverRan(String key) {
+    public synchronized void recordNotRun(String key) {
         entries.computeIfPresent(
-                key, (same, entry) -> new Entry(Fate.REFUSED, entry.latestStartMillis(), Optional.empty()));
+                key, (same, entry) -> new Entry(KeyState.REFUSED, entry.latestStartMillis(), Optional.empty()));
     }
 
     /** Evicts the oldest responses. Their keys stay recorded as done. */
@@ -172,10 +172,10 @@
         while (storedBytes > maxResponseBytes && oldest.hasNext()) {
             Map.Entry<String, Entry> keyed = oldest.next();
             storedBytes -= keyed.getValue()
-                    .answer()
-                    .map(response -> response.body().length)
+                    .response()
+                    .map(value -> value.body().length)
                     .orElse(0);
-            keyed.setValue(new Entry(keyed.getValue().fate(), keyed.getValue().latestStartMillis(), Optional.empty()));
+            keyed.setValue(new Entry(keyed.getValue().state(), keyed.getValue().latestStartMillis(), Optional.empty()));
         }
     }
 
@@ -186,13 +186,12 @@
             if (!expired) {
                 break;
             }
-            if (keyed.getValue().fate() != Fate.RUNNING) {
+            if (keyed.getValue().state() != KeyState.RUNNING) {
                 expiredEntries.put(keyed.getKey(), keyed.getValue());
             }
         }
         expiredEntries.forEach((key, entry) -> {
-            storedBytes -=
-                    entry.answer().map(response -> response.body().length).orElse(0);
+            storedBytes -= entry.response().map(value -> value.body().length).orElse(0);
             entries.remove(key);
         });
     }
--- a/src/main/java/org/micabarrow/coordination/requests/AttemptResponseListener.java
+++ b/src/main/java/org/micabarrow/coordination/requests/AttemptResponseListener.java
@@ -1,21 +1,21 @@
 package org.micabarrow.coordination.requests;
 
 import java.util.function.Consumer;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.state.Replica;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Forwards the response of one attempt to the caller and records it in the measurements of the instance. */
-final class AttemptResponseListener implements AnswerListener {
+final class AttemptResponseListener implements ResponseListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.decision.route");
 
-    private final RequestFlow.Parts parts;
+    private final RequestFlow.Components components;
     private final CallerRequest request;
-    private final AnswerListener sink;
+    private final ResponseListener sink;
     private final Replica replica;
     private final String attempt;
     private final Runnable onResponseStart;
@@ -25,7 +25,7 @@
     /**
      * Creates the listener of an attempt that is about to be sent.
      *
-     * @param parts the components that requests use
+     * @param components the components that requests use
      * @param request the request
      * @param sink receives the caller's response
      * @param replica the replica that the attempt is sent to
@@ -34,28 +34,29 @@
      * @param onAttemptEnd receives the attempt's outcome
      */
     AttemptResponseListener(
-            RequestFlow.Parts parts,
+            RequestFlow.Components components,
             CallerRequest request,
-            AnswerListener sink,
+            ResponseListener sink,
             Replica replica,
             String attempt,
             Runnable onResponseStart,
             Consumer<Outcome> onAttemptEnd) {
-        this.parts = parts;
+        this.components = components;
         this.request = request;
         this.sink = sink;
         this.replica = replica;
         this.attempt = attempt;
         this.onResponseStart = onResponseStart;
         this.onAttemptEnd = onAttemptEnd;
-        this.sentMillis = parts.clock().millis();
+        this.sentMillis = components.clock().millis();
     }
 
     @Override
-    public void onHead(AnswerHead head) {
+    public void onHead(ResponseHead head) {
         onResponseStart.run();
-        parts.instanceStats()
-                .firstByteReceived(replica.instance(), parts.clock().millis() - sentMillis);
+        components
+                .instanceStats()
+                .firstByteReceived(replica.instance(), components.clock().millis() - sentMillis);
         sink.onHead(head);
     }
 
@@ -66,7 +67,7 @@
 
     @Override
     public void onEnd(Outcome outcome) {
-        parts.instanceStats().requestEnded(replica.instance());
+        components.instanceStats().requestEnded(replica.instance());
         LOG.info(
                 "end request={} attempt={} instance={} outcome={}", request.id(), attempt, replica.instance(), outcome);
         onAttemptEnd.accept(outcome);
--- a/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
+++ b/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.util.Optional;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.ClaimResult;
 import org.micabarrow.coordination.claims.Ledger;
@@ -13,7 +13,7 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 import org.slf4j.Logger;
@@ -35,15 +35,19 @@
     private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
     private final RequestFlow flow;
-    private final RequestFlow.Parts parts;
+    private final RequestFlow.Components components;
     private final CallerRequest request;
-    private final AnswerListener sink;
+    private final ResponseListener sink;
     private final Callback callback;
 
     KeyClaimer(
-            RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink, Callback callback) {
+            RequestFlow flow,
+            RequestFlow.Components components,
+            CallerRequest request,
+            ResponseListener sink,
+            Callback callback) {
         this.flow = flow;
-        this.parts = parts;
+        this.components = components;
         this.request = request;
         this.sink = sink;
         this.callback = callback;
@@ -53,7 +57,7 @@
     interface Callback {
 
         /** The key is claimed; the attempt may be sent. */
-        void onClaimed(Placed placed, Replica replica, String attempt, Claim claim);
+        void onClaimed(ActivePlacement placed, Replica replica, String attempt, Claim claim);
 
         /** The attempt that held the key was refused permanently; another one may be claimed. */
         void onRefused(Claim holder);
@@ -70,19 +74,24 @@
      * @param attempt the attempt's id
      * @param after the id of the earlier attempt with this key that was refused, if there was one
      */
-    void claim(Placed placed, Replica replica, String attempt, Optional<String> after) {
+    void claim(ActivePlacement placed, Replica replica, String attempt, Optional<String> after) {
         String epoch = flow.peer(replica.instance()).map(PeerView::epoch).orElse("");
         String key = RequestFlow.claimKey(
                 request.organisation().name(), request.key().orElseThrow());
         Claim claim =
                 new Claim(key, requestDigest(), replica.instance(), epoch, request.deadlineMillis(), attempt, after);
-        parts.claimWriters().apply(key).claim(claim, parts.claimTimeout()).thenAccept(result -> {
-            switch (result) {
-                case ClaimResult.Won ignored -> callback.onClaimed(placed, replica, attempt, claim);
-                case ClaimResult.Held(Claim holder, long ageMillis) -> handleHeld(placed, claim, holder, ageMillis);
-                case ClaimResult.Failed(Fault fault) -> callback.onEnd(Outcome.notRun(fault, RETRY_AFTER));
-            }
-        });
+        components
+                .claimWriters()
+                .apply(key)
+                .claim(claim, components.claimTimeout())
+                .thenAccept(result -> {
+                    switch (result) {
+                        case ClaimResult.Won ignored -> callback.onClaimed(placed, replica, attempt, claim);
+                        case ClaimResult.Held(Claim holder, long ageMillis) ->
+                            handleHeld(placed, claim, holder, ageMillis);
+                        case ClaimResult.Failed(Fault fault) -> callback.onEnd(Outcome.notRun(fault, RETRY_AFTER));
+                    }
+                });
     }
 
     /** Identifies the call and its body: a key may only be used again for the same ones. */
@@ -91,7 +100,7 @@
                 String.join("\n", request.workload(), request.method(), request.path(), Digest.of(request.body())));
     }
 
-    private void handleHeld(Placed placed, Claim ownClaim, Claim holder, long ageMillis) {
+    private void handleHeld(ActivePlacement placed, Claim ownClaim, Claim holder, long ageMillis) {
         if (!holder.bodyDigest().equals(ownClaim.bodyDigest())) {
             callback.onEnd(Outcome.notRun(
                     Fault.of(
@@ -113,18 +122,18 @@
     }
 
     /** Settles a claimed key; a new attempt follows only if the key was refused permanently. */
-    void settle(Placed placed, Claim holder) {
+    void settle(ActivePlacement placed, Claim holder) {
         Optional<Replica> replica = placed.replicaOn(holder.instance());
         if (replica.isEmpty()) {
             callback.onEnd(Outcome.unknown(
                     Fault.of(Step.CLAIM, holder.instance(), Reason.GONE, "the instance that holds the key is gone")));
             return;
         }
-        parts.agents().settle(replica.get(), holder).thenAccept(result -> {
+        components.agents().settle(replica.get(), holder).thenAccept(result -> {
             LOG.info("settle request={} holder={} result={}", request.id(), holder.attempt(), result);
             switch (result) {
-                case Result.Failure<Optional<Ledger.Settled>>(Fault fault) -> callback.onEnd(Outcome.unknown(fault));
-                case Result.Success<Optional<Ledger.Settled>>(Optional<Ledger.Settled> settled) ->
+                case Result.Failure<Optional<Ledger.Settlement>>(Fault fault) -> callback.onEnd(Outcome.unknown(fault));
+                case Result.Success<Optional<Ledger.Settlement>>(Optional<Ledger.Settlement> settled) ->
                     settled.ifPresentOrElse(
                             settlement -> handleSettled(replica.get(), holder, settlement),
                             () -> callback.onEnd(Outcome.unknown(Fault.of(
@@ -136,31 +145,31 @@
         });
     }
 
-    private void handleSettled(Replica replica, Claim holder, Ledger.Settled settlement) {
-        switch (settlement.fate()) {
+    private void handleSettled(Replica replica, Claim holder, Ledger.Settlement settlement) {
+        switch (settlement.state()) {
             case REFUSED -> callback.onRefused(holder);
             case RUNNING ->
                 callback.onEnd(Outcome.unknown(
                         Fault.of(Step.CLAIM, replica.instance(), Reason.CONFLICT, "the request is in progress")));
-            case DONE -> returnStored(replica, holder, settlement.answer());
+            case DONE -> returnStored(replica, holder, settlement.response());
         }
     }
 
-    private void returnStored(Replica replica, Claim holder, Optional<Ledger.Answer> answer) {
-        if (answer.isEmpty()) {
+    private void returnStored(Replica replica, Claim holder, Optional<Ledger.StoredResponse> response) {
+        if (response.isEmpty()) {
             callback.onEnd(Outcome.unknown(Fault.of(
                     Step.CLAIM, replica.instance(), Reason.GONE, "the request ran; its response is no longer stored")));
             return;
         }
-        sink.onHead(new AnswerHead(
+        sink.onHead(new ResponseHead(
                 holder.attempt(),
-                answer.get().status(),
-                answer.get().contentType(),
+                response.get().status(),
+                response.get().contentType(),
                 "",
                 replica.instance(),
                 replica.region(),
                 replica.hall(),
                 flow.generation()));
-        sink.onData(answer.get().body(), () -> callback.onEnd(Outcome.answered()));
+        sink.onData(response.get().body(), () -> callback.onEnd(Outcome.answered()));
     }
 }
--- a/src/main/java/org/micabarrow/coordination/requests/PlacementQueue.java
+++ b/src/main/java/org/micabarrow/coordination/requests/PlacementQueue.java
@@ -53,7 +53,7 @@
     }
 
     /** Ends the requests whose wait is over, then dispatches the others in order until there is no free slot. */
-    void wake() {
+    void dispatchWaiting() {
         queue.removeIf(RequestExecution::isWaitOver).forEach(RequestExecution::tryDispatch);
         int waiting = queue.size();
         for (int i = 0; i < waiting; i++) {
--- a/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
@@ -7,15 +7,15 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.routing.Exclusion;
 import org.micabarrow.coordination.routing.Router;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
 import org.slf4j.Logger;
@@ -39,9 +39,9 @@
     private static final Duration RETRY_LATER = Duration.ofSeconds(2);
 
     private final RequestFlow flow;
-    private final RequestFlow.Parts parts;
+    private final RequestFlow.Components components;
     private final CallerRequest request;
-    private final AnswerListener sink;
+    private final ResponseListener sink;
     private final AtomicBoolean ended = new AtomicBoolean();
     private final Set<String> tried = new HashSet<>();
     private final KeyClaimer keyClaimer;
@@ -55,12 +55,13 @@
     private volatile Runnable cancelAttempt = () -> {};
     private volatile boolean cancelled;
 
-    RequestExecution(RequestFlow flow, RequestFlow.Parts parts, CallerRequest request, AnswerListener sink) {
+    RequestExecution(
+            RequestFlow flow, RequestFlow.Components components, CallerRequest request, ResponseListener sink) {
         this.flow = Objects.requireNonNull(flow, "flow is null");
-        this.parts = Objects.requireNonNull(parts, "parts is null");
+        this.components = Objects.requireNonNull(components, "components is null");
         this.request = Objects.requireNonNull(request, "request is null");
         this.sink = Objects.requireNonNull(sink, "sink is null");
-        this.keyClaimer = new KeyClaimer(flow, parts, request, sink, new ClaimCallback());
+        this.keyClaimer = new KeyClaimer(flow, components, request, sink, new ClaimCallback());
         this.waitUntilMillis = now() + RequestFlow.MAX_SLOT_WAIT.toMillis();
     }
 
@@ -69,11 +70,11 @@
     }
 
     private long now() {
-        return parts.clock().millis();
+        return components.clock().millis();
     }
 
     /** Whether the request must run at most once. The caller can be stricter than the configuration, but not laxer. */
-    boolean mustRunAtMostOnce(Placed placed) {
+    boolean mustRunAtMostOnce(ActivePlacement placed) {
         boolean configuredAtMostOnce =
                 placed.placement().workload() instanceof Workload.Service(String ignored, boolean repeatable)
                         && !repeatable;
@@ -84,13 +85,13 @@
 
     /** Sends the request, or queues it until a slot is free. Requests that wait already go first. */
     void sendOrQueue() {
-        Optional<Placed> placed = flow.placementOf(request);
+        Optional<ActivePlacement> placed = flow.placementOf(request);
         boolean mustQueue = placed.isPresent() && flow.mustQueue(this, placed.get());
         if (mustQueue || !tryDispatch()) {
             placed.flatMap(value -> flow.enqueue(this, value)).ifPresent(this::end);
         }
         if (mustQueue) {
-            flow.wake();
+            flow.dispatchWaiting();
         }
     }
 
@@ -113,13 +114,13 @@
             end(Outcome.notRun(fault(Reason.TOO_LATE, "the deadline has passed"), RETRY_SOON));
             return true;
         }
-        Optional<Placed> placed = flow.placementOf(request);
+        Optional<ActivePlacement> placed = flow.placementOf(request);
         if (placed.isEmpty()) {
             end(Outcome.notRun(
                     fault(Reason.OUTSIDE_PLACEMENT, "the placement no longer allows the request"), RETRY_SOON));
             return true;
         }
-        Router.Decision decision = flow.route(placed.get(), wish());
+        Router.Decision decision = flow.route(placed.get(), criteria());
         if (decision.chosen().isPresent()) {
             send(placed.get(), decision);
             return true;
@@ -127,12 +128,12 @@
         return !mayWait(placed.get(), decision);
     }
 
-    private Router.Wish wish() {
-        return new Router.Wish(request.prefix(), request.shortRequest(), tried, now());
+    private Router.Criteria criteria() {
+        return new Router.Criteria(request.prefix(), request.shortRequest(), tried, now());
     }
 
     /** Waits only if an instance lacks a free slot; in any other case the request ends immediately. */
-    private boolean mayWait(Placed placed, Router.Decision decision) {
+    private boolean mayWait(ActivePlacement placed, Router.Decision decision) {
         boolean full =
                 decision.exclusions().stream().anyMatch(exclusion -> exclusion.reason() == Exclusion.Reason.FULL);
         if (full && !isWaitOver()) {
@@ -149,14 +150,14 @@
         return false;
     }
 
-    private void send(Placed placed, Router.Decision decision) {
+    private void send(ActivePlacement placed, Router.Decision decision) {
         Replica replica = decision.chosen().orElseThrow();
         if (now() + decision.expectedWaitMillis() > request.deadlineMillis()) {
             end(Outcome.notRun(fault(Reason.TOO_LATE, "the response would start after the deadline"), RETRY_LATER));
             return;
         }
         attempts++;
-        String attempt = parts.attemptIds().get();
+        String attempt = components.attemptIds().get();
         log(placed, decision, attempt);
         if (mustRunAtMostOnce(placed)) {
             keyClaimer.claim(placed, replica, attempt, refusedAttempt);
@@ -165,7 +166,7 @@
         }
     }
 
-    private void log(Placed placed, Router.Decision decision, String attempt) {
+    private void log(ActivePlacement placed, Router.Decision decision, String attempt) {
         LOG.info(
                 "route request={} attempt={} organisation={} placement={} chosen={} wait={} excluded={}",
                 request.id(),
@@ -183,7 +184,7 @@
     private final class ClaimCallback implements KeyClaimer.Callback {
 
         @Override
-        public void onClaimed(Placed placed, Replica replica, String attempt, Claim claim) {
+        public void onClaimed(ActivePlacement placed, Replica replica, String attempt, Claim claim) {
             dispatch(placed, replica, attempt, Optional.of(claim));
         }
 
@@ -199,12 +200,12 @@
         }
     }
 
-    private void dispatch(Placed placed, Replica replica, String attempt, Optional<Claim> claim) {
+    private void dispatch(ActivePlacement placed, Replica replica, String attempt, Optional<Claim> claim) {
         flow.countAttempt();
         lastClaim = claim;
         tried.add(replica.instance());
-        parts.instanceStats().requestSent(replica.instance());
-        parts.prefixes().recordCached(request.prefix(), replica.instance(), now());
+        components.instanceStats().requestSent(replica.instance());
+        components.prefixes().recordCached(request.prefix(), replica.instance(), now());
         AgentRequest sent = new AgentRequest(
                 attempt,
                 flow.generation(),
@@ -219,26 +220,26 @@
                 request.body(),
                 claim);
         AttemptResponseListener listener = new AttemptResponseListener(
-                parts,
+                components,
                 request,
                 sink,
                 replica,
                 attempt,
                 () -> responseStarted = true,
                 outcome -> handleOutcome(placed, replica, outcome));
-        cancelAttempt = parts.agents().handle(replica, sent, listener);
+        cancelAttempt = components.agents().handle(replica, sent, listener);
         if (cancelled) {
             cancel();
         }
     }
 
-    private void handleOutcome(Placed placed, Replica replica, Outcome outcome) {
+    private void handleOutcome(ActivePlacement placed, Replica replica, Outcome outcome) {
         switch (outcome) {
             case Outcome.Answered answered -> end(answered);
             case Outcome.NotRun notRun -> handleRefusal(replica, notRun);
             case Outcome.Unknown unknown -> handleUnknown(placed, replica, unknown);
         }
-        flow.wake();
+        flow.dispatchWaiting();
     }
 
     /** Handles a refusal. A full instance may be tried again after a wait; any other one is excluded from now on. */
@@ -246,7 +247,7 @@
         refusedAttempt = lastClaim.map(Claim::attempt).or(() -> refusedAttempt);
         boolean instanceFull = refusal.fault().reason() == Reason.OVERLOADED;
         if (instanceFull) {
-            parts.instanceStats().markFull(replica.instance(), now());
+            components.instanceStats().markFull(replica.instance(), now());
         }
         if (instanceFull && lastClaim.isEmpty() && !isWaitOver()) {
             lastRefusal = Optional.of(refusal);
@@ -262,8 +263,8 @@
      * Handles an attempt with an unknown outcome: ends if the response has started or the request is cancelled, settles a
      * claimed key, and otherwise retries.
      */
-    private void handleUnknown(Placed placed, Replica replica, Outcome.Unknown unknown) {
-        parts.instanceStats().requestFailed(replica.instance(), now());
+    private void handleUnknown(ActivePlacement placed, Replica replica, Outcome.Unknown unknown) {
+        components.instanceStats().requestFailed(replica.instance(), now());
         if (responseStarted || cancelled) {
             end(unknown);
         } else if (lastClaim.isPresent()) {
@@ -278,7 +279,7 @@
         lastRefusal = Optional.of(refusal);
         boolean mayRetry = attempts < MAX_ATTEMPTS
                 && now() < request.deadlineMillis()
-                && parts.budget().tryRetry();
+                && components.budget().tryRetry();
         if (mayRetry) {
             sendOrQueue();
         } else {
--- a/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
@@ -10,20 +10,20 @@
 import java.util.function.Function;
 import java.util.function.Supplier;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.coordination.calls.AgentCalls;
-import org.micabarrow.coordination.calls.AnswerListener;
+import org.micabarrow.coordination.calls.AgentClient;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.ClaimWriter;
 import org.micabarrow.coordination.membership.PeerView;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.state.Digest;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Workload;
 
 /**
@@ -40,7 +40,7 @@
 
     private final Supplier<FoldedState> state;
     private final Supplier<Map<String, PeerView>> peers;
-    private final Parts parts;
+    private final Components components;
     private final LongAdder requests = new LongAdder();
     private final LongAdder attempts = new LongAdder();
     private final Map<String, PlacementQueue> queues = new ConcurrentHashMap<>();
@@ -50,12 +50,12 @@
      *
      * @param state the active configuration
      * @param peers the current views of the agents, by instance
-     * @param parts the components that requests use
+     * @param components the components that requests use
      */
-    public RequestFlow(Supplier<FoldedState> state, Supplier<Map<String, PeerView>> peers, Parts parts) {
+    public RequestFlow(Supplier<FoldedState> state, Supplier<Map<String, PeerView>> peers, Components components) {
         this.state = Objects.requireNonNull(state, "state is null");
         this.peers = Objects.requireNonNull(peers, "peers is null");
-        this.parts = Objects.requireNonNull(parts, "parts is null");
+        this.components = Objects.requireNonNull(components, "components is null");
     }
 
     /**
@@ -71,11 +71,11 @@
      * @param clock the source of the current time
      * @param claimTimeout the timeout for writing a claim to the log
      */
-    public record Parts(
+    public record Components(
             Router router,
-            Traffic instanceStats,
+            InstanceStats instanceStats,
             PrefixIndex prefixes,
-            AgentCalls agents,
+            AgentClient agents,
             Function<String, ClaimWriter> claimWriters,
             RetryBudget budget,
             Supplier<String> attemptIds,
@@ -89,15 +89,15 @@
      * @param sink receives the response
      * @return cancels the request when run; for a caller that has disconnected
      */
-    public Runnable begin(CallerRequest request, AnswerListener sink) {
+    public Runnable begin(CallerRequest request, ResponseListener sink) {
         Objects.requireNonNull(request, "request is null");
         Objects.requireNonNull(sink, "sink is null");
-        Optional<Placed> placed = placementFor(state.get(), request);
+        Optional<ActivePlacement> placed = placementFor(state.get(), request);
         if (placed.isEmpty()) {
             sink.onEnd(Outcome.notRun(noPlacementFault(request), RETRY_AFTER));
             return () -> {};
         }
-        RequestExecution execution = new RequestExecution(this, parts, request, sink);
+        RequestExecution execution = new RequestExecution(this, components, request, sink);
         if (execution.mustRunAtMostOnce(placed.get()) && request.key().isEmpty()) {
             sink.onEnd(Outcome.notRun(
                     Fault.of(
@@ -108,13 +108,13 @@
                     RETRY_AFTER));
             return () -> {};
         }
-        parts.budget().sent();
+        components.budget().recordFirstAttempt();
         requests.increment();
         execution.sendOrQueue();
         return execution::cancel;
     }
 
-    private static Optional<Placed> placementFor(FoldedState state, CallerRequest request) {
+    private static Optional<ActivePlacement> placementFor(FoldedState state, CallerRequest request) {
         return placementFor(state, request.organisation().name(), request.workload(), request.model());
     }
 
@@ -127,7 +127,7 @@
      * @param model whether the workload is a model
      * @return the first placement, in order of names, that has the workload and admits the organisation
      */
-    public static Optional<Placed> placementFor(
+    public static Optional<ActivePlacement> placementFor(
             FoldedState state, String organisation, String workload, boolean model) {
         return state.placements().values().stream()
                 .filter(placed -> hasWorkload(placed, workload, model))
@@ -135,7 +135,7 @@
                 .findFirst();
     }
 
-    private static boolean hasWorkload(Placed placed, String name, boolean model) {
+    private static boolean hasWorkload(ActivePlacement placed, String name, boolean model) {
         Workload workload = placed.placement().workload();
         boolean sameKind = workload instanceof Workload.Model == model;
         return sameKind && workload.name().equals(name);
@@ -157,7 +157,7 @@
 
     // -- used by executions
 
-    Optional<Placed> placementOf(CallerRequest request) {
+    Optional<ActivePlacement> placementOf(CallerRequest request) {
         return placementFor(state.get(), request);
     }
 
@@ -165,8 +165,8 @@
         return state.get().offset();
     }
 
-    Router.Decision route(Placed placed, Router.Wish wish) {
-        return parts.router().route(placed, peers.get(), wish);
+    Router.Decision route(ActivePlacement placed, Router.Criteria criteria) {
+        return components.router().route(placed, peers.get(), criteria);
     }
 
     Optional<PeerView> peer(String instance) {
@@ -174,22 +174,22 @@
     }
 
     /** The queue for a placement and kind of request. Short and long requests do not block each other. */
-    private PlacementQueue queue(RequestExecution execution, Placed placed) {
+    private PlacementQueue queue(RequestExecution execution, ActivePlacement placed) {
         String name = placed.placement().name() + (execution.request().shortRequest() ? "/short" : "/long");
-        return queues.computeIfAbsent(name, key -> new PlacementQueue(parts.clock()));
+        return queues.computeIfAbsent(name, key -> new PlacementQueue(components.clock()));
     }
 
-    boolean mustQueue(RequestExecution execution, Placed placed) {
+    boolean mustQueue(RequestExecution execution, ActivePlacement placed) {
         return queue(execution, placed).size() > 0;
     }
 
     /** Adds a request to its queue; refuses it if the expected wait is too long or the queue is full. */
-    Optional<Outcome.NotRun> enqueue(RequestExecution execution, Placed placed) {
+    Optional<Outcome.NotRun> enqueue(RequestExecution execution, ActivePlacement placed) {
         PlacementQueue queue = queue(execution, placed);
         long waitMillis = queue.expectedWaitMillis();
         long maxWaitMillis = Math.min(
                 MAX_SLOT_WAIT.toMillis(),
-                execution.request().deadlineMillis() - parts.clock().millis());
+                execution.request().deadlineMillis() - components.clock().millis());
         boolean queued = waitMillis <= maxWaitMillis && queue.offer(execution);
         return queued
                 ? Optional.empty()
@@ -205,8 +205,8 @@
     // -- waiting requests and counts
 
     /** Retries waiting requests; to be called when a slot may have become free, and periodically. */
-    public void wake() {
-        queues.values().forEach(PlacementQueue::wake);
+    public void dispatchWaiting() {
+        queues.values().forEach(PlacementQueue::dispatchWaiting);
     }
 
     /**
--- a/src/main/java/org/micabarrow/coordination/routing/Traffic.java
+++ b/src/main/java/org/micabarrow/coordination/routing/InstanceStats.java
@@ -8,7 +8,7 @@
  * An entry's own measurements of each instance: requests in flight, time to first byte and consecutive failures.
  * Updated by the threads that carry requests, read by the router.
  */
-public final class Traffic {
+public final class InstanceStats {
 
     /** The weight of the newest response in the moving average of the time to first byte. */
     private static final double SMOOTHING_FACTOR = 0.2;
--- a/src/main/java/org/micabarrow/coordination/routing/Router.java
+++ b/src/main/java/org/micabarrow/coordination/routing/Router.java
@@ -20,7 +20,7 @@
  * remaining replicas are all compared.
  *
  * <pre>{@code
- * Router.Decision decision = router.route(placed, peers, wish);
+ * Router.Decision decision = router.route(placed, peers, criteria);
  * }</pre>
  */
 public final class Router {
@@ -42,7 +42,7 @@
 
     private final String region;
     private final String hall;
-    private final Traffic traffic;
+    private final InstanceStats stats;
     private final PrefixIndex prefixes;
     private final RandomGenerator random;
 
@@ -51,14 +51,14 @@
      *
      * @param region the entry's region
      * @param hall the entry's data hall
-     * @param traffic the entry's own measurements of each instance
+     * @param stats the entry's own measurements of each instance
      * @param prefixes the instances that probably have prompt prefixes in their caches
      * @param random samples the candidates
      */
-    public Router(String region, String hall, Traffic traffic, PrefixIndex prefixes, RandomGenerator random) {
+    public Router(String region, String hall, InstanceStats stats, PrefixIndex prefixes, RandomGenerator random) {
         this.region = Objects.requireNonNull(region, "region is null");
         this.hall = Objects.requireNonNull(hall, "hall is null");
-        this.traffic = Objects.requireNonNull(traffic, "traffic is null");
+        this.stats = Objects.requireNonNull(stats, "stats is null");
         this.prefixes = Objects.requireNonNull(prefixes, "prefixes is null");
         this.random = Objects.requireNonNull(random, "random is null");
     }
@@ -71,10 +71,10 @@
      * @param tried the instances that earlier attempts were sent to
      * @param nowMillis the current time
      */
-    public record Wish(List<Long> prefix, boolean shortRequest, Set<String> tried, long nowMillis) {
+    public record Criteria(List<Long> prefix, boolean shortRequest, Set<String> tried, long nowMillis) {
 
         /** Copies the collections. */
-        public Wish {
+        public Criteria {
             prefix = List.copyOf(prefix);
             tried = Set.copyOf(tried);
         }
@@ -100,15 +100,15 @@
      *
      * @param placed the placement under which it runs
      * @param peers the current views of the agents, by instance
-     * @param wish the request's properties
+     * @param criteria the request's properties
      * @return the decision
      */
-    public Decision route(FoldedState.Placed placed, Map<String, PeerView> peers, Wish wish) {
+    public Decision route(FoldedState.ActivePlacement placed, Map<String, PeerView> peers, Criteria criteria) {
         List<Exclusion> exclusions = new ArrayList<>();
         List<Replica> eligible = new ArrayList<>();
         List<Replica> ejected = new ArrayList<>();
         for (Replica replica : placed.replicas()) {
-            Optional<Exclusion.Reason> reason = exclusionReason(placed, peers, replica, wish);
+            Optional<Exclusion.Reason> reason = exclusionReason(placed, peers, replica, criteria);
             reason.map(value -> new Exclusion(replica, value)).ifPresent(exclusions::add);
             if (reason.isEmpty()) {
                 eligible.add(replica);
@@ -119,19 +119,19 @@
         // If every otherwise eligible replica is ejected, ejection does not distinguish between them and is ignored.
         List<Replica> usable = eligible.isEmpty() ? ejected : eligible;
         Optional<Replica> chosen = sampleCandidates(usable).stream()
-                .min(Comparator.comparingDouble(replica -> expectedWaitMillis(replica, peers, wish)));
-        double wait =
-                chosen.map(replica -> expectedWaitMillis(replica, peers, wish)).orElse(0.0);
+                .min(Comparator.comparingDouble(replica -> expectedWaitMillis(replica, peers, criteria)));
+        double wait = chosen.map(replica -> expectedWaitMillis(replica, peers, criteria))
+                .orElse(0.0);
         return new Decision(chosen, wait, exclusions);
     }
 
     private Optional<Exclusion.Reason> exclusionReason(
-            FoldedState.Placed placed, Map<String, PeerView> peers, Replica replica, Wish wish) {
+            FoldedState.ActivePlacement placed, Map<String, PeerView> peers, Replica replica, Criteria criteria) {
         PeerView peer = peers.get(replica.instance());
         if (!placed.placement().allows(replica.region(), replica.hall())) {
             return Optional.of(Exclusion.Reason.OUTSIDE_PLACEMENT);
         }
-        if (wish.tried().contains(replica.instance())) {
+        if (criteria.tried().contains(replica.instance())) {
             return Optional.of(Exclusion.Reason.TRIED);
         }
         if (peer == null || !peer.reachable()) {
@@ -147,20 +147,20 @@
         if (!ready) {
             return Optional.of(Exclusion.Reason.NOT_READY);
         }
-        boolean isFull = traffic.isFull(replica.instance(), wish.nowMillis())
-                || load(peer, wish.nowMillis()) >= usableSlots(peer, wish);
+        boolean isFull = stats.isFull(replica.instance(), criteria.nowMillis())
+                || load(peer, criteria.nowMillis()) >= usableSlots(peer, criteria);
         if (isFull) {
             return Optional.of(Exclusion.Reason.FULL);
         }
-        return traffic.isEjected(replica.instance(), wish.nowMillis())
+        return stats.isEjected(replica.instance(), criteria.nowMillis())
                 ? Optional.of(Exclusion.Reason.EJECTED)
                 : Optional.empty();
     }
 
     /** The slots that a request may use: long requests must leave the reserved slots to short ones. */
-    private static int usableSlots(PeerView peer, Wish wish) {
+    private static int usableSlots(PeerView peer, Criteria criteria) {
         int limit = peer.load().limit();
-        return wish.shortRequest() ? limit : Math.max(1, limit - ReservedSlots.forShortRequests(limit));
+        return criteria.shortRequest() ? limit : Math.max(1, limit - ReservedSlots.forShortRequests(limit));
     }
 
     private List<Replica> sampleCandidates(List<Replica> usable) {
@@ -180,16 +180,16 @@
         double ageMillis = Math.max(0, nowMillis - peer.load().atMillis());
         double reported =
                 (peer.load().inFlight() + peer.load().queued()) * Math.pow(0.5, ageMillis / LOAD_HALF_LIFE_MILLIS);
-        return Math.max(traffic.inFlight(peer.instance()), reported);
+        return Math.max(stats.inFlight(peer.instance()), reported);
     }
 
-    private double expectedWaitMillis(Replica replica, Map<String, PeerView> peers, Wish wish) {
+    private double expectedWaitMillis(Replica replica, Map<String, PeerView> peers, Criteria criteria) {
         PeerView peer = peers.get(replica.instance());
-        double measured = traffic.firstByteMillis(replica.instance());
+        double measured = stats.firstByteMillis(replica.instance());
         double firstByteMillis = measured == 0 ? DEFAULT_FIRST_BYTE_MILLIS : measured;
-        double load = load(peer, wish.nowMillis());
+        double load = load(peer, criteria.nowMillis());
         double utilization = (load + 1) / Math.max(1, peer.load().limit());
-        double savedMillis = prefixes.savedMillis(wish.prefix(), replica.instance(), wish.nowMillis());
+        double savedMillis = prefixes.savedMillis(criteria.prefix(), replica.instance(), criteria.nowMillis());
         return Math.max(0, firstByteMillis * utilization + distanceMillis(replica) - savedMillis);
     }
 
--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -36,7 +36,7 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.WeightsClient;
 import org.micabarrow.transport.grpc.PeerService;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -164,18 +164,18 @@
         node.gauge("requests.open", flow::open);
         node.gauge("requests.limit", flow::mostOpen);
         node.gauge("weights.share", share::share);
-        PeerService.AgentParts parts =
-                new PeerService.AgentParts(flow, replicas::holding, this::load, linkOut, threads);
+        PeerService.AgentComponents parts =
+                new PeerService.AgentComponents(flow, replicas::holding, this::load, linkOut, threads);
         server = node.channels()
                 .serve(
                         settings.listen().peers(),
                         new PeerService(node.configuration(), this::status, Optional.of(parts)));
         operators = HttpListener.start(
                 settings.listen().operators(),
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.watching(node.metrics(), node::healthy));
+                OperatorHandlers.monitoring(node.metrics(), node::healthy));
         node.configuration()
                 .onStep(step -> replicas.configured(node.configuration().current()));
         node.start();
@@ -210,7 +210,7 @@
     private void pollReports() {
         while (!closed) {
             Result<Endpoint.Report> report = endpoint.report();
-            report.toOptional().ifPresent(told -> concurrency.suggest(told.slots()));
+            report.toOptional().ifPresent(told -> concurrency.initialize(told.slots()));
             node.control().execute(() -> {
                 List<Endpoint.Order> orders = replicas.reported(report.toOptional());
                 orders.forEach(order -> threads.execute(() -> give(order)));
@@ -230,7 +230,7 @@
 
     // -- weights
 
-    private Transfer startTransfer(TransferTask task, FoldedState.Placed placed) {
+    private Transfer startTransfer(TransferTask task, FoldedState.ActivePlacement placed) {
         OriginBudget budget = bytes -> draw(placed.placement().name(), bytes);
         Transfer transfer =
                 new Transfer(task, weights, endpoint, budget, new TransferMetrics(node.metrics()), node.clock());
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -14,15 +14,15 @@
 import java.util.zip.CRC32C;
 import javax.net.ssl.SSLContext;
 import org.micabarrow.coordination.admission.RetryBudget;
+import org.micabarrow.coordination.claims.ClaimStream;
 import org.micabarrow.coordination.claims.ClaimWriter;
-import org.micabarrow.coordination.claims.Claims;
 import org.micabarrow.coordination.configuration.Duties;
 import org.micabarrow.coordination.membership.PeerTable;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.requests.RequestFlow;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.protocol.wire.StatusReply;
 import org.micabarrow.settings.EntrySettings;
 import org.micabarrow.state.Links;
@@ -31,10 +31,10 @@
 import org.micabarrow.transport.LinkPacer;
 import org.micabarrow.transport.TlsFiles;
 import org.micabarrow.transport.WeightsClient;
-import org.micabarrow.transport.callers.CallerServer;
+import org.micabarrow.transport.callers.CallerHandler;
 import org.micabarrow.transport.grpc.PeerService;
 import org.micabarrow.transport.operators.OperatorApi;
-import org.micabarrow.transport.operators.OperatorServer;
+import org.micabarrow.transport.operators.OperatorHandlers;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -61,14 +61,14 @@
     private final EntrySettings settings;
     private final Node node;
     private final PeerTable table;
-    private final Traffic traffic = new Traffic();
+    private final InstanceStats traffic = new InstanceStats();
     private final PrefixIndex prefixes = new PrefixIndex(PREFIXES);
     private final Router router;
     private final Duties duties;
     private final AgentStatuses statuses;
-    private final List<Claims> claims = new ArrayList<>();
+    private final List<ClaimStream> claims = new ArrayList<>();
     private final RequestFlow flow;
-    private final CallerServer callers;
+    private final CallerHandler callers;
     private final ExecutorService threads = Node.workers("entry-work");
     private Server server;
     private HttpListener callerListener;
@@ -91,13 +91,13 @@
                 settings.instance().id(), timing.repairMillis(), timing.checkpointMillis(), Node::newId, node.clock());
         EntrySettings.Limits limits = settings.limits();
         for (int i = 0; i < limits.claimStreams(); i++) {
-            claims.add(Claims.start(
+            claims.add(ClaimStream.start(
                     node.platform(), "claims-" + i, Duration.ofMillis(limits.claimKeptMillis()), node.clock()));
         }
         this.flow = new RequestFlow(
                 node.configuration()::current,
                 table::peers,
-                new RequestFlow.Parts(
+                new RequestFlow.Components(
                         router,
                         traffic,
                         prefixes,
@@ -107,7 +107,7 @@
                         Node::newId,
                         node.clock(),
                         Duration.ofMillis(limits.claimMillis())));
-        this.callers = new CallerServer(
+        this.callers = new CallerHandler(
                 node.configuration()::current, flow, Node::newId, node.clock(), limits.deadlineMillis());
     }
 
@@ -133,18 +133,19 @@
     }
 
     private void begin() throws IOException {
-        node.gauge("requests.open", callers::open);
+        node.gauge("requests.open", callers::openRequests);
         node.gauge("requests.waiting", flow::waiting);
         node.gauge("requests.taken", flow::requests);
         node.gauge("requests.attempts", flow::attempts);
-        node.gauge("claims.held", () -> claims.stream().mapToInt(Claims::size).sum());
+        node.gauge(
+                "claims.held", () -> claims.stream().mapToInt(ClaimStream::size).sum());
         node.gauge("instances.listed", () -> table.instances().size());
         node.gauge("agents.known", () -> table.peers().size());
         server = node.channels()
                 .serve(
                         settings.listen().peers(),
                         new PeerService(node.configuration(), this::status, Optional.empty()));
-        node.peers().onLoad((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
+        node.peers().setLoadListener((instance, load) -> node.control().execute(() -> table.loaded(instance, load)));
         node.start();
         node.control().every(Duration.ofMillis(settings.peers().statusMillis()), statuses::ask);
         node.control().every(TICK, this::tick);
@@ -157,18 +158,20 @@
         EntrySettings.Limits limits = settings.limits();
         callerListener = HttpListener.start(
                 settings.listen().callers(),
-                new HttpListener.Bounds(
+                new HttpListener.Limits(
                         limits.bodyBytes(), limits.headerBytes(), limits.connections(), limits.idleMillis()),
                 CALLER_THREADS,
                 callerContext(),
                 callers);
         operatorListener = HttpListener.start(
                 settings.listen().operators(),
-                HttpListener.Bounds.usual(),
+                HttpListener.Limits.defaults(),
                 1,
                 Optional.empty(),
-                OperatorServer.api(
-                        operatorApi(), settings.operators(), OperatorServer.watching(node.metrics(), this::healthy)));
+                OperatorHandlers.api(
+                        operatorApi(),
+                        settings.operators(),
+                        OperatorHandlers.monitoring(node.metrics(), this::healthy)));
     }
 
     private Optional<SSLContext> callerContext() throws IOException {
@@ -183,7 +186,7 @@
         WeightsClient weights = new WeightsClient(
                 node.http(), settings.platform(), node.peers()::chunks, unpaced, node.configuration()::generation, 0);
         return new OperatorApi(
-                new OperatorApi.Parts(
+                new OperatorApi.Dependencies(
                         settings.instance().id(),
                         links,
                         node.configuration(),
@@ -199,7 +202,7 @@
     }
 
     private boolean healthy() {
-        return node.healthy() && !callers.leaving();
+        return node.healthy() && !callers.draining();
     }
 
     private StatusReply status() {
@@ -210,13 +213,13 @@
 
     private void heard(PeerView view) {
         table.heard(view);
-        threads.execute(flow::wake);
+        threads.execute(flow::dispatchWaiting);
     }
 
     private void tick() {
         table.publish();
         if (flow.waiting() > 0) {
-            threads.execute(flow::wake);
+            threads.execute(flow::dispatchWaiting);
         }
     }
 
@@ -244,9 +247,9 @@
     /** Takes no new requests, waits for those that are open, and stops. */
     @Override
     public void close() {
-        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.open());
-        callers.leave();
-        Node.awaitIdle(() -> callers.open() > 0);
+        LOG.info("entry instance={} leaves, open={}", node.identity().instance(), callers.openRequests());
+        callers.startDraining();
+        Node.awaitIdle(() -> callers.openRequests() > 0);
         kill();
         LOG.info("entry instance={} has stopped", node.identity().instance());
     }
@@ -256,7 +259,7 @@
         callerListener.close();
         operatorListener.close();
         Node.end(server);
-        claims.forEach(Claims::close);
+        claims.forEach(ClaimStream::close);
         threads.shutdownNow();
         node.close();
     }
--- a/src/main/java/org/micabarrow/process/EntryStop.java
+++ b/src/main/java/org/micabarrow/process/EntryStop.java
@@ -38,8 +38,8 @@
     /** Stops within a grace, after which the process would be killed. */
     void within(long graceMillis) throws InterruptedException {
         long latest = HostedNode.steadyMillis() + graceMillis - GRACE_LEFT_MILLIS;
-        handler.connections().leave();
-        LOG.info("event=leaving open={}", handler.connections().busy());
+        handler.connections().startDraining();
+        LOG.info("event=leaving open={}", handler.connections().inFlightCount());
         Thread.sleep(Math.min(STILL_CHOSEN_MILLIS, graceMillis / 2));
         handler.connections().closeIdle();
         boolean closed = closedAtRest();
@@ -52,7 +52,7 @@
             traffic.execute(handler::endRequests);
             closedAtRest();
         }
-        LOG.info("event=stopped open={}", handler.connections().busy());
+        LOG.info("event=stopped open={}", handler.connections().inFlightCount());
     }
 
     /**
@@ -62,7 +62,7 @@
     private boolean closedAtRest() throws InterruptedException {
         CompletableFuture<Boolean> closed = new CompletableFuture<>();
         traffic.execute(() -> {
-            boolean rests = handler.connections().busy() == 0;
+            boolean rests = handler.connections().inFlightCount() == 0;
             if (rests) {
                 closeListener.run();
             }
--- /dev/null
+++ b/src/main/java/org/micabarrow/serving/ServingContext.java
@@ -0,0 +1,237 @@
+package org.micabarrow.serving;
+
+import java.util.List;
+import java.util.Objects;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.micabarrow.admission.AdmissionControl;
+import org.micabarrow.admission.AdmissionControl.Decision;
+import org.micabarrow.admission.FirstAttemptEstimator;
+import org.micabarrow.attempts.ClientRequest;
+import org.micabarrow.coordination.admission.RetryBudget;
+import org.micabarrow.crashes.LazyDigest;
+import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.RouteManifest;
+import org.micabarrow.routing.RoutingRequest;
+import org.micabarrow.transport.HttpClient;
+import org.micabarrow.views.View;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * State and services shared by all requests of an entry. Used by the traffic thread, except for the view and the
+ * metrics.
+ */
+final class ServingContext {
+
+    private static final Logger LOG = LoggerFactory.getLogger("org.micabarrow.request");
+
+    private final ServingHandler.Dependencies dependencies;
+    private final WeightVersions versions;
+    private final ServingMetrics metrics;
+    private final InFlightRequests inFlight = new InFlightRequests();
+    private final FirstAttemptEstimator firstAttempts = new FirstAttemptEstimator();
+    private final AdmissionControl admission;
+    private final EntryWaitQueue waitQueue;
+    private final SuspectAdmission suspects;
+    private final CrashDetector crashes;
+
+    /**
+     * Creates the shared state.
+     *
+     * @param dependencies the handler's dependencies
+     */
+    ServingContext(ServingHandler.Dependencies dependencies) {
+        this.dependencies = Objects.requireNonNull(dependencies, "dependencies is null");
+        this.versions = new WeightVersions(dependencies);
+        this.metrics = new ServingMetrics(dependencies.registry());
+        this.admission = new AdmissionControl(dependencies.selector());
+        this.waitQueue = new EntryWaitQueue(dependencies.monotonicMillis());
+        this.suspects = new SuspectAdmission(dependencies.crashes().registry(), dependencies.selector(), admission);
+        this.crashes = new CrashDetector(dependencies.crashes(), dependencies.monotonicMillis());
+    }
+
+    // -- components
+
+    View view() {
+        return dependencies.view().get();
+    }
+
+    RequestReader reader() {
+        return dependencies.reader();
+    }
+
+    HttpClient caller() {
+        return dependencies.caller();
+    }
+
+    EndpointProtocol protocol() {
+        return dependencies.protocol();
+    }
+
+    RetryBudget budget() {
+        return dependencies.budget();
+    }
+
+    WeightVersions versions() {
+        return versions;
+    }
+
+    ServingMetrics metrics() {
+        return metrics;
+    }
+
+    InFlightRequests inFlight() {
+        return inFlight;
+    }
+
+    FirstAttemptEstimator firstAttempts() {
+        return firstAttempts;
+    }
+
+    EntryWaitQueue waitQueue() {
+        return waitQueue;
+    }
+
+    SuspectAdmission suspects() {
+        return suspects;
+    }
+
+    CrashDetector crashes() {
+        return crashes;
+    }
+
+    ManifestAge manifestAge() {
+        return dependencies.manifestAge();
+    }
+
+    long nowMillis() {
+        return dependencies.monotonicMillis().getAsLong();
+    }
+
+    // -- routing
+
+    EndpointLoad load(EndpointRegistration endpoint) {
+        return dependencies.selector().load(endpoint.start());
+    }
+
+    boolean isUnresponsive(EndpointRegistration endpoint) {
+        return dependencies.selector().unresponsive(endpoint, nowMillis());
+    }
+
+    boolean isBackingOff(EndpointRegistration endpoint) {
+        return dependencies.selector().inBackoff(endpoint, nowMillis());
+    }
+
+    /** Whether an endpoint has stated that it is draining, so that its end is no crash. */
+    boolean isDraining(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().getOrDefault(endpoint.id(), endpoint);
+        return now.start().equals(endpoint.start()) && dependencies.selector().isDraining(now);
+    }
+
+    /** Whether an endpoint is draining, is no longer listed, or has restarted without the requests sent to it. */
+    boolean isGoneOrDraining(EndpointRegistration endpoint) {
+        EndpointRegistration now = view().endpoints().get(endpoint.id());
+        return now == null
+                || !now.start().equals(endpoint.start())
+                || dependencies.selector().isDraining(now);
+    }
+
+    /**
+     * Records that a response stated that its endpoint is draining. It gets no new requests from now on, even if other
+     * sources still report it as ready.
+     */
+    void markDraining(EndpointRegistration endpoint) {
+        if (dependencies.selector().markDraining(endpoint.start())) {
+            LOG.info("event=endpoint_leaves endpoint={} from=answer", endpoint.id());
+        }
+    }
+
+    /** Whether an endpoint's rate limit allows this entry a request now. */
+    boolean withinRateLimit(EndpointRegistration endpoint) {
+        return dependencies.selector().withinRateLimit(endpoint, nowMillis());
+    }
+
+    /** Counts a request that is refused for lack of a free slot; agents allot their endpoints' slots by this count. */
+    void countRefusedForCapacity(ClientRequest request) {
+        if (versions.model(request).isPresent()) {
+            dependencies.selector().unmetDemand().refused(nowMillis());
+        }
+    }
+
+    /** Decides how to handle a request, given the time that is left until its objective. */
+    Decision decide(ClientRequest request, LazyDigest digest, long millisUntilObjective, Set<String> tried) {
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
+        return suspects.decide(endpoints, routingRequest(request, millisUntilObjective, tried), digest, nowMillis());
+    }
+
+    private RoutingRequest routingRequest(ClientRequest request, long millisUntilObjective, Set<String> tried) {
+        return new RoutingRequest(
+                request.promptTokens(),
+                request.route().objectiveMillis(),
+                millisUntilObjective,
+                request.deadlineMillis() - nowMillis(),
+                versions.model(request),
+                versions.minVersion(request),
+                versions.newestNamed(request),
+                tried);
+    }
+
+    /** Whether an endpoint's agent must be queried before the request is sent there. */
+    boolean mustQueryAgent(ClientRequest request, EndpointRegistration endpoint) {
+        return versions.agentQueryDue(request, endpoint)
+                && dependencies.selector().mustQueryAgent(endpoint, routingRequest(request, 0, Set.of()));
+    }
+
+    /** Queries an endpoint's agent, and passes on whether the request may be sent to the endpoint. */
+    void queryAgent(ClientRequest request, EndpointRegistration endpoint, Consumer<Boolean> callback) {
+        dependencies.agentQueries().query(endpoint, inTime -> {
+            if (!inTime) {
+                load(endpoint).queryTimedOut();
+            }
+            callback.accept(inTime && canReceive(request, endpoint));
+        });
+    }
+
+    /** Runs an action once an endpoint's agent has replied or timed out; at once if there is no agent. */
+    void awaitAgentReply(ClientRequest request, EndpointRegistration endpoint, Runnable callback) {
+        if (load(endpoint).hasAgent()) {
+            queryAgent(request, endpoint, ignored -> callback.run());
+        } else {
+            callback.run();
+        }
+    }
+
+    /** Whether an endpoint may get the request at all, given current information. */
+    boolean canReceive(ClientRequest request, EndpointRegistration endpoint) {
+        return dependencies.selector().eligible(endpoint, routingRequest(request, 0, Set.of()), nowMillis());
+    }
+
+    // -- for the client and the log
+
+    /**
+     * The retry delay for a refused client in milliseconds: if all endpoints asked for a backoff, until the first
+     * backoff ends.
+     */
+    long retryAfterMillis(ClientRequest request) {
+        List<EndpointRegistration> endpoints = view().endpointsOf(request.service());
+        return dependencies
+                .selector()
+                .untilBackoffEndsMillis(endpoints, routingRequest(request, 0, Set.of()), nowMillis())
+                .orElseGet(() -> AdmissionControl.retryAfterMillis(request.deadlineMillis() - nowMillis()));
+    }
+
+    /** Records that a client is refused and when it is told to retry; returns the retry delay. */
+    long recordRefusal(ClientRequest request, long retryAfterMillis) {
+        firstAttempts.refused(request.route(), retryAfterMillis, nowMillis());
+        return retryAfterMillis;
+    }
+
+    /** The version and age of the view that decisions are based on, for the log. */
+    String viewAge() {
+        View now = view();
+        return "manifest=" + now.manifest().map(RouteManifest::version).orElse(-1L) + " offset=" + now.manifestOffset()
+                + " knownMsAgo=" + dependencies.manifestAge().loggedMillis(nowMillis());
+    }
+}
--- /dev/null
+++ b/src/main/java/org/micabarrow/transport/LoadPoller.java
@@ -0,0 +1,364 @@
+package org.micabarrow.transport;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.DatagramChannel;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.OptionalLong;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+import java.util.stream.Collectors;
+import org.micabarrow.limits.RateLimitUpdate;
+import org.micabarrow.routing.EndpointLoad;
+import org.micabarrow.routing.EndpointRegistration;
+import org.micabarrow.routing.EndpointSelector;
+import org.micabarrow.routing.EndpointStart;
+import org.micabarrow.settings.Common;
+import org.micabarrow.steps.RepeatedTasks;
+import org.micabarrow.views.View;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.xnio.XnioIoThread;
+
+/** Polls agents for the load of their endpoints, and passes the replies to the endpoint selector. */
+public final class LoadPoller {
+
+    private static final Logger LOG = LoggerFactory.getLogger(LoadPoller.class);
+
+    /**
+     * How often agents of the entry's region are polled, in milliseconds: about as often as they poll their endpoints.
+     */
+    private static final long ROUND_MILLIS = 150;
+
+    /** Agents of other regions are polled once in this many rounds, since traffic between regions is paid for. */
+    private static final int OTHER_REGION_ROUNDS = 3;
+
+    /** After this many rounds without an endpoint to query, there is assumed to be none. */
+    private static final int MAX_ROUNDS_WITHOUT_ENDPOINTS = 3;
+
+    private final Dependencies dependencies;
+    private final DatagramChannel channel;
+    private final LoadQueries queries;
+
+    /**
+     * The endpoints at each host. After a restart there are two for a while, until no request is in flight at the
+     * former one.
+     */
+    private volatile Map<String, List<EndpointStart>> endpointsByHost = Map.of();
+
+    private final Map<EndpointStart, EndpointRegistration> polled = new HashMap<>();
+
+    /** The timestamp of the last reply from each host. */
+    private final Map<String, Long> replyTimestamps = new ConcurrentHashMap<>();
+
+    private final PauseDetector pauseDetector = new PauseDetector(ROUND_MILLIS);
+    private int roundNumber;
+    private boolean queriedBefore;
+    private volatile boolean repliesDue;
+
+    /**
+     * What a poller needs.
+     *
+     * @param place where the entry runs
+     * @param self the host and port at which this entry serves records; its queries are sent from this host, by which
+     *     agents identify it
+     * @param regions the region of each data hall
+     * @param peerPort the port at which agents receive queries
+     * @param view the current view of the store
+     * @param selector receives what agents report
+     * @param traffic the thread that owns the selector, called the traffic thread
+     * @param monotonicMillis a monotonic clock, in milliseconds
+     * @param storeUpdate what agents of the region are informed of about the store; empty while this entry has no
+     *     contact with the store
+     * @param onReader receives what agents report about the entry that reads the store for the region
+     */
+    public record Dependencies(
+            Common.Place place,
+            String self,
+            Map<String, String> regions,
+            int peerPort,
+            Supplier<View> view,
+            EndpointSelector selector,
+            XnioIoThread traffic,
+            LongSupplier monotonicMillis,
+            Supplier<Optional<StoreUpdate>> storeUpdate,
+            Consumer<StoreUpdate.ReaderState> onReader) {
+
+        /** Checks that no component is null. */
+        public Dependencies {
+            Objects.requireNonNull(place, "place is null");
+            Objects.requireNonNull(self, "self is null");
+            Objects.requireNonNull(regions, "regions is null");
+            Objects.requireNonNull(view, "view is null");
+            Objects.requireNonNull(selector, "selector is null");
+            Objects.requireNonNull(traffic, "traffic is null");
+            Objects.requireNonNull(monotonicMillis, "monotonicMillis is null");
+            Objects.requireNonNull(storeUpdate, "storeUpdate is null");
+            Objects.requireNonNull(onReader, "onReader is null");
+        }
+    }
+
+    private LoadPoller(Dependencies dependencies, DatagramChannel channel) {
+        this.dependencies = dependencies;
+        this.channel = channel;
+        this.queries = new LoadQueries(dependencies.traffic(), dependencies.monotonicMillis());
+    }
+
+    /**
+     * Creates a poller that sends no queries yet.
+     *
+     * @param dependencies what it needs
+     * @return the poller
+     * @throws IOException if no port is free
+     */
+    public static LoadPoller open(Dependencies dependencies) throws IOException {
+        InetSocketAddress anyPort =
+                new InetSocketAddress(Addresses.parse(dependencies.self()).getAddress(), 0);
+        return new LoadPoller(dependencies, DatagramChannel.open().bind(anyPort));
+    }
+
+    /**
+     * Starts polling.
+     *
+     * @param afterRound run on the traffic thread after each round of queries that began on time
+     */
+    public void start(Runnable afterRound) {
+        Thread.ofPlatform().name("load-feed").daemon().start(this::receive);
+        dependencies.traffic().execute(() -> pollAndReschedule(afterRound));
+    }
+
+    /**
+     * Whether agents have had time to report what a starting entry does not know: which endpoints are draining or have
+     * set rate limits.
+     *
+     * @return true from the second round on, or if there seem to be no agents to query
+     */
+    public boolean repliesDue() {
+        return repliesDue;
+    }
+
+    // -- queries, on the traffic thread
+
+    private void pollAndReschedule(Runnable afterRound) {
+        RepeatedTasks.runGuarded("load-feed", () -> poll(afterRound));
+        dependencies.traffic().executeAfter(() -> pollAndReschedule(afterRound), ROUND_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private void poll(Runnable afterRound) {
+        boolean onTime = pauseDetector.onTime(dependencies.monotonicMillis().getAsLong());
+        View view = dependencies.view().get();
+        Map<String, List<EndpointRegistration>> hosts = polledByHost(view);
+        // Set before the queries are sent, since a reply may arrive immediately.
+        endpointsByHost = startsOf(hosts);
+        replyTimestamps.keySet().retainAll(hosts.keySet());
+        // The timestamps are read before the store update: a reply that arrived in between, while this process was
+        // paused, would make the update look newer than it is.
+        Map<String, Long> timestamps = Map.copyOf(replyTimestamps);
+        Optional<StoreUpdate> storeUpdate = dependencies.storeUpdate().get();
+        hosts.forEach((host, endpoints) -> {
+            boolean sameRegion = isSameRegion(endpoints.getFirst());
+            if (sameRegion || roundNumber % OTHER_REGION_ROUNDS == 0) {
+                // Agents of other regions get store updates from entries of their own region, since traffic between
+                // regions is paid for.
+                StoreStatus storeStatus = new StoreStatus(
+                        sameRegion, lastTimestamp(timestamps, host), sameRegion ? storeUpdate : Optional.empty());
+                sendQuery(host, endpointsByHost.get(host), storeStatus);
+            }
+        });
+        dependencies.selector().retainOnly(view.endpoints().values());
+        repliesDue = repliesDue || queriedBefore || roundNumber >= MAX_ROUNDS_WITHOUT_ENDPOINTS;
+        queriedBefore = !hosts.isEmpty();
+        roundNumber++;
+        if (onTime) {
+            afterRound.run();
+        }
+    }
+
+    /**
+     * The endpoints to query: those that are listed for models, and those that are no longer listed but have requests
+     * in flight, since an endpoint that is not queried would seem unresponsive.
+     */
+    private Map<String, List<EndpointRegistration>> polledByHost(View view) {
+        polled.keySet().removeIf(start -> !dependencies.selector().hasRequestsInFlight(start));
+        view.endpoints().values().stream()
+                .filter(endpoint -> isModel(view, endpoint))
+                .forEach(endpoint -> polled.put(endpoint.start(), endpoint));
+        return polled.values().stream().collect(Collectors.groupingBy(EndpointRegistration::instanceHost));
+    }
+
+    private static Map<String, List<EndpointStart>> startsOf(Map<String, List<EndpointRegistration>> hosts) {
+        return hosts.entrySet().stream()
+                .collect(Collectors.toUnmodifiableMap(
+                        Map.Entry::getKey,
+                        host -> host.getValue().stream()
+                                .map(EndpointRegistration::start)
+                                .toList()));
+    }
+
+    private static boolean isModel(View view, EndpointRegistration endpoint) {
+        return view.manifest()
+                .flatMap(manifest -> manifest.service(endpoint.service()))
+                .filter(service -> service.model().isPresent())
+                .isPresent();
+    }
+
+    private boolean isSameRegion(EndpointRegistration endpoint) {
+        return dependencies.place().region().equals(dependencies.regions().get(endpoint.dataHall()));
+    }
+
+    /**
+     * Queries an endpoint's agent immediately; to be called on the traffic thread.
+     *
+     * @param endpoint the endpoint
+     * @param callback called on the same thread, once, with whether the agent replied in time
+     */
+    public void query(EndpointRegistration endpoint, Consumer<Boolean> callback) {
+        String host = endpoint.instanceHost();
+        boolean sameRegion = isSameRegion(endpoint);
+        OptionalLong replyTimestamp = lastTimestamp(replyTimestamps, host);
+        StoreStatus storeStatus = new StoreStatus(
+                sameRegion,
+                replyTimestamp,
+                sameRegion ? dependencies.storeUpdate().get() : Optional.empty());
+        int number = sendQuery(host, endpointsByHost.getOrDefault(host, List.of(endpoint.start())), storeStatus);
+        queries.await(number, callback);
+    }
+
+    /**
+     * Sends a query to the agent of the given endpoints, which are all those at its host, and returns the query's
+     * number.
+     */
+    private int sendQuery(String host, List<EndpointStart> endpoints, StoreStatus storeStatus) {
+        int number = queries.nextNumber();
+        // Prompts sent to a former start of the endpoint are no longer processed.
+        int ownPromptTokens = endpoints.stream()
+                .map(dependencies.selector()::load)
+                .filter(load -> !load.restarted())
+                .mapToInt(EndpointLoad::ownPendingPromptTokens)
+                .sum();
+        int unmetRequests = dependencies
+                .selector()
+                .unmetDemand()
+                .recent(dependencies.monotonicMillis().getAsLong());
+        ByteBuffer datagram = LoadMessages.write(new LoadMessages.Query(
+                dependencies.place().id(),
+                ownPromptTokens,
+                number,
+                unmetRequests,
+                storeStatus.sameRegion(),
+                storeStatus.storeUpdate(),
+                storeStatus.replyTimestamp(),
+                rateLimit(endpoints)));
+        try {
+            channel.send(datagram, new InetSocketAddress(host, dependencies.peerPort()));
+        } catch (IOException e) {
+            LOG.debug("event=load_question_not_sent host={} why=\"{}\"", host, e.toString());
+        }
+        return number;
+    }
+
+    /**
+     * What this entry knows of the rate limit of the endpoint at a host. If the endpoint has two starts, the most
+     * recent information is used.
+     */
+    private Optional<RateLimitUpdate> rateLimit(List<EndpointStart> endpoints) {
+        long now = dependencies.monotonicMillis().getAsLong();
+        return endpoints.stream()
+                .map(start -> dependencies.selector().load(start).rateLimit().ownUpdate(now))
+                .flatMap(Optional::stream)
+                .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
+    }
+
+    /** What a query says of the store, with the timestamp of the reply that precedes it. */
+    private record StoreStatus(boolean sameRegion, OptionalLong replyTimestamp, Optional<StoreUpdate> storeUpdate) {}
+
+    /** The timestamp of the last reply from a host; empty before the first. */
+    private static OptionalLong lastTimestamp(Map<String, Long> timestamps, String host) {
+        Long timestamp = timestamps.get(host);
+        return timestamp == null ? OptionalLong.empty() : OptionalLong.of(timestamp);
+    }
+
+    // -- replies, on a separate thread
+
+    private void receive() {
+        while (channel.isOpen()) {
+            RepeatedTasks.runGuarded("load-feed", this::receiveOne);
+        }
+    }
+
+    private void receiveOne() {
+        try {
+            LoadMessages.Received received = LoadMessages.receive(channel);
+            String host = received.from().getAddress().getHostAddress();
+            accept(host, LoadMessages.readReply(received.bytes()));
+        } catch (IOException e) {
+            LOG.warn("event=load_answer_lost why=\"{}\"", e.toString());
+        }
+    }
+
+    private void accept(String host, LoadMessages.Reply reply) {
+        List<EndpointStart> endpoints = endpointsByHost.getOrDefault(host, List.of());
+        replyTimestamps.put(host, reply.timestampMillis());
+        dependencies.traffic().execute(() -> apply(endpoints, reply));
+    }
+
+    /**
+     * Applies a reply to the endpoint selector before the callbacks that wait for it run, so that they decide with its
+     * content.
+     */
+    private void apply(List<EndpointStart> endpoints, LoadMessages.Reply reply) {
+        OptionalLong sentMillis = queries.sentMillis(reply.number());
+        if (sentMillis.isEmpty()) {
+            return;
+        }
+        long now = dependencies.monotonicMillis().getAsLong();
+        long delay = now - sentMillis.getAsLong();
+        reply.rank().ifPresent(rank -> dependencies.selector().entryCount().reported(rank.entries(), now));
+        for (EndpointStart start : endpoints) {
+            EndpointLoad load = dependencies.selector().load(start);
+            if (start.mayHaveToken(reply.report().start())) {
+                load.reported(reply.report(), delay, now);
+                reply.rank().ifPresent(load.rateLimit()::rankReported);
+                reply.rateLimit()
+                        .filter(rateLimit -> rateLimit.concerns(start.id()))
+                        .filter(rateLimit ->
+                                load.rateLimit().updated(rateLimit.toObservation(sentMillis.getAsLong(), now)))
+                        .ifPresent(rateLimit -> load.rateLimit().logChange("agent"));
+            } else {
+                handleReportOfAnotherStart(start, load);
+            }
+        }
+        queries.onReply(reply.number());
+        // Counted from the time of the query: the information is at most that much older than the agent reports.
+        reply.reader()
+                .ifPresent(reader -> dependencies
+                        .onReader()
+                        .accept(new StoreUpdate.ReaderState(
+                                reader.peer(),
+                                reader.operatorOffset(),
+                                sentMillis.getAsLong() - reader.knownMillisAgo())));
+    }
+
+    /**
+     * The agent is ahead of the endpoint's entry in the store, or behind it, for a moment. A report on one start must
+     * not be applied to another, which may hold nothing of the version that the report names.
+     */
+    private static void handleReportOfAnotherStart(EndpointStart start, EndpointLoad load) {
+        if (!load.restarted()) {
+            LOG.info(
+                    "event=agent_tells_of_another_start endpoint={} listed={}",
+                    start.id(),
+                    start.startedMillis().orElse(-1));
+        }
+        load.otherStartReported();
+    }
+}
--- /dev/null
+++ b/src/main/java/org/micabarrow/transport/PeerChunkClient.java
@@ -0,0 +1,160 @@
+package org.micabarrow.transport;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.io.IOException;
+import java.net.URI;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Objects;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import org.micabarrow.state.CanonicalJson;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Fault.Reason;
+import org.micabarrow.state.Fault.Step;
+import org.micabarrow.state.Result;
+import org.micabarrow.transport.HttpClient.HttpResponse;
+import org.micabarrow.weights.ChunkPeers;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Requests chunks of weights from other agents. */
+public final class PeerChunkClient implements ChunkPeers {
+
+    private static final Logger LOG = LoggerFactory.getLogger(PeerChunkClient.class);
+
+    static final String CHUNKS = "/chunks/";
+    static final String DIGESTS = "/digests/";
+
+    /** The response header with the index of the chunk. */
+    static final String INDEX = "Chunk-Index";
+
+    /** The response status of an agent that is still fetching the chunks itself. */
+    static final int FETCHING = 503;
+
+    /** The timeout for a response: a peer holds a request for a while, and its link serves several clients in turn. */
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_500);
+
+    /** The timeout for a response on a new connection: a round trip between regions and a few milliseconds of work. */
+    private static final Duration NEW_CONNECTION_TIMEOUT = Duration.ofMillis(400);
+
+    private static final int OK = 200;
+
+    private final HttpClient client;
+    private final Duration responseTimeout;
+    private final Duration newConnectionTimeout;
+
+    /** Agents that left the last request for a chunk without a response, but responded on a new connection. */
+    private final Set<String> excusedAgents = ConcurrentHashMap.newKeySet();
+
+    /**
+     * Creates a client.
+     *
+     * @param client sends its requests
+     */
+    public PeerChunkClient(HttpClient client) {
+        this(Objects.requireNonNull(client, "client is null"), RESPONSE_TIMEOUT, NEW_CONNECTION_TIMEOUT);
+    }
+
+    /**
+     * Creates a client with given timeouts.
+     *
+     * @param client sends its requests
+     * @param responseTimeout the timeout for a response
+     * @param newConnectionTimeout the timeout for a response on a new connection, after a request without a response
+     */
+    PeerChunkClient(HttpClient client, Duration responseTimeout, Duration newConnectionTimeout) {
+        this.client = client;
+        this.responseTimeout = responseTimeout;
+        this.newConnectionTimeout = newConnectionTimeout;
+    }
+
+    private Result<HttpResponse> get(String peer, String path) {
+        HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + peer + path));
+        return client.call(call, responseTimeout).flatMap(response -> switch (response.status()) {
+            case OK -> Result.success(response);
+            case FETCHING -> Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_READY, "it is still fetching"));
+            default ->
+                Result.failure(Fault.of(Step.FETCH, peer, Reason.NOT_FOUND, "it returned status " + response.status()));
+        });
+    }
+
+    @Override
+    public Result<List<String>> digests(String agent, String model, long version) {
+        return get(agent, DIGESTS + model + "/" + version).flatMap(response -> {
+            try {
+                JsonNode json = CanonicalJson.mapper().readTree(response.body());
+                List<String> digests = new ArrayList<>();
+                json.forEach(digest -> digests.add(digest.asText()));
+                return Result.success(digests);
+            } catch (IOException e) {
+                return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "not JSON: " + e.getMessage()));
+            }
+        });
+    }
+
+    @Override
+    public Result<IndexedChunk> fetchAnyOf(String agent, String model, long version, BitSet wanted) {
+        Result<HttpResponse> response = get(agent, CHUNKS + model + "/" + version + "/" + formatChunks(wanted));
+        if (response instanceof Result.Failure<HttpResponse>(Fault fault) && lacksResponse(fault)) {
+            return Result.failure(excuseIfResponsive(agent, model, version) ? connectionFault(agent, fault) : fault);
+        }
+        excusedAgents.remove(agent);
+        return response.flatMap(received -> parseChunk(agent, received));
+    }
+
+    private static Result<IndexedChunk> parseChunk(String agent, HttpResponse response) {
+        try {
+            int index = Integer.parseInt(response.headers().getOrDefault(INDEX, ""));
+            return Result.success(new IndexedChunk(index, response.body()));
+        } catch (NumberFormatException e) {
+            return Result.failure(Fault.of(Step.FETCH, agent, Reason.CORRUPT, "the chunk has no index"));
+        }
+    }
+
+    // -- broken and unresponsive connections
+
+    /** Whether no response arrived, which may be due only to the connection that was used. */
+    private static boolean lacksResponse(Fault fault) {
+        return fault.reason() == Reason.TIMEOUT || fault.reason() == Reason.UNREACHABLE;
+    }
+
+    /**
+     * Whether to use an agent again that left a request without a response. Its connection may have become permanently
+     * unresponsive while the agent itself works, and then it must not be skipped for long. An agent is excused only
+     * once until it responds to a request for a chunk again, since one that is paused or whose link is full would delay
+     * the copy each time.
+     */
+    private boolean excuseIfResponsive(String agent, String model, long version) {
+        boolean excused = !excusedAgents.remove(agent) && respondsOnNewConnection(agent, model, version);
+        if (excused) {
+            excusedAgents.add(agent);
+        }
+        return excused;
+    }
+
+    /** Whether an agent responds to a small request, even if only to say that it has no such version. */
+    private boolean respondsOnNewConnection(String agent, String model, long version) {
+        HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + agent + DIGESTS + model + "/" + version));
+        return client.call(call, newConnectionTimeout).toOptional().isPresent();
+    }
+
+    private static Fault connectionFault(String agent, Fault fault) {
+        LOG.info("event=peer_asked_anew peer={} why=\"{}\"", agent, fault);
+        return Fault.of(Step.FETCH, agent, Reason.NOT_READY, "it responds on a new connection");
+    }
+
+    // -- wanted chunks
+
+    private static String formatChunks(BitSet wanted) {
+        return HexFormat.of().formatHex(wanted.toByteArray());
+    }
+
+    /** Parses the set of chunks that {@link #fetchAnyOf} writes. */
+    static BitSet parseChunks(String wanted) {
+        return BitSet.valueOf(HexFormat.of().parseHex(wanted));
+    }
+}
--- a/src/main/java/org/micabarrow/transport/grpc/AnswerReceiver.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
@@ -6,10 +6,10 @@
 import java.time.InstantSource;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.membership.PeerView;
-import org.micabarrow.protocol.AnswerMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.StatusMessages;
 import org.micabarrow.protocol.wire.HandleReply;
 import org.micabarrow.protocol.wire.HandleRequest;
@@ -18,29 +18,29 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.Replica;
 
-/** Receives one attempt's answer, one part at a time. */
-final class AnswerReceiver implements ClientResponseObserver<HandleRequest, HandleReply> {
+/** Receives the response to one attempt, requesting one part at a time from the sender. */
+final class ResponseReceiver implements ClientResponseObserver<HandleRequest, HandleReply> {
 
-    private final Replica to;
+    private final Replica replica;
     private final String attempt;
-    private final AnswerListener listener;
-    private final Consumer<PeerView.Load> loads;
+    private final ResponseListener listener;
+    private final Consumer<PeerView.Load> loadListener;
     private final InstantSource clock;
     private final MetricRegistry metrics;
-    private final AtomicBoolean ended = new AtomicBoolean();
+    private final AtomicBoolean finished = new AtomicBoolean();
     private volatile ClientCallStreamObserver<HandleRequest> call;
 
-    AnswerReceiver(
-            Replica to,
+    ResponseReceiver(
+            Replica replica,
             String attempt,
-            AnswerListener listener,
-            Consumer<PeerView.Load> loads,
+            ResponseListener listener,
+            Consumer<PeerView.Load> loadListener,
             InstantSource clock,
             MetricRegistry metrics) {
-        this.to = to;
+        this.replica = replica;
         this.attempt = attempt;
         this.listener = listener;
-        this.loads = loads;
+        this.loadListener = loadListener;
         this.clock = clock;
         this.metrics = metrics;
     }
@@ -60,13 +60,13 @@
         }
         switch (reply.getPartCase()) {
             case HEAD -> {
-                listener.onHead(AnswerMessages.headOf(reply));
+                listener.onHead(ResponseMessages.headOf(reply));
                 call.request(1);
             }
             case DATA -> listener.onData(reply.getData().toByteArray(), () -> call.request(1));
             case END -> {
-                loads.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
-                end(AnswerMessages.fromWire(to.instance(), reply.getEnd()));
+                loadListener.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
+                finish(ResponseMessages.fromWire(replica.instance(), reply.getEnd()));
                 call.request(1);
             }
             default -> call.request(1);
@@ -75,23 +75,26 @@
 
     @Override
     public void onError(Throwable error) {
-        end(CallFaults.outcomeOf(to.instance(), error));
+        finish(CallFaults.outcomeOf(replica.instance(), error));
     }
 
     @Override
     public void onCompleted() {
-        end(Outcome.unknown(
-                Fault.of(Step.ANSWER, to.instance(), Reason.UNREACHABLE, "the answer ended without its end")));
+        finish(Outcome.unknown(Fault.of(
+                Step.ANSWER,
+                replica.instance(),
+                Reason.UNREACHABLE,
+                "the response stream completed without an outcome")));
     }
 
-    private void end(Outcome outcome) {
-        if (ended.compareAndSet(false, true)) {
+    private void finish(Outcome outcome) {
+        if (finished.compareAndSet(false, true)) {
             listener.onEnd(outcome);
         }
     }
 
-    /** Cancels the call; its listener still receives one end. */
+    /** Cancels the call; the listener still receives exactly one outcome. */
     void cancel() {
-        call.cancel("the caller has gone", null);
+        call.cancel("the caller disconnected", null);
     }
 }
--- a/src/test/java/org/micabarrow/coordination/admission/AdmissionLincheckTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/AdmissionLincheckTest.java
@@ -14,12 +14,12 @@
 
         @Operation
         public boolean tryAcquire() {
-            return limit.tryOpen(true);
+            return limit.tryAcquire(true);
         }
 
         @Operation
         public int inFlight() {
-            return limit.open();
+            return limit.inFlight();
         }
     }
 
@@ -30,7 +30,7 @@
 
         @Operation
         public void sent() {
-            budget.sent();
+            budget.recordFirstAttempt();
         }
 
         @Operation
--- a/src/test/java/org/micabarrow/coordination/admission/ConcurrencyLimitTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/ConcurrencyLimitTest.java
@@ -12,16 +12,16 @@
     void shouldDecreaseWhenResponsesAreSlowAndIncreaseWhenTheyAreFast() {
         ConcurrencyLimit limit = new ConcurrencyLimit(2, 64, 16);
         for (int i = 0; i < 50; i++) {
-            limit.began(10);
+            limit.recordFirstByte(10);
         }
         for (int i = 0; i < 30; i++) {
-            limit.began(200);
+            limit.recordFirstByte(200);
         }
         int decreased = limit.limit();
         assertTrue(decreased < 8, "limit: " + decreased);
         for (int i = 0; i < 500; i++) {
             acquireAll(limit);
-            limit.began(10);
+            limit.recordFirstByte(10);
         }
         assertTrue(limit.limit() > decreased);
     }
@@ -30,7 +30,7 @@
     private static void acquireAll(ConcurrencyLimit limit) {
         boolean acquired = true;
         while (acquired) {
-            acquired = limit.tryOpen(true);
+            acquired = limit.tryAcquire(true);
         }
     }
 
@@ -38,11 +38,11 @@
     void shouldReserveSlotsForShortRequestsWhenFullOfLongOnes() {
         ConcurrencyLimit limit = new ConcurrencyLimit(2, 64, 10);
         int longRequests = 0;
-        while (limit.tryOpen(false)) {
+        while (limit.tryAcquire(false)) {
             longRequests++;
         }
         int shortRequests = 0;
-        while (limit.tryOpen(true)) {
+        while (limit.tryAcquire(true)) {
             shortRequests++;
         }
         assertEquals(8, longRequests);
--- a/src/test/java/org/micabarrow/coordination/admission/RetryBudgetTest.java
+++ b/src/test/java/org/micabarrow/coordination/admission/RetryBudgetTest.java
@@ -12,7 +12,7 @@
         RetryBudget budget = new RetryBudget(0.1, 5);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
-            budget.sent();
+            budget.recordFirstAttempt();
             retries += budget.tryRetry() ? 1 : 0;
         }
         assertTrue(retries <= 106, "retries: " + retries);
--- a/src/test/java/org/micabarrow/coordination/agents/AgentFlowTest.java
+++ b/src/test/java/org/micabarrow/coordination/agents/AgentFlowTest.java
@@ -18,9 +18,9 @@
 import org.micabarrow.Samples;
 import org.micabarrow.coordination.admission.ConcurrencyLimit;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.configuration.Configuration;
@@ -41,13 +41,13 @@
     private final ManualClock clock = new ManualClock();
     private final FoldedState state = Samples.assistantOn(2);
     private final Replica here =
-            state.placed("assistant").orElseThrow().replicas().getFirst();
+            state.activePlacement("assistant").orElseThrow().replicas().getFirst();
     private final Identity identity = new Identity(here.instance(), here.region(), here.hall(), 7);
     private final ConcurrencyLimit limit = new ConcurrencyLimit(1, 4, 4);
     private final Ledger ledger = new Ledger("7", 10, 1000, 1000);
     private final List<EndpointCalls.Listener> running = new ArrayList<>();
     private final List<Outcome> ends = new ArrayList<>();
-    private final List<AnswerHead> heads = new ArrayList<>();
+    private final List<ResponseHead> heads = new ArrayList<>();
     private boolean endpointCancelled;
     private boolean leaving;
     private Optional<String> serving = Optional.of(WEIGHTS.digest());
@@ -91,9 +91,9 @@
     private Runnable begin(String placement, String organisation, Optional<Claim> claim) {
         AgentRequest request = new AgentRequest(
                 "attempt", -1, placement, organisation, 1000, 0, false, "POST", "/", "text/plain", new byte[0], claim);
-        return flow.begin(request, new AnswerListener() {
+        return flow.begin(request, new ResponseListener() {
             @Override
-            public void onHead(AnswerHead head) {
+            public void onHead(ResponseHead head) {
                 heads.add(head);
             }
 
@@ -162,7 +162,8 @@
         leaving = true;
         begin("assistant", "riders", Optional.of(claim("7")));
         assertEquals(Reason.LEAVING, refusal());
-        assertEquals(Ledger.Fate.REFUSED, flow.settle(claim("7")).orElseThrow().fate());
+        assertEquals(
+                Ledger.KeyState.REFUSED, flow.settle(claim("7")).orElseThrow().state());
     }
 
     // -- answers
@@ -193,10 +194,10 @@
         assertEquals(4, flow.mostOpen());
     }
 
-    private static AnswerListener ignoring() {
-        return new AnswerListener() {
+    private static ResponseListener ignoring() {
+        return new ResponseListener() {
             @Override
-            public void onHead(AnswerHead head) {}
+            public void onHead(ResponseHead head) {}
 
             @Override
             public void onData(byte[] data, Runnable more) {
@@ -233,7 +234,8 @@
         begin("assistant", "riders", Optional.of(claim("7")));
         running.getFirst().onFailed(Fault.of(Fault.Step.RUN, "engine", Reason.UNREACHABLE, "refused"), false);
         assertInstanceOf(Outcome.NotRun.class, ends.getFirst());
-        assertEquals(Ledger.Fate.REFUSED, flow.settle(claim("7")).orElseThrow().fate());
+        assertEquals(
+                Ledger.KeyState.REFUSED, flow.settle(claim("7")).orElseThrow().state());
     }
 
     @Test
--- a/src/test/java/org/micabarrow/coordination/claims/ClaimsTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/ClaimStreamTest.java
@@ -18,14 +18,14 @@
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Result;
 
-class ClaimsTest {
+class ClaimStreamTest {
 
     private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration RETENTION = Duration.ofHours(1);
 
     private final FakeLog log = new FakeLog();
-    private final Claims first = Claims.start(log, "claims-0", RETENTION, InstantSource.system());
-    private final Claims second = Claims.start(log, "claims-0", RETENTION, InstantSource.system());
+    private final ClaimStream first = ClaimStream.start(log, "claims-0", RETENTION, InstantSource.system());
+    private final ClaimStream second = ClaimStream.start(log, "claims-0", RETENTION, InstantSource.system());
 
     @AfterEach
     void stop() {
@@ -83,7 +83,7 @@
     @Test
     void shouldStopThreadsAndStartNoReadWhenClosed() throws InterruptedException {
         HeldUp held = new HeldUp();
-        Claims claims = Claims.start(blockingLog(held), "claims-held", RETENTION, InstantSource.system());
+        ClaimStream claims = ClaimStream.start(blockingLog(held), "claims-held", RETENTION, InstantSource.system());
         held.awaitBegun();
         List<Thread> threads = threadsOf("claims-held");
         assertEquals(2, threads.size());
--- a/src/test/java/org/micabarrow/coordination/claims/LedgerLincheckTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/LedgerLincheckTest.java
@@ -24,12 +24,12 @@
 
         @Operation
         public String settle(@Param(name = "key") int key) {
-            return ledger.settle("k" + key, 1000, 0).fate().name();
+            return ledger.settle("k" + key, 1000, 0).state().name();
         }
 
         @Operation
         public void ended(@Param(name = "key") int key) {
-            ledger.ended("k" + key, Optional.empty());
+            ledger.recordEnd("k" + key, Optional.empty());
         }
     }
 
--- a/src/test/java/org/micabarrow/coordination/claims/LedgerTest.java
+++ b/src/test/java/org/micabarrow/coordination/claims/LedgerTest.java
@@ -9,7 +9,7 @@
 class LedgerTest {
 
     private static final long LATEST_START_MILLIS = 10_000;
-    private static final Ledger.Answer RESPONSE = new Ledger.Answer(200, "text/plain", new byte[10]);
+    private static final Ledger.StoredResponse RESPONSE = new Ledger.StoredResponse(200, "text/plain", new byte[10]);
 
     private final Ledger ledger = new Ledger("7", 3, 25, 1000);
 
@@ -21,9 +21,9 @@
     void shouldStartKeyOnlyOnce() {
         assertInstanceOf(Ledger.Start.Run.class, ledger.start(claim("k", "7"), 0));
         assertInstanceOf(Ledger.Start.Running.class, ledger.start(claim("k", "7"), 1));
-        ledger.ended("k", Optional.of(RESPONSE));
+        ledger.recordEnd("k", Optional.of(RESPONSE));
         Ledger.Start.Done done = assertInstanceOf(Ledger.Start.Done.class, ledger.start(claim("k", "7"), 2));
-        assertEquals(Optional.of(RESPONSE), done.answer());
+        assertEquals(Optional.of(RESPONSE), done.response());
     }
 
     @Test
@@ -34,7 +34,7 @@
     @Test
     void shouldRefuseAfterLatestStartWhenKeyWasRemoved() {
         ledger.start(claim("k", "7"), 0);
-        ledger.ended("k", Optional.empty());
+        ledger.recordEnd("k", Optional.empty());
         assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "7"), LATEST_START_MILLIS + 5000));
         assertEquals(0, ledger.size());
     }
@@ -43,15 +43,16 @@
     void shouldKeepKeyWhenRequestIsStillRunning() {
         ledger.start(claim("k", "7"), 0);
         assertEquals(
-                Ledger.Fate.RUNNING,
+                Ledger.KeyState.RUNNING,
                 ledger.settle("k", LATEST_START_MILLIS, LATEST_START_MILLIS + 5000)
-                        .fate());
+                        .state());
     }
 
     @Test
     void shouldRefusePermanentlyWhenSettledBeforeStart() {
         assertEquals(
-                Ledger.Fate.REFUSED, ledger.settle("k", LATEST_START_MILLIS, 0).fate());
+                Ledger.KeyState.REFUSED,
+                ledger.settle("k", LATEST_START_MILLIS, 0).state());
         assertInstanceOf(Ledger.Start.Refused.class, ledger.start(claim("k", "7"), 1));
     }
 
@@ -68,12 +69,13 @@
     void shouldKeepKeyAsDoneWhenResponseIsEvicted() {
         for (String key : new String[] {"a", "b", "c"}) {
             ledger.start(claim(key, "7"), 0);
-            ledger.ended(key, Optional.of(RESPONSE));
+            ledger.recordEnd(key, Optional.of(RESPONSE));
         }
         assertEquals(
-                new Ledger.Settled(Ledger.Fate.DONE, Optional.empty()), ledger.settle("a", LATEST_START_MILLIS, 1));
+                new Ledger.Settlement(Ledger.KeyState.DONE, Optional.empty()),
+                ledger.settle("a", LATEST_START_MILLIS, 1));
         assertEquals(
-                new Ledger.Settled(Ledger.Fate.DONE, Optional.of(RESPONSE)),
+                new Ledger.Settlement(Ledger.KeyState.DONE, Optional.of(RESPONSE)),
                 ledger.settle("c", LATEST_START_MILLIS, 1));
     }
 }
--- a/src/test/java/org/micabarrow/coordination/requests/RecordedRequest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RecordedRequest.java
@@ -5,12 +5,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 
 /** A request that records the response its caller received. */
-final class RecordedRequest implements AnswerListener {
+final class RecordedRequest implements ResponseListener {
 
     final String key;
     final StringBuilder body = new StringBuilder();
@@ -21,7 +21,7 @@
     }
 
     @Override
-    public void onHead(AnswerHead head) {
+    public void onHead(ResponseHead head) {
         assertEquals(0, body.length());
     }
 
--- a/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RequestFlowTest.java
@@ -18,19 +18,19 @@
 import org.micabarrow.ManualClock;
 import org.micabarrow.Samples;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.coordination.calls.AgentCalls;
+import org.micabarrow.coordination.calls.AgentClient;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.ClaimResult;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.state.Fault;
 import org.micabarrow.state.Fault.Reason;
 import org.micabarrow.state.FoldedState;
@@ -41,9 +41,9 @@
 class RequestFlowTest {
 
     private final ManualClock clock = new ManualClock();
-    private final Traffic traffic = new Traffic();
+    private final InstanceStats stats = new InstanceStats();
     private final List<AgentRequest> sent = new ArrayList<>();
-    private final List<AnswerListener> attempts = new ArrayList<>();
+    private final List<ResponseListener> attempts = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
     private final List<String> received = new ArrayList<>();
     private final FoldedState state = Samples.assistantOn(3);
@@ -53,9 +53,9 @@
     private final RequestFlow flow = new RequestFlow(
             () -> state,
             this::peers,
-            new RequestFlow.Parts(
-                    new Router("norte", "norte-a", traffic, new PrefixIndex(10), new Random(1)),
-                    traffic,
+            new RequestFlow.Components(
+                    new Router("norte", "norte-a", stats, new PrefixIndex(10), new Random(1)),
+                    stats,
                     new PrefixIndex(10),
                     calls(),
                     key -> (claim, within) -> CompletableFuture.completedFuture(new ClaimResult.Won()),
@@ -66,7 +66,7 @@
 
     private Map<String, PeerView> peers() {
         Map<String, PeerView> peers = new HashMap<>();
-        state.placed("assistant").orElseThrow().replicas().forEach(replica -> {
+        state.activePlacement("assistant").orElseThrow().replicas().forEach(replica -> {
             ReplicaView view = new ReplicaView(
                     "assistant", "v", ReplicaView.State.READY, 1, 1, Optional.of("v"), Optional.empty());
             peers.put(
@@ -84,17 +84,17 @@
         return peers;
     }
 
-    private AgentCalls calls() {
-        return new AgentCalls() {
+    private AgentClient calls() {
+        return new AgentClient() {
             @Override
-            public Runnable handle(Replica to, AgentRequest request, AnswerListener listener) {
+            public Runnable handle(Replica to, AgentRequest request, ResponseListener listener) {
                 sent.add(request);
                 attempts.add(listener);
                 return () -> cancelled = true;
             }
 
             @Override
-            public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim) {
+            public CompletableFuture<Result<Optional<Ledger.Settlement>>> settle(Replica to, Claim claim) {
                 return CompletableFuture.completedFuture(Result.success(Optional.empty()));
             }
         };
@@ -116,9 +116,9 @@
                 clock.millis() + deadline,
                 priority,
                 List.of());
-        return flow.begin(request, new AnswerListener() {
+        return flow.begin(request, new ResponseListener() {
             @Override
-            public void onHead(AnswerHead head) {
+            public void onHead(ResponseHead head) {
                 received.add("head");
             }
 
@@ -182,7 +182,7 @@
     @Test
     void shouldNotRetryWhenResponseHasStarted() {
         begin("r", 60_000, 0);
-        attempts.getFirst().onHead(new AnswerHead("a", 200, "text/plain", "v", "i", "r", "h", 1));
+        attempts.getFirst().onHead(new ResponseHead("a", 200, "text/plain", "v", "i", "r", "h", 1));
         attempts.getFirst().onData(new byte[1], () -> {});
         attempts.getFirst().onEnd(outcome("unknown"));
         assertEquals(1, sent.size());
@@ -223,12 +223,15 @@
 
     @Test
     void shouldReportNotRunWhenDeadlinePassesWithoutFreeSlot() {
-        state.placed("assistant").orElseThrow().replicas().forEach(replica -> traffic.requestSent(replica.instance()));
+        state.activePlacement("assistant")
+                .orElseThrow()
+                .replicas()
+                .forEach(replica -> stats.requestSent(replica.instance()));
         limit = 0;
         clock.advance(RequestFlow.MAX_SLOT_WAIT.toMillis());
         begin("r", 1, 0);
         clock.advance(10);
-        flow.wake();
+        flow.dispatchWaiting();
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, outcomes.getFirst());
         assertTrue(notRun.retryAfter().toMillis() > 0);
         assertTrue(sent.isEmpty());
@@ -253,7 +256,7 @@
             begin("r" + i, 60_000, 0);
         }
         clock.advance(RequestFlow.MAX_SLOT_WAIT.toMillis() + 1);
-        flow.wake();
+        flow.dispatchWaiting();
         assertEquals(2, outcomes.size());
         outcomes.forEach(outcome -> assertEquals(
                 Reason.OVERLOADED,
--- a/src/test/java/org/micabarrow/coordination/requests/SimulatedAgent.java
+++ b/src/test/java/org/micabarrow/coordination/requests/SimulatedAgent.java
@@ -4,9 +4,9 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.Ledger;
 
@@ -33,7 +33,7 @@
         return Integer.toString(restarts);
     }
 
-    void handle(AgentRequest request, AnswerListener listener, SimulatedEntry from) {
+    void handle(AgentRequest request, ResponseListener listener, SimulatedEntry from) {
         Claim claim = request.claim().orElseThrow();
         Ledger current = ledger;
         switch (current.start(claim, simulation.clock.millis())) {
@@ -44,13 +44,14 @@
         }
     }
 
-    private void run(Ledger current, AgentRequest request, Claim claim, AnswerListener listener, SimulatedEntry from) {
+    private void run(
+            Ledger current, AgentRequest request, Claim claim, ResponseListener listener, SimulatedEntry from) {
         String key = new String(request.body(), StandardCharsets.UTF_8);
         simulation.messages.add(new RequestSimulation.Message(
                 () -> {
                     simulation.runs.merge(key, 1, Integer::sum);
                     byte[] body = ("answer to " + key).getBytes(StandardCharsets.UTF_8);
-                    current.ended(claim.key(), Optional.of(new Ledger.Answer(200, "text/plain", body)));
+                    current.recordEnd(claim.key(), Optional.of(new Ledger.StoredResponse(200, "text/plain", body)));
                     simulation.messages.add(new RequestSimulation.Message(
                             () -> from.whenRunning(() -> respond(listener, request.attempt(), body)),
                             () -> from.whenRunning(
@@ -58,18 +59,18 @@
                 },
                 () -> {
                     simulation.runs.merge(key, 1, Integer::sum);
-                    current.ended(claim.key(), Optional.empty());
+                    current.recordEnd(claim.key(), Optional.empty());
                     from.whenRunning(
                             () -> listener.onEnd(Outcome.unknown(RequestSimulation.fault("the endpoint crashed"))));
                 }));
     }
 
-    private void respond(AnswerListener listener, String attempt, byte[] body) {
-        listener.onHead(new AnswerHead(attempt, 200, "text/plain", "", name, "norte", "norte-a", 0));
+    private void respond(ResponseListener listener, String attempt, byte[] body) {
+        listener.onHead(new ResponseHead(attempt, 200, "text/plain", "", name, "norte", "norte-a", 0));
         listener.onData(body, () -> listener.onEnd(Outcome.answered()));
     }
 
-    private void reply(AnswerListener listener, SimulatedEntry from, Outcome outcome) {
+    private void reply(ResponseListener listener, SimulatedEntry from, Outcome outcome) {
         simulation.messages.add(new RequestSimulation.Message(
                 () -> from.whenRunning(() -> listener.onEnd(outcome)),
                 () -> from.whenRunning(
--- a/src/test/java/org/micabarrow/coordination/requests/SimulatedEntry.java
+++ b/src/test/java/org/micabarrow/coordination/requests/SimulatedEntry.java
@@ -11,10 +11,10 @@
 import java.util.random.RandomGenerator;
 import org.micabarrow.Samples;
 import org.micabarrow.coordination.admission.RetryBudget;
-import org.micabarrow.coordination.calls.AgentCalls;
+import org.micabarrow.coordination.calls.AgentClient;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.ClaimResult;
 import org.micabarrow.coordination.claims.ClaimTable;
@@ -22,14 +22,14 @@
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Result;
 
 /** An entry with the real request flow. */
-final class SimulatedEntry implements AgentCalls, ClaimWriter {
+final class SimulatedEntry implements AgentClient, ClaimWriter {
 
     private final RequestSimulation simulation;
     private final ClaimTable claims = new ClaimTable(3_600_000);
@@ -40,15 +40,15 @@
 
     SimulatedEntry(RequestSimulation simulation) {
         this.simulation = simulation;
-        Traffic traffic = new Traffic();
+        InstanceStats stats = new InstanceStats();
         PrefixIndex prefixes = new PrefixIndex(10);
         RandomGenerator generator = new Random(1);
         flow = new RequestFlow(
                 () -> simulation.state,
                 this::peers,
-                new RequestFlow.Parts(
-                        new Router("norte", "norte-a", traffic, prefixes, generator),
-                        traffic,
+                new RequestFlow.Components(
+                        new Router("norte", "norte-a", stats, prefixes, generator),
+                        stats,
                         prefixes,
                         this,
                         key -> this,
@@ -155,7 +155,7 @@
     // -- calls
 
     @Override
-    public Runnable handle(Replica to, AgentRequest request, AnswerListener listener) {
+    public Runnable handle(Replica to, AgentRequest request, ResponseListener listener) {
         SimulatedAgent agent = agent(to);
         simulation.messages.add(new RequestSimulation.Message(() -> agent.handle(request, listener, this), () -> {
             whenRunning(
@@ -174,14 +174,14 @@
     }
 
     @Override
-    public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica to, Claim claim) {
-        CompletableFuture<Result<Optional<Ledger.Settled>>> result = new CompletableFuture<>();
+    public CompletableFuture<Result<Optional<Ledger.Settlement>>> settle(Replica to, Claim claim) {
+        CompletableFuture<Result<Optional<Ledger.Settlement>>> result = new CompletableFuture<>();
         Runnable lost =
                 () -> whenRunning(() -> result.complete(Result.failure(RequestSimulation.fault("no response"))));
         simulation.messages.add(new RequestSimulation.Message(
                 () -> {
                     SimulatedAgent agent = agent(to);
-                    Optional<Ledger.Settled> settled = claim.epoch().equals(agent.epoch())
+                    Optional<Ledger.Settlement> settled = claim.epoch().equals(agent.epoch())
                             ? Optional.of(agent.ledger.settle(
                                     claim.key(), claim.latestStartMillis(), simulation.clock.millis()))
                             : Optional.empty();
--- a/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
+++ b/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Placement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
@@ -28,10 +28,11 @@
     private static final long NOW = 1_000_000;
     private static final int LIMIT = 10;
 
-    private final Placed placed = assistantOn(3).placed("assistant").orElseThrow();
-    private final Traffic traffic = new Traffic();
+    private final ActivePlacement placed =
+            assistantOn(3).activePlacement("assistant").orElseThrow();
+    private final InstanceStats stats = new InstanceStats();
     private final PrefixIndex prefixes = new PrefixIndex(100);
-    private final Router router = new Router("norte", "norte-a", traffic, prefixes, new Random(1));
+    private final Router router = new Router("norte", "norte-a", stats, prefixes, new Random(1));
     private final Map<String, PeerView> peers = new HashMap<>();
 
     @BeforeEach
@@ -60,7 +61,7 @@
     }
 
     private Router.Decision route(boolean shortRequest, String... tried) {
-        return router.route(placed, peers, new Router.Wish(List.of(), shortRequest, Set.of(tried), NOW));
+        return router.route(placed, peers, new Router.Criteria(List.of(), shortRequest, Set.of(tried), NOW));
     }
 
     /** Makes a replica ineligible for the given reason. */
@@ -72,7 +73,7 @@
             case FULL -> peers.put(replica.instance(), peer(replica, true, false, true, LIMIT));
             case EJECTED -> {
                 for (int i = 0; i < 3; i++) {
-                    traffic.requestFailed(replica.instance(), NOW);
+                    stats.requestFailed(replica.instance(), NOW);
                 }
             }
             default -> {}
@@ -108,12 +109,13 @@
                 List.of("nowhere"),
                 List.of("riders"),
                 3,
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(0, 0));
-        Placed placedElsewhere = new Placed(restricted, "plan", 0, placed.chains(), 0, 0, Optional.empty());
+        ActivePlacement placedElsewhere =
+                new ActivePlacement(restricted, "plan", 0, placed.chains(), 0, 0, Optional.empty());
         Router.Decision decision =
-                router.route(placedElsewhere, peers, new Router.Wish(List.of(), true, Set.of(), NOW));
+                router.route(placedElsewhere, peers, new Router.Criteria(List.of(), true, Set.of(), NOW));
         assertTrue(decision.chosen().isEmpty());
     }
 
@@ -155,7 +157,7 @@
                 .findFirst()
                 .orElseThrow();
         prefixes.recordCached(prompt, distant.instance(), NOW);
-        Router.Decision decision = router.route(placed, peers, new Router.Wish(prompt, true, Set.of(), NOW));
+        Router.Decision decision = router.route(placed, peers, new Router.Criteria(prompt, true, Set.of(), NOW));
         assertEquals(distant, decision.chosen().orElseThrow());
     }
 }
