--- a/src/main/java/org/micabarrow/coordination/agents/AgentFlow.java
+++ b/src/main/java/org/micabarrow/coordination/agents/AgentFlow.java
@@ -9,7 +9,7 @@
 import java.util.function.Supplier;
 import org.micabarrow.coordination.admission.ConcurrencyLimit;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerListener;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.configuration.Configuration;
@@ -98,7 +98,7 @@
      * @return their number
      */
     public int open() {
-        return parts.limit().open();
+        return parts.limit().inFlight();
     }
 
     /**
@@ -116,7 +116,7 @@
      * @param claim the claim that holds the key
      * @return what became of the key, empty if the claim names another process
      */
-    public Optional<Ledger.Settled> settle(Claim claim) {
+    public Optional<Ledger.Settlement> settle(Claim claim) {
         return claim.epoch().equals(parts.identity().epochText())
                 ? Optional.of(parts.ledger()
                         .settle(
@@ -145,7 +145,7 @@
      * @param listener receives the answer
      * @return cancels the request when run; one that may not be repeated runs on
      */
-    public Runnable begin(AgentRequest request, AnswerListener listener) {
+    public Runnable begin(AgentRequest request, ResponseListener listener) {
         Objects.requireNonNull(request, "request is null");
         Objects.requireNonNull(listener, "listener is null");
         AgentRun run = new AgentRun(this, parts, request, listener);
--- a/src/main/java/org/micabarrow/coordination/calls/AnswerHead.java
+++ b/src/main/java/org/micabarrow/coordination/calls/ResponseHead.java
@@ -3,18 +3,18 @@
 import java.util.Objects;
 
 /**
- * The beginning of an answer: what it is and where it was made.
+ * The head of a response: its status and type, and the instance that produced it.
  *
- * @param attempt the attempt that made it
+ * @param attempt the id of the attempt that produced it
  * @param status the HTTP status
  * @param contentType the body's type
  * @param version the version of the weights, empty for a service
- * @param instance the instance that made it
- * @param region its region
- * @param hall its data hall
- * @param generation the generation under which the agent let it start
+ * @param instance the instance that produced it
+ * @param region the instance's region
+ * @param hall the instance's data hall
+ * @param generation the configuration generation under which the agent started the request
  */
-public record AnswerHead(
+public record ResponseHead(
         String attempt,
         int status,
         String contentType,
@@ -24,8 +24,8 @@
         String hall,
         long generation) {
 
-    /** Checks the parts. */
-    public AnswerHead {
+    /** Validates the components. */
+    public ResponseHead {
         Objects.requireNonNull(attempt, "attempt is null");
         Objects.requireNonNull(contentType, "contentType is null");
         Objects.requireNonNull(version, "version is null");
--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -210,7 +210,7 @@
     private void pollReports() {
         while (!closed) {
             Result<Endpoint.Report> report = endpoint.report();
-            report.toOptional().ifPresent(told -> concurrency.suggest(told.slots()));
+            report.toOptional().ifPresent(told -> concurrency.initialize(told.slots()));
             node.control().execute(() -> {
                 List<Endpoint.Order> orders = replicas.reported(report.toOptional());
                 orders.forEach(order -> threads.execute(() -> give(order)));
@@ -230,7 +230,7 @@
 
     // -- weights
 
-    private Transfer startTransfer(TransferTask task, FoldedState.Placed placed) {
+    private Transfer startTransfer(TransferTask task, FoldedState.ActivePlacement placed) {
         OriginBudget budget = bytes -> draw(placed.placement().name(), bytes);
         Transfer transfer =
                 new Transfer(task, weights, endpoint, budget, new TransferMetrics(node.metrics()), node.clock());
--- a/src/main/java/org/micabarrow/process/EntryProcess.java
+++ b/src/main/java/org/micabarrow/process/EntryProcess.java
@@ -14,15 +14,15 @@
 import java.util.zip.CRC32C;
 import javax.net.ssl.SSLContext;
 import org.micabarrow.coordination.admission.RetryBudget;
+import org.micabarrow.coordination.claims.ClaimStream;
 import org.micabarrow.coordination.claims.ClaimWriter;
-import org.micabarrow.coordination.claims.Claims;
 import org.micabarrow.coordination.configuration.Duties;
 import org.micabarrow.coordination.membership.PeerTable;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.requests.RequestFlow;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.protocol.wire.StatusReply;
 import org.micabarrow.settings.EntrySettings;
 import org.micabarrow.state.Links;
@@ -61,12 +61,12 @@
     private final EntrySettings settings;
     private final Node node;
     private final PeerTable table;
-    private final Traffic traffic = new Traffic();
+    private final InstanceStats traffic = new InstanceStats();
     private final PrefixIndex prefixes = new PrefixIndex(PREFIXES);
     private final Router router;
     private final Duties duties;
     private final AgentStatuses statuses;
-    private final List<Claims> claims = new ArrayList<>();
+    private final List<ClaimStream> claims = new ArrayList<>();
     private final RequestFlow flow;
     private final CallerHandler callers;
     private final ExecutorService threads = Node.workers("entry-work");
@@ -91,13 +91,13 @@
                 settings.instance().id(), timing.repairMillis(), timing.checkpointMillis(), Node::newId, node.clock());
         EntrySettings.Limits limits = settings.limits();
         for (int i = 0; i < limits.claimStreams(); i++) {
-            claims.add(Claims.start(
+            claims.add(ClaimStream.start(
                     node.platform(), "claims-" + i, Duration.ofMillis(limits.claimKeptMillis()), node.clock()));
         }
         this.flow = new RequestFlow(
                 node.configuration()::current,
                 table::peers,
-                new RequestFlow.Parts(
+                new RequestFlow.Components(
                         router,
                         traffic,
                         prefixes,
@@ -137,7 +137,8 @@
         node.gauge("requests.waiting", flow::waiting);
         node.gauge("requests.taken", flow::requests);
         node.gauge("requests.attempts", flow::attempts);
-        node.gauge("claims.held", () -> claims.stream().mapToInt(Claims::size).sum());
+        node.gauge(
+                "claims.held", () -> claims.stream().mapToInt(ClaimStream::size).sum());
         node.gauge("instances.listed", () -> table.instances().size());
         node.gauge("agents.known", () -> table.peers().size());
         server = node.channels()
@@ -212,13 +213,13 @@
 
     private void heard(PeerView view) {
         table.heard(view);
-        threads.execute(flow::wake);
+        threads.execute(flow::dispatchWaiting);
     }
 
     private void tick() {
         table.publish();
         if (flow.waiting() > 0) {
-            threads.execute(flow::wake);
+            threads.execute(flow::dispatchWaiting);
         }
     }
 
@@ -258,7 +259,7 @@
         callerListener.close();
         operatorListener.close();
         Node.end(server);
-        claims.forEach(Claims::close);
+        claims.forEach(ClaimStream::close);
         threads.shutdownNow();
         node.close();
     }
--- a/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
+++ b/src/test/java/org/micabarrow/coordination/routing/RouterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.membership.ReplicaView;
-import org.micabarrow.state.FoldedState.Placed;
+import org.micabarrow.state.FoldedState.ActivePlacement;
 import org.micabarrow.state.Placement;
 import org.micabarrow.state.Replica;
 import org.micabarrow.state.Workload;
@@ -28,18 +28,19 @@
     private static final long NOW = 1_000_000;
     private static final int LIMIT = 10;
 
-    private final Placed placed = assistantOn(3).placed("assistant").orElseThrow();
-    private final Traffic traffic = new Traffic();
+    private final ActivePlacement placed =
+            assistantOn(3).activePlacement("assistant").orElseThrow();
+    private final InstanceStats stats = new InstanceStats();
     private final PrefixIndex prefixes = new PrefixIndex(100);
-    private final Router router = new Router("norte", "norte-a", traffic, prefixes, new Random(1));
+    private final Router router = new Router("norte", "norte-a", stats, prefixes, new Random(1));
     private final Map<String, PeerView> peers = new HashMap<>();
 
     @BeforeEach
-    void everyReplicaIsReady() {
+    void setUpReadyReplicas() {
         placed.replicas().forEach(replica -> peers.put(replica.instance(), peer(replica, true, false, true, 0)));
     }
 
-    private static PeerView peer(Replica replica, boolean reachable, boolean leaving, boolean ready, int inFlight) {
+    private static PeerView peer(Replica replica, boolean reachable, boolean draining, boolean ready, int inFlight) {
         ReplicaView view = new ReplicaView(
                 "assistant",
                 WEIGHTS.digest(),
@@ -54,17 +55,17 @@
                 1,
                 "",
                 reachable,
-                leaving,
+                draining,
                 Map.of("assistant", view),
                 new PeerView.Load(inFlight, 0, LIMIT, NOW));
     }
 
     private Router.Decision route(boolean shortRequest, String... tried) {
-        return router.route(placed, peers, new Router.Wish(List.of(), shortRequest, Set.of(tried), NOW));
+        return router.route(placed, peers, new Router.Criteria(List.of(), shortRequest, Set.of(tried), NOW));
     }
 
-    /** Makes one replica unfit for one reason. */
-    private void spoil(Replica replica, Exclusion.Reason reason) {
+    /** Makes a replica ineligible for the given reason. */
+    private void makeIneligible(Replica replica, Exclusion.Reason reason) {
         switch (reason) {
             case NOT_HEARD -> peers.put(replica.instance(), peer(replica, false, false, true, 0));
             case LEAVING -> peers.put(replica.instance(), peer(replica, true, true, true, 0));
@@ -72,72 +73,74 @@
             case FULL -> peers.put(replica.instance(), peer(replica, true, false, true, LIMIT));
             case EJECTED -> {
                 for (int i = 0; i < 3; i++) {
-                    traffic.failed(replica.instance(), NOW);
+                    stats.requestFailed(replica.instance(), NOW);
                 }
             }
             default -> {}
         }
     }
 
-    // -- leaving out
+    // -- exclusion
 
     @ParameterizedTest
     @EnumSource(names = {"NOT_HEARD", "LEAVING", "NOT_READY", "FULL", "EJECTED"})
-    void shouldLeaveOutReplicaAndSayWhy(Exclusion.Reason reason) {
-        Replica unfit = placed.replicas().getFirst();
-        spoil(unfit, reason);
+    void shouldExcludeReplicaWithReason(Exclusion.Reason reason) {
+        Replica ineligible = placed.replicas().getFirst();
+        makeIneligible(ineligible, reason);
         for (int i = 0; i < 20; i++) {
             Router.Decision decision = route(true);
-            assertNotEquals(unfit, decision.chosen().orElseThrow());
-            assertEquals(List.of(new Exclusion(unfit, reason)), decision.exclusions());
+            assertNotEquals(ineligible, decision.chosen().orElseThrow());
+            assertEquals(List.of(new Exclusion(ineligible, reason)), decision.exclusions());
         }
     }
 
     @Test
-    void shouldLeaveOutReplicaThatWasTried() {
+    void shouldExcludeReplicaWhenItWasTried() {
         String tried = placed.replicas().getFirst().instance();
         assertNotEquals(tried, route(true, tried).chosen().orElseThrow().instance());
     }
 
     @Test
-    void shouldChooseNobodyOutsidePlacementWhateverItsState() {
-        Placement narrowed = new Placement(
+    void shouldSelectNoReplicaWhenAllAreOutsidePlacement() {
+        Placement restricted = new Placement(
                 "assistant",
                 new Workload.Model("assistant", WEIGHTS, List.of()),
                 List.of(),
                 List.of("nowhere"),
                 List.of("riders"),
                 3,
-                Placement.Prefer.TIME,
-                Placement.CutOff.SERVE,
+                Placement.RolloutPreference.TIME,
+                Placement.CutOffPolicy.SERVE,
                 new Placement.Envelope(0, 0));
-        Placed elsewhere = new Placed(narrowed, "plan", 0, placed.chains(), 0, 0, Optional.empty());
-        Router.Decision decision = router.route(elsewhere, peers, new Router.Wish(List.of(), true, Set.of(), NOW));
+        ActivePlacement placedElsewhere =
+                new ActivePlacement(restricted, "plan", 0, placed.chains(), 0, 0, Optional.empty());
+        Router.Decision decision =
+                router.route(placedElsewhere, peers, new Router.Criteria(List.of(), true, Set.of(), NOW));
         assertTrue(decision.chosen().isEmpty());
     }
 
     @Test
     void shouldUseEjectedReplicasWhenAllAreEjected() {
-        placed.replicas().forEach(replica -> spoil(replica, Exclusion.Reason.EJECTED));
+        placed.replicas().forEach(replica -> makeIneligible(replica, Exclusion.Reason.EJECTED));
         assertTrue(route(true).chosen().isPresent());
     }
 
     @Test
-    void shouldKeepRoomForShortRequests() {
+    void shouldRejectLongRequestsWhenOnlyReservedSlotsAreFree() {
         placed.replicas().forEach(replica -> peers.put(replica.instance(), peer(replica, true, false, true, 8)));
         assertTrue(route(false).chosen().isEmpty());
         assertTrue(route(true).chosen().isPresent());
     }
 
-    // -- choosing
+    // -- selection
 
     @Test
-    void shouldPreferNearerOfEquals() {
+    void shouldPreferNearerReplicaWhenLoadsAreEqual() {
         assertEquals("norte-a", route(true).chosen().orElseThrow().hall());
     }
 
     @Test
-    void shouldPreferIdleFarReplicaToBusyNearOne() {
+    void shouldPreferDistantReplicaWhenNearOneIsBusy() {
         Replica near = placed.replicas().stream()
                 .filter(replica -> replica.hall().equals("norte-a"))
                 .findFirst()
@@ -147,14 +150,14 @@
     }
 
     @Test
-    void shouldPreferReplicaThatHasSeenThePrompt() {
+    void shouldPreferReplicaWhenItHasCachedThePrompt() {
         List<Long> prompt = PrefixIndex.blocks("x".repeat(2000));
-        Replica far = placed.replicas().stream()
+        Replica distant = placed.replicas().stream()
                 .filter(replica -> replica.hall().equals("sur-a"))
                 .findFirst()
                 .orElseThrow();
-        prefixes.seen(prompt, far.instance(), NOW);
-        Router.Decision decision = router.route(placed, peers, new Router.Wish(prompt, true, Set.of(), NOW));
-        assertEquals(far, decision.chosen().orElseThrow());
+        prefixes.recordCached(prompt, distant.instance(), NOW);
+        Router.Decision decision = router.route(placed, peers, new Router.Criteria(prompt, true, Set.of(), NOW));
+        assertEquals(distant, decision.chosen().orElseThrow());
     }
 }
