--- a/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
@@ -15,17 +15,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.micabarrow.coordination.calls.AgentCalls;
+import org.micabarrow.coordination.calls.AgentClient;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerListener;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.configuration.ConfigurationReader;
 import org.micabarrow.coordination.log.PlatformLog;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.coordination.weights.Weights;
-import org.micabarrow.protocol.AnswerMessages;
 import org.micabarrow.protocol.RequestMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.wire.ChunksRequest;
 import org.micabarrow.protocol.wire.PeerGrpc;
 import org.micabarrow.protocol.wire.RecordsReply;
@@ -39,7 +39,7 @@
 import org.micabarrow.state.Result;
 
 /** Calls other processes of the system over gRPC and keeps one channel to each. */
-public final class PeerClient implements AgentCalls, ConfigurationReader.Peers, AutoCloseable {
+public final class PeerClient implements AgentClient, ConfigurationReader.Peers, AutoCloseable {
 
     /** The timeout of a call that a peer answers from memory. */
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
@@ -99,7 +99,7 @@
     // -- requests
 
     @Override
-    public Runnable handle(Replica replica, AgentRequest request, AnswerListener listener) {
+    public Runnable handle(Replica replica, AgentRequest request, ResponseListener listener) {
         ResponseReceiver receiver = new ResponseReceiver(
                 replica,
                 request.attempt(),
@@ -115,13 +115,13 @@
     }
 
     @Override
-    public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica replica, Claim claim) {
+    public CompletableFuture<Result<Optional<Ledger.Settlement>>> settle(Replica replica, Claim claim) {
         SettleRequest request = SettleRequest.newBuilder()
                 .setClaim(RequestMessages.toWire(claim))
                 .build();
         UnaryReplyObserver<SettleRequest, SettleReply> reply = new UnaryReplyObserver<>(Step.CLAIM, replica.instance());
         stubWithTimeout(replica.address(), CALL_TIMEOUT).settle(request, reply);
-        return reply.result().thenApply(result -> result.map(AnswerMessages::fromWire));
+        return reply.result().thenApply(result -> result.map(ResponseMessages::fromWire));
     }
 
     // -- status and records
--- a/src/main/java/org/micabarrow/transport/grpc/PeerService.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerService.java
@@ -14,13 +14,13 @@
 import java.util.function.Supplier;
 import org.micabarrow.coordination.agents.AgentFlow;
 import org.micabarrow.coordination.agents.Holding;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.configuration.Configuration;
 import org.micabarrow.coordination.log.PlatformLog;
-import org.micabarrow.protocol.AnswerMessages;
 import org.micabarrow.protocol.RequestMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.wire.Chunk;
 import org.micabarrow.protocol.wire.ChunksRequest;
 import org.micabarrow.protocol.wire.HandleReply;
@@ -100,7 +100,7 @@
     }
 
     /** Writes the response to one attempt, applying the backpressure of the calling entry. */
-    private final class ResponseWriter implements AnswerListener {
+    private final class ResponseWriter implements ResponseListener {
 
         private final String attempt;
         private final ServerCallStreamObserver<HandleReply> replies;
@@ -136,8 +136,8 @@
         }
 
         @Override
-        public void onHead(AnswerHead head) {
-            send(AnswerMessages.toWire(head));
+        public void onHead(ResponseHead head) {
+            send(ResponseMessages.toWire(head));
         }
 
         @Override
@@ -160,7 +160,7 @@
         public void onEnd(Outcome outcome) {
             send(HandleReply.newBuilder()
                     .setAttempt(attempt)
-                    .setEnd(AnswerMessages.toWire(outcome))
+                    .setEnd(ResponseMessages.toWire(outcome))
                     .setLoad(agent.orElseThrow().load().get())
                     .build());
             if (!cancelled) {
@@ -178,7 +178,7 @@
     @Override
     public void settle(SettleRequest request, StreamObserver<SettleReply> replies) {
         SettleReply reply = agent.map(components ->
-                        AnswerMessages.toWire(components.flow().settle(RequestMessages.fromWire(request.getClaim()))))
+                        ResponseMessages.toWire(components.flow().settle(RequestMessages.fromWire(request.getClaim()))))
                 .orElse(SettleReply.newBuilder()
                         .setState(SettleReply.State.LOST)
                         .build());
--- a/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
@@ -6,10 +6,10 @@
 import java.time.InstantSource;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.membership.PeerView;
-import org.micabarrow.protocol.AnswerMessages;
+import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.StatusMessages;
 import org.micabarrow.protocol.wire.HandleReply;
 import org.micabarrow.protocol.wire.HandleRequest;
@@ -23,7 +23,7 @@
 
     private final Replica replica;
     private final String attempt;
-    private final AnswerListener listener;
+    private final ResponseListener listener;
     private final Consumer<PeerView.Load> loadListener;
     private final InstantSource clock;
     private final MetricRegistry metrics;
@@ -33,7 +33,7 @@
     ResponseReceiver(
             Replica replica,
             String attempt,
-            AnswerListener listener,
+            ResponseListener listener,
             Consumer<PeerView.Load> loadListener,
             InstantSource clock,
             MetricRegistry metrics) {
@@ -60,13 +60,13 @@
         }
         switch (reply.getPartCase()) {
             case HEAD -> {
-                listener.onHead(AnswerMessages.headOf(reply));
+                listener.onHead(ResponseMessages.headOf(reply));
                 call.request(1);
             }
             case DATA -> listener.onData(reply.getData().toByteArray(), () -> call.request(1));
             case END -> {
                 loadListener.accept(StatusMessages.fromWire(reply.getLoad(), clock.millis()));
-                finish(AnswerMessages.fromWire(replica.instance(), reply.getEnd()));
+                finish(ResponseMessages.fromWire(replica.instance(), reply.getEnd()));
                 call.request(1);
             }
             default -> call.request(1);
--- a/src/test/java/org/micabarrow/coordination/requests/SentRequest.java
+++ b/src/test/java/org/micabarrow/coordination/requests/RecordedRequest.java
@@ -5,23 +5,23 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 
-/** A request with what its caller saw. */
-final class SentRequest implements AnswerListener {
+/** A request that records the response its caller received. */
+final class RecordedRequest implements ResponseListener {
 
     final String key;
     final StringBuilder body = new StringBuilder();
-    final List<Outcome> ends = new ArrayList<>();
+    final List<Outcome> outcomes = new ArrayList<>();
 
-    SentRequest(String key) {
+    RecordedRequest(String key) {
         this.key = key;
     }
 
     @Override
-    public void onHead(AnswerHead head) {
+    public void onHead(ResponseHead head) {
         assertEquals(0, body.length());
     }
 
@@ -33,6 +33,6 @@
 
     @Override
     public void onEnd(Outcome outcome) {
-        ends.add(outcome);
+        outcomes.add(outcome);
     }
 }
--- a/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
+++ b/src/test/java/org/micabarrow/transport/callers/UnknownConfigurationTest.java
@@ -13,9 +13,9 @@
 import org.micabarrow.ManualClock;
 import org.micabarrow.coordination.admission.RetryBudget;
 import org.micabarrow.coordination.requests.RequestFlow;
+import org.micabarrow.coordination.routing.InstanceStats;
 import org.micabarrow.coordination.routing.PrefixIndex;
 import org.micabarrow.coordination.routing.Router;
-import org.micabarrow.coordination.routing.Traffic;
 import org.micabarrow.standin.Ports;
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.state.FoldedState;
@@ -33,13 +33,13 @@
     private static final int UNAVAILABLE = 503;
 
     private final ManualClock clock = new ManualClock();
-    private final Traffic traffic = new Traffic();
+    private final InstanceStats traffic = new InstanceStats();
 
     private CallerHandler callerHandler() {
         RequestFlow flow = new RequestFlow(
                 FoldedState::empty,
                 Map::of,
-                new RequestFlow.Parts(
+                new RequestFlow.Components(
                         new Router("norte", "norte-a", traffic, new PrefixIndex(10), new Random(1)),
                         traffic,
                         new PrefixIndex(10),
