--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -162,10 +162,10 @@
         }
         if (!slot.started() && wouldStartTooLate()) {
             failAttempt(
-                    AttemptOutcome.UNKNOWN, "the endpoint is unresponsive, and the request would start too late there");
+                    AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
         } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
             events.discardRemainder();
-            switchEndpoint(AttemptOutcome.UNKNOWN, "the endpoint and its agent are unresponsive");
+            switchEndpoint(AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint or its agent");
         }
     }
 
@@ -221,7 +221,7 @@
         if (!closed && !slot.started()) {
             failAttempt(
                     AttemptOutcome.UNKNOWN,
-                    "a newer weight version is required, and the endpoint has not begun the request");
+                    "a newer weight version is due, and the endpoint has not begun");
         }
     }
 
@@ -274,14 +274,14 @@
             }
             case NO_ANSWER -> {
                 load.failures().connectionFailed(context.nowMillis());
-                failAttempt(AttemptOutcome.UNKNOWN, "the response does not belong to this request");
+                failAttempt(AttemptOutcome.UNKNOWN, "what came is no answer to this request");
             }
             case NOT_TO_PASS -> {
                 recordStatus(head.status());
                 failAttempt(
                         AttemptOutcome.UNKNOWN,
-                        "the endpoint responded with " + head.status()
-                                + " without stating that the request was not run");
+                        "the endpoint answered " + head.status()
+                                + " without saying it has not run");
             }
             case ERROR -> {
                 recordStatus(head.status());
--- a/src/main/java/org/micabarrow/serving/PreSendCheck.java
+++ b/src/main/java/org/micabarrow/serving/PreSendCheck.java
@@ -47,26 +47,26 @@
         ServingContext context = served.context();
         ClientRequest request = served.request();
         if (served.remainingMillis() <= 0) {
-            return new Result.Outdated("the deadline has passed", false);
+            return new Result.Outdated("time is up", false);
         }
         if (context.suspects().suspicion(served.digest(), context.nowMillis()) instanceof SuspicionLevel.Refused) {
-            return new Result.Outdated("the request crashes endpoints", false);
+            return new Result.Outdated("it ends endpoints", false);
         }
         if (context.isGoneOrDraining(endpoint) || !context.canReceive(request, endpoint)) {
-            return new Result.Outdated("the endpoint may no longer get the request", false);
+            return new Result.Outdated("the endpoint may not get it any more", false);
         }
         if (context.isBackingOff(endpoint)) {
-            return new Result.Outdated("the endpoint asked for a backoff", false);
+            return new Result.Outdated("the endpoint has asked for rest", false);
         }
         if (!context.versions().mayStart(request, endpoint)) {
-            return new Result.Outdated("a newer weight version is required", false);
+            return new Result.Outdated("a newer weight version is due", false);
         }
         long connectMillis = context.nowMillis() - decidedMillis;
         if (connectMillis > CONNECT_TIMEOUT_MILLIS && !served.hadLateConnection()) {
             // Updates that arrived meanwhile have not been read yet, so even a decision that seems valid is based on an
             // old view. This is done only once per request: in a process that is always slow, every connection would be
             // late, and nothing would ever be sent.
-            return new Result.Outdated("the connection was established only after " + connectMillis + " ms", true);
+            return new Result.Outdated("the connection came only after " + connectMillis + " ms", true);
         }
         return new Result.Valid();
     }
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -54,7 +54,7 @@
 
     void begin() {
         deadlineTimer = Optional.of(thread.executeAfter(
-                () -> end("the deadline has passed"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
+                () -> end("time is up"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
         context.inFlight().add(this);
         decideNext("first");
     }
@@ -127,7 +127,7 @@
             case Decision.Full(int endpoints) -> refuseWithoutSlot(endpoints);
             case Decision.Unable ignored -> concludeWithoutResponse("no endpoint can serve");
             case Decision.BackingOff(int endpoints, long ignored) ->
-                concludeWithoutResponse("all " + endpoints + " endpoints asked for a backoff");
+                concludeWithoutResponse("all " + endpoints + " endpoints have asked for rest");
             case Decision.RateLimited(int endpoints, OptionalLong millis) -> refuseOverRateLimit(endpoints, millis);
             case Decision.PoisonRequest(int crashes, long forMillis) -> refusePoisonRequest(crashes, forMillis);
         }
@@ -146,8 +146,8 @@
     private void refuseWithoutSlot(int endpoints) {
         context.countRefusedForCapacity(request);
         String capacity = objectiveMissed()
-                ? "headroom for a request whose objective has passed"
-                : "a free slot within the objective of the request";
+                ? "room to spare for a request whose objective is over"
+                : "room within its objective";
         concludeWithoutResponse("none of " + endpoints + " endpoints has " + capacity);
     }
 
@@ -157,7 +157,7 @@
      */
     private void refuseOverRateLimit(int endpoints, OptionalLong millis) {
         context.metrics().rateLimited.inc();
-        String reason = "all " + endpoints + " endpoints have reached their rate limit";
+        String reason = "all " + endpoints + " endpoints have been sent what they take a second";
         long usual = context.retryAfterMillis(request);
         conclude(outcomeWithoutResponse(), reason, () -> Math.clamp(millis.orElse(usual), 1, Math.max(1, usual)));
     }
@@ -169,7 +169,7 @@
 
     @Override
     public void expired() {
-        decideNext("no endpoint had a free slot in time");
+        decideNext("no endpoint had room in time");
     }
 
     // -- sending
@@ -181,7 +181,7 @@
         } else if (attempts.countAgentQuery()) {
             context.queryAgent(request, selected.endpoint(), maySend -> onAgentReply(selected, reason, maySend));
         } else {
-            concludeWithoutResponse("no agent of an endpoint that could serve replies");
+            concludeWithoutResponse("no agent answers beside an endpoint that could serve");
         }
     }
 
@@ -313,7 +313,7 @@
     @Override
     public void check() {
         if (remainingMillis() <= 0) {
-            end("the deadline has passed");
+            end("time is up");
         } else if (!response.started() && suspicion() instanceof SuspicionLevel.Refused(int crashes, long forMillis)) {
             currentAttempt.ifPresent(this::cancelAttempt);
             refusePoisonRequest(crashes, forMillis);
@@ -329,7 +329,7 @@
     /** Cancels an attempt at an endpoint that the request may be about to crash. */
     private void cancelAttempt(Attempt attempt) {
         attempts.ended(attempt.mayRun() ? AttemptOutcome.UNKNOWN : AttemptOutcome.NOT_RUN);
-        attempt.abandon("the request crashes endpoints");
+        attempt.abandon("it ends endpoints");
     }
 
     // -- outcomes
@@ -349,7 +349,7 @@
         if (finished) {
             return;
         }
-        currentAttempt.ifPresent(attempt -> attempt.abandon("the client disconnected"));
+        currentAttempt.ifPresent(attempt -> attempt.abandon("the client left"));
         conclude(RequestOutcome.CLIENT_GONE, "the client closed its connection");
     }
 
--- a/src/main/java/org/micabarrow/serving/ServingHandler.java
+++ b/src/main/java/org/micabarrow/serving/ServingHandler.java
@@ -154,7 +154,7 @@
 
     /** Ends all requests in flight with the outcome known so far, because the process stops; on the traffic thread. */
     public void endRequests() {
-        context.inFlight().endAll("this entry is stopping");
+        context.inFlight().endAll("this entry stops");
     }
 
     // -- requests
@@ -222,7 +222,7 @@
             refuse(
                     exchange,
                     UNAVAILABLE,
-                    "this entry may not know the newest manifest; according to its current one, " + reason,
+                    "this entry may not know the newest manifest; by its own, " + reason,
                     STALE_MANIFEST_RETRY_MILLIS);
         }
     }
--- a/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
+++ b/src/test/java/org/micabarrow/routing/EndpointLoadTest.java
@@ -18,7 +18,7 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 999, 1_000, 100_000})
     void shouldNotReportLinkRecentlySlowWhenAgentHasNotReported(long nowMillis) {
-        assertFalse(load.linkRecentlySlow(nowMillis), "a steady clock may begin near 0");
+        assertFalse(load.linkRecentlySlow(nowMillis), "a monotonic clock may start near 0");
         assertFalse(load.hasRecentReport(nowMillis));
     }
 
