--- a/src/main/java/org/micabarrow/admission/SlotWait.java
+++ b/src/main/java/org/micabarrow/admission/SlotWait.java
@@ -49,7 +49,7 @@
         Decision decide();
 
         /**
-         * Called when the wait ends because a decision no longer says to wait.
+         * Called when the wait ends because the request no longer needs to wait.
          *
          * @param decision the decision
          * @param reason the reason for sending the request, as given when the wait began
--- a/src/main/java/org/micabarrow/admission/WaitQueue.java
+++ b/src/main/java/org/micabarrow/admission/WaitQueue.java
@@ -8,7 +8,7 @@
 /**
  * A queue of requests for which no endpoint has capacity and whose responses can still be in time. Slots become free
  * many times a second, so at full load a short wait saves a request from being refused, while a request that can no
- * longer be in time leaves at once instead of taking the slot of one that can. Not thread-safe: confined to one thread.
+ * longer be in time is removed at once instead of taking the slot of one that can. Not thread-safe: confined to one thread.
  */
 public final class WaitQueue {
 
--- a/src/main/java/org/micabarrow/limits/RateLimitUpdate.java
+++ b/src/main/java/org/micabarrow/limits/RateLimitUpdate.java
@@ -12,7 +12,7 @@
  */
 public record RateLimitUpdate(int endpointToken, OptionalDouble perSecond, int ageMillis) {
 
-    /** Stands for the endpoint beside an agent, whose reports do not identify it. */
+    /** Denotes the endpoint beside an agent, whose reports do not identify it. */
     public static final int LOCAL_ENDPOINT = 0;
 
     /** Checks that the age and the limit are valid. */
--- a/src/main/java/org/micabarrow/routing/Backoff.java
+++ b/src/main/java/org/micabarrow/routing/Backoff.java
@@ -1,7 +1,7 @@
 package org.micabarrow.routing;
 
 /**
- * The backoff that an endpoint has asked this process for, and the ramp-up after it. The ramp-up starts with one
+ * The backoff that an endpoint has requested from this process, and the ramp-up after it. The ramp-up starts with one
  * request in flight and doubles the limit with each response; without it all waiting requests would reach the endpoint
  * at once. Not thread-safe: confined to one thread.
  */
@@ -10,14 +10,14 @@
     /** Number of requests in flight at which the ramp-up is complete. */
     private static final int RAMP_UP_END = 32;
 
-    /** Stands for an unlimited number of requests. */
+    /** Denotes an unlimited number of requests. */
     private static final int UNLIMITED = 0;
 
     private long untilMillis = Long.MIN_VALUE;
     private int maxInFlight = UNLIMITED;
 
     /**
-     * Records that the endpoint asked for a backoff.
+     * Records that the endpoint requested a backoff.
      *
      * @param millis its duration in milliseconds; ignored if the active backoff lasts longer
      * @param nowMillis the time on the monotonic clock
--- a/src/main/java/org/micabarrow/routing/EndpointLoad.java
+++ b/src/main/java/org/micabarrow/routing/EndpointLoad.java
@@ -92,8 +92,8 @@
     }
 
     /**
-     * Returns whether the endpoint's agent has reported before and neither the agent nor the endpoint has been heard
-     * from within a timeout. Their instance may be paused or cut off.
+     * Returns whether the endpoint's agent has reported before but neither the agent nor the endpoint has been in
+     * contact within a timeout. Their instance may be paused or cut off.
      *
      * @param timeoutMillis the longest accepted time without contact
      * @param nowMillis the time on the monotonic clock
--- a/src/main/java/org/micabarrow/routing/EndpointSelector.java
+++ b/src/main/java/org/micabarrow/routing/EndpointSelector.java
@@ -115,7 +115,7 @@
      * Returns whether an endpoint accepts no new requests, according to its registration, its responses or its agent.
      *
      * @param endpoint the endpoint
-     * @return true if any of them says so
+     * @return true if any of them reports it as draining
      */
     public boolean isDraining(EndpointRegistration endpoint) {
         return isDraining(withLoad(endpoint));
@@ -264,7 +264,7 @@
      *
      * @param endpoint the endpoint
      * @param nowMillis the time on the monotonic clock
-     * @return true if its agent has reported before, and neither the endpoint nor its agent has been heard from within
+     * @return true if its agent has reported before, but neither the endpoint nor its agent has been in contact within
      *     the timeout
      */
     public boolean unresponsive(EndpointRegistration endpoint, long nowMillis) {
--- a/src/main/java/org/micabarrow/serving/Attempt.java
+++ b/src/main/java/org/micabarrow/serving/Attempt.java
@@ -162,7 +162,8 @@
         }
         if (!slot.started() && wouldStartTooLate()) {
             failAttempt(
-                    AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint, and what waits there would begin too late");
+                    AttemptOutcome.UNKNOWN,
+                    "nothing is heard of the endpoint, and what waits there would begin too late");
         } else if ((!response.started() || served.canResume()) && served.reserveRetry()) {
             events.discardRemainder();
             switchEndpoint(AttemptOutcome.UNKNOWN, "nothing is heard of the endpoint or its agent");
@@ -219,9 +220,7 @@
     /** Cancels the request if the endpoint, which holds an older weight version, has not begun it in time. */
     private void onStartDeadline() {
         if (!closed && !slot.started()) {
-            failAttempt(
-                    AttemptOutcome.UNKNOWN,
-                    "a newer weight version is due, and the endpoint has not begun");
+            failAttempt(AttemptOutcome.UNKNOWN, "a newer weight version is due, and the endpoint has not begun");
         }
     }
 
@@ -280,8 +279,7 @@
                 recordStatus(head.status());
                 failAttempt(
                         AttemptOutcome.UNKNOWN,
-                        "the endpoint answered " + head.status()
-                                + " without saying it has not run");
+                        "the endpoint answered " + head.status() + " without saying it has not run");
             }
             case ERROR -> {
                 recordStatus(head.status());
--- a/src/main/java/org/micabarrow/serving/ClientResponse.java
+++ b/src/main/java/org/micabarrow/serving/ClientResponse.java
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Closes the connection during the response, so that the client can tell that it is incomplete. */
+    /** Closes the connection during the response, so that the client can detect that it is incomplete. */
     void abort() {
         finished = true;
         IoUtils.safeClose(exchange.getConnection());
--- a/src/main/java/org/micabarrow/serving/ManifestAge.java
+++ b/src/main/java/org/micabarrow/serving/ManifestAge.java
@@ -18,7 +18,7 @@
  * manifest is missing that no process has any more, until operators write the next one. This is no endless loop: the
  * entry responds immediately and holds, repeats and forwards nothing; the client is told when to retry, may reach an
  * entry that is up to date, and stops at its own deadline. A wrong rejection would be worse, because a client that
- * believes it does not retry.
+ * receives one does not retry.
  *
  * @param asOfMillis the time on the monotonic clock up to which all operator changes are known; empty if there is none
  * @param maxAgeMillis how long after a manifest was set it must be active
--- a/src/main/java/org/micabarrow/serving/ResponseRelay.java
+++ b/src/main/java/org/micabarrow/serving/ResponseRelay.java
@@ -85,12 +85,12 @@
             response.sendWhole(head.orElseThrow(), buffered.toByteArray());
             return;
         }
-        byte[] rest = events.remainder();
+        byte[] remainder = events.remainder();
         concludeRequest(endpoint);
-        if (rest.length == 0) {
+        if (remainder.length == 0) {
             response.end();
         } else {
-            response.write(rest, response::end, response::onDisconnect);
+            response.write(remainder, response::end, response::onDisconnect);
         }
     }
 
--- a/src/main/java/org/micabarrow/serving/ServedRequest.java
+++ b/src/main/java/org/micabarrow/serving/ServedRequest.java
@@ -53,8 +53,8 @@
     }
 
     void begin() {
-        deadlineTimer = Optional.of(thread.executeAfter(
-                () -> end("time is up"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
+        deadlineTimer =
+                Optional.of(thread.executeAfter(() -> end("time is up"), times.maxHoldMillis(), TimeUnit.MILLISECONDS));
         context.inFlight().add(this);
         decideNext("first");
     }
@@ -145,9 +145,8 @@
 
     private void refuseWithoutSlot(int endpoints) {
         context.countRefusedForCapacity(request);
-        String capacity = objectiveMissed()
-                ? "room to spare for a request whose objective is over"
-                : "room within its objective";
+        String capacity =
+                objectiveMissed() ? "room to spare for a request whose objective is over" : "room within its objective";
         concludeWithoutResponse("none of " + endpoints + " endpoints has " + capacity);
     }
 
--- a/src/main/java/org/micabarrow/transport/EndpointClient.java
+++ b/src/main/java/org/micabarrow/transport/EndpointClient.java
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Forwards a response to the listener, and reports one that says that the request was not executed as a failure.
+     * Forwards a response to the listener, and reports one that states that the request was not executed as a failure.
      */
     private static final class ResponseForwarder implements HttpClient.Listener {
 
--- a/src/main/java/org/micabarrow/transport/LoadPoller.java
+++ b/src/main/java/org/micabarrow/transport/LoadPoller.java
@@ -161,7 +161,7 @@
         endpointsByHost = startsOf(hosts);
         replyTimestamps.keySet().retainAll(hosts.keySet());
         // The timestamps are read before the store update: a reply that arrived in between, while this process was
-        // paused, would make the update look newer than it is.
+        // paused, would make the update appear newer than it is.
         Map<String, Long> timestamps = Map.copyOf(replyTimestamps);
         Optional<StoreUpdate> storeUpdate = dependencies.storeUpdate().get();
         hosts.forEach((host, endpoints) -> {
@@ -278,7 +278,7 @@
                 .min(Comparator.comparingInt(RateLimitUpdate::ageMillis));
     }
 
-    /** What a query says of the store, with the timestamp of the reply that precedes it. */
+    /** What a query reports about the store, with the timestamp of the reply that precedes it. */
     private record StoreStatus(boolean sameRegion, OptionalLong replyTimestamp, Optional<StoreUpdate> storeUpdate) {}
 
     /** The timestamp of the last reply from a host; empty before the first. */
--- a/src/main/java/org/micabarrow/transport/PeerChunkClient.java
+++ b/src/main/java/org/micabarrow/transport/PeerChunkClient.java
@@ -136,7 +136,7 @@
         return excused;
     }
 
-    /** Whether an agent responds to a small request, even if only to say that it has no such version. */
+    /** Whether an agent responds to a small request, even if only to state that it has no such version. */
     private boolean respondsOnNewConnection(String agent, String model, long version) {
         HttpCall call = HttpCall.get(Step.FETCH, URI.create("http://" + agent + DIGESTS + model + "/" + version));
         return client.call(call, newConnectionTimeout).toOptional().isPresent();
--- a/src/main/java/org/micabarrow/views/LateEntryFilter.java
+++ b/src/main/java/org/micabarrow/views/LateEntryFilter.java
@@ -20,7 +20,7 @@
      */
     private static final long PRECEDENCE_MILLIS = 7_000;
 
-    /** Stands for the start time of an endpoint that does not report one. */
+    /** Denotes the start time of an endpoint that does not report one. */
     private static final long UNKNOWN_START = -1;
 
     /** Holds as many entries as the topic copy holds keys. */
--- a/src/main/java/org/micabarrow/views/ManifestTracker.java
+++ b/src/main/java/org/micabarrow/views/ManifestTracker.java
@@ -17,7 +17,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ManifestTracker.class);
 
-    /** Stands for an unknown manifest version or offset. */
+    /** Denotes an unknown manifest version or offset. */
     private static final long NONE = -1;
 
     private long activeVersion = NONE;
--- a/src/main/java/org/micabarrow/weights/ChunkPeers.java
+++ b/src/main/java/org/micabarrow/weights/ChunkPeers.java
@@ -26,7 +26,7 @@
     Result<List<String>> digests(String agent, String model, long version);
 
     /**
-     * Requests any one of some chunks. The agent delays its answer for a while until it has one of them.
+     * Requests any one of some chunks. The agent delays its response for a while until it has one of them.
      *
      * @param agent the agent's address
      * @param model the model
--- a/src/main/java/org/micabarrow/weights/ChunkSourcesCache.java
+++ b/src/main/java/org/micabarrow/weights/ChunkSourcesCache.java
@@ -52,7 +52,7 @@
 
     /**
      * The agents to query for data that any agent may have: all others of this region first, then one of each other
-     * region. Only one per region, since each may take long to answer that it has nothing.
+     * region. Only one per region, since each may take long to respond that it has nothing.
      *
      * @return their addresses
      */
--- a/src/main/java/org/micabarrow/weights/FetchProgress.java
+++ b/src/main/java/org/micabarrow/weights/FetchProgress.java
@@ -7,7 +7,7 @@
 
     /**
      * The time without a new chunk after which a fetch counts as stalled, in milliseconds: the time of a dozen chunks
-     * on a link, and longer than an agent delays its answer for a chunk that it is about to receive.
+     * on a link, and longer than an agent delays its response for a chunk that it is about to receive.
      */
     private static final long STALLED_MILLIS = 700;
 
--- a/src/main/java/org/micabarrow/weights/ReplicaController.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -98,7 +98,7 @@
     /**
      * The endpoint's last report.
      *
-     * @return the report, empty while the endpoint does not answer
+     * @return the report, empty while the endpoint does not respond
      */
     public Optional<Report> report() {
         return report.get();
@@ -127,7 +127,7 @@
     /**
      * Whether the endpoint serves the newest named version, so that there is nothing to fetch, to order or to stop.
      *
-     * @return false also while the endpoint does not answer, loads weights, or is cordoned
+     * @return false also while the endpoint does not respond, loads weights, or is cordoned
      */
     public boolean isUpToDate() {
         Optional<String> model = dependencies.model().get();
@@ -210,7 +210,7 @@
         Optional<Report> latest = report.get();
         latest.ifPresent(endpointReport -> retirement.updateHeld(endpointReport.models()));
         if (model.isEmpty() || latest.isEmpty()) {
-            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
+            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not respond" : "no manifest is known");
             return;
         }
         if (stagedChunks.detectRestart(latest.get().startedMillis())) {
--- a/src/main/java/org/micabarrow/weights/SourceSelector.java
+++ b/src/main/java/org/micabarrow/weights/SourceSelector.java
@@ -11,14 +11,14 @@
 
 /**
  * Selects the source from which each missing chunk of a version is fetched next: an agent, in order of preference, or
- * the origin after the last agent. Agents that did not answer are skipped for a while. Thread-safe.
+ * the origin after the last agent. Agents that did not respond are skipped for a while. Thread-safe.
  */
 final class SourceSelector {
 
     /** The name of the origin among the sources. */
     static final String ORIGIN = "origin";
 
-    /** How long an agent that did not answer is skipped, in milliseconds. */
+    /** How long an agent that did not respond is skipped, in milliseconds. */
     private static final long SKIP_MILLIS = 8_000;
 
     private final IntFunction<ChunkSources> sources;
@@ -124,7 +124,7 @@
         return position < agents.size() && agents.get(position).equals(source);
     }
 
-    /** Skips an agent that did not answer for a while. */
+    /** Skips an agent that did not respond for a while. */
     void markUnresponsive(String source) {
         unresponsiveUntil.put(source, monotonicMillis.getAsLong() + SKIP_MILLIS);
     }
--- a/src/main/java/org/micabarrow/weights/TargetVersionSelector.java
+++ b/src/main/java/org/micabarrow/weights/TargetVersionSelector.java
@@ -44,7 +44,7 @@
     /**
      * Whether the endpoint skips a complete version in favour of the newest, which is expected soon. Each switch takes
      * an endpoint out of service for some 2.6 s; with two versions named 4 s apart, more than half of fifteen endpoints
-     * were out at the same time. Some endpoints load every version, so that there is always one that may answer.
+     * were out at the same time. Some endpoints load every version, so that there is always one that can serve.
      */
     private boolean shouldSkip(ChunkSet complete, long held) {
         long newest = deadlines.newest(complete.model());
--- a/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
+++ b/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters stand for requests
+     * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters denote requests
      * whose responses had begun.
      */
     private static PoisonRequestDetector.Evidence evidence(String crashes) {
--- a/src/test/java/org/micabarrow/serving/HostedEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/HostedEntryTest.java
@@ -276,7 +276,7 @@
                     + "\r\nAttempt-Id: a\r\nDeadline-Ms: " + LONG_TIMEOUT_MILLIS + "\r\n";
             client.getOutputStream().write((head + body.first).getBytes(StandardCharsets.US_ASCII));
             waitUntil(() -> entry.open() == 1);
-            client.getOutputStream().write(body.rest.getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream().write(body.remainder.getBytes(StandardCharsets.US_ASCII));
             waitUntil(() -> platform.endpoint("plain-1").hanging() == 1);
             disconnect.apply(client);
             waitUntil(() -> entry.open() == 0);
@@ -294,11 +294,11 @@
         CHUNKED("Transfer-Encoding: chunked\r\n\r\n2\r\na \r\n", "4\r\nbody\r\n0\r\n\r\n");
 
         private final String first;
-        private final String rest;
+        private final String remainder;
 
-        Body(String first, String rest) {
+        Body(String first, String remainder) {
             this.first = first;
-            this.rest = rest;
+            this.remainder = remainder;
         }
     }
 
--- a/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
+++ b/src/test/java/org/micabarrow/transport/HostedPeerServerTest.java
@@ -129,7 +129,7 @@
         assertEquals(OptionalLong.empty(), request(Topic.NAMED).asOfMillis());
     }
 
-    /** A peer of an older build states no age. An invalid age must not make its records look newer than the request. */
+    /** A peer of an older build states no age. An invalid age must not make its records appear newer than the request. */
     @ParameterizedTest
     @ValueSource(
             strings = {"", ",\"knownMsAgo\":-1", ",\"knownMsAgo\":\"5\"", ",\"knownMsAgo\":0.5", ",\"knownMsAgo\":1e30"
--- a/src/test/java/org/micabarrow/transport/PeerChunkClientTest.java
+++ b/src/test/java/org/micabarrow/transport/PeerChunkClientTest.java
@@ -16,7 +16,7 @@
 import org.micabarrow.state.Result;
 import org.micabarrow.weights.ChunkPeers.IndexedChunk;
 
-/** How an agent is treated that leaves a request for chunks without a response. */
+/** Tests how a client treats an agent that does not respond to a request for chunks. */
 class PeerChunkClientTest {
 
     /** Every request without a response delays a test by this time; a busy machine responds within it. */
--- a/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
+++ b/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
@@ -348,10 +348,10 @@
         TopicReader history = new TopicReader() {
             @Override
             public Result<Batch> readLatest(Topic topic) {
-                byte[] place = "{\"version\":3,\"offset\":2}".getBytes(StandardCharsets.UTF_8);
+                byte[] position = "{\"version\":3,\"offset\":2}".getBytes(StandardCharsets.UTF_8);
                 return Result.success(
                         topic == Topic.NAMED
-                                ? new Batch(List.of(new StoredRecord(VersionKeys.ofManifest(3), 0, place)), 1)
+                                ? new Batch(List.of(new StoredRecord(VersionKeys.ofManifest(3), 0, position)), 1)
                                 : new Batch(List.of(new StoredRecord("config", 3, manifest(1))), 4));
             }
 
