--- a/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
+++ b/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
@@ -31,7 +31,7 @@
     private static PoisonRequestDetector.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
         Map<String, Long> times = new HashMap<>();
-        Set<RequestDigest> partlyAnswered = new HashSet<>();
+        Set<RequestDigest> partlyResponded = new HashSet<>();
         for (String crash : crashes.split(" ")) {
             String[] parts = crash.split(":");
             String endpoint = "e" + times.size();
@@ -40,11 +40,11 @@
                 RequestDigest digest = digest(String.valueOf(Character.toLowerCase(request)));
                 at.computeIfAbsent(digest, key -> new HashSet<>()).add(endpoint);
                 if (Character.isUpperCase(request)) {
-                    partlyAnswered.add(digest);
+                    partlyResponded.add(digest);
                 }
             }
         }
-        return new PoisonRequestDetector.Evidence(at, partlyAnswered, times);
+        return new PoisonRequestDetector.Evidence(at, partlyResponded, times);
     }
 
     @ParameterizedTest
--- a/src/test/java/org/micabarrow/serving/ConcurrentClientsTest.java
+++ b/src/test/java/org/micabarrow/serving/ConcurrentClientsTest.java
@@ -20,7 +20,7 @@
 import org.micabarrow.settings.HostedSettings;
 import org.micabarrow.transport.Addresses;
 
-/** Guards against a ready entry that does not accept or answer all clients when many connect at once. */
+/** Guards against a ready entry that does not accept all clients or respond to them when many connect at once. */
 class ConcurrentClientsTest extends ServingFixture {
 
     private static final int CLIENTS = 64;
@@ -73,7 +73,7 @@
         return statusLines;
     }
 
-    private static void assertAnswered(List<Socket> sockets) throws IOException {
+    private static void assertResponses(List<Socket> sockets) throws IOException {
         // Sixty-four at once are more than a plain endpoint takes, so some requests are refused, but each must get a
         // response.
         List<String> statusLines = statusLines(sockets);
@@ -86,7 +86,7 @@
     // -- entry
 
     @Test
-    void shouldAnswerClientsThatConnectedWhileTrafficThreadWasPaused() throws Exception {
+    void shouldRespondToClientsThatConnectedWhileTrafficThreadWasPaused() throws Exception {
         platform.manifest(2, "key-a", TIMEOUT_MILLIS);
         platform.add("plain-1", "plain", 0);
         serve(
@@ -103,7 +103,7 @@
         awaitUnchecked(paused);
         List<Socket> sockets = connectClients(clientAddress());
         resumed.countDown();
-        assertAnswered(sockets);
+        assertResponses(sockets);
     }
 
     @Test
@@ -113,7 +113,7 @@
         HostedEntryProcess entry = HostedEntryProcess.start(settings);
         try {
             Await.until("the entry is ready", () -> isReady(settings));
-            assertAnswered(connectClients(clientAddress()));
+            assertResponses(connectClients(clientAddress()));
         } finally {
             entry.close();
         }
@@ -128,7 +128,7 @@
             Await.until("the entry is ready", () -> isReady(settings));
             for (int i = 0; i < LARGE_MANIFESTS; i++) {
                 platform.manifest(3 + i, "key-a", TIMEOUT_MILLIS, LARGE_ROUTES);
-                assertAnswered(connectClients(clientAddress()));
+                assertResponses(connectClients(clientAddress()));
             }
         } finally {
             entry.close();
--- a/src/test/java/org/micabarrow/serving/StalledClientTest.java
+++ b/src/test/java/org/micabarrow/serving/StalledClientTest.java
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Answers requests, each on its own connection, with the given number of bytes, and detects whether a connection
+     * Responds to requests, each on its own connection, with the given number of bytes, and detects whether a connection
      * ends early.
      */
     private void respond(long bytes) {
--- a/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
+++ b/src/test/java/org/micabarrow/serving/StoppingEntryTest.java
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void shouldRefuseNewRequestsUntilLastOpenOneIsAnswered() throws Exception {
+    void shouldRefuseNewRequestsUntilLastOneInFlightHasResponse() throws Exception {
         HostedSettings.Bounds usual = settings.bounds();
         settings = new HostedSettings(
                 settings.instance(),
@@ -272,7 +272,7 @@
     }
 
     @Test
-    void shouldAnswerAllPipelinedRequestsWhenStopBegins() throws IOException {
+    void shouldRespondToAllPipelinedRequestsWhenStopBegins() throws IOException {
         String responses = responsesWhenStopBegins(3);
         assertEquals(3, count(RESPONSE, responses), responses);
         assertEquals(1, count(CLOSE, responses), responses);
--- a/src/test/java/org/micabarrow/transport/PacedBodyTest.java
+++ b/src/test/java/org/micabarrow/transport/PacedBodyTest.java
@@ -22,7 +22,7 @@
 import org.micabarrow.state.Fault.Step;
 import org.micabarrow.transport.HttpClient.HttpResponse;
 
-/** Sending a chunk over a shared link. */
+/** Tests the transmission of a chunk over a shared link. */
 @Timeout(30)
 class PacedBodyTest {
 
--- a/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
+++ b/src/test/java/org/micabarrow/views/PeerFirstReaderTest.java
@@ -338,7 +338,7 @@
 
     /**
      * Manifests 1 (with other services), 2 and 3 have offsets 0 to 2, and manifest 1 was written again, late, at offset
-     * 3. Updates from entries say that services last changed at offset 1. An agent that starts reads from the saved
+     * 3. Updates from entries state that services last changed at offset 1. An agent that starts reads from the saved
      * positions that manifest 3 is at offset 2, which is not a change according to these updates.
      */
     @Test
--- a/src/test/java/org/micabarrow/weights/FakeEndpoint.java
+++ b/src/test/java/org/micabarrow/weights/FakeEndpoint.java
@@ -35,10 +35,10 @@
     boolean unresponsive;
     boolean readable = true;
 
-    /** The number of next orders that are refused, and of those whose answer is lost. */
+    /** The number of next orders that are refused, and of those whose response is lost. */
     int refusals;
 
-    int lostAnswers;
+    int lostResponses;
     Runnable onStage = () -> {};
 
     private OptionalLong startedMillis = OptionalLong.of(5_000);
@@ -53,7 +53,7 @@
     @Override
     public Result<Report> report() {
         if (unresponsive) {
-            return noAnswer(Fault.Step.STATUS);
+            return noResponse(Fault.Step.STATUS);
         }
         return Result.success(new Report(
                 modelsOf(held),
@@ -84,7 +84,7 @@
         return version == 0 ? Map.of() : Map.of("m", version);
     }
 
-    private static <T> Result<T> noAnswer(Fault.Step step) {
+    private static <T> Result<T> noResponse(Fault.Step step) {
         return Result.failure(Fault.of(step, "endpoint", Fault.Reason.UNREACHABLE, "no answer"));
     }
 
@@ -97,7 +97,7 @@
 
     @Override
     public Result<Optional<byte[]>> readStaged(String model, int index) {
-        return readable ? Result.success(Optional.ofNullable(staged.get(index))) : noAnswer(Fault.Step.STAGE);
+        return readable ? Result.success(Optional.ofNullable(staged.get(index))) : noResponse(Fault.Step.STAGE);
     }
 
     @Override
@@ -112,7 +112,7 @@
 
     private Result<OrderOutcome> acceptOrder(String description, long version, int from, int end, long expectedOrders) {
         if (unresponsive) {
-            return noAnswer(Fault.Step.ORDER);
+            return noResponse(Fault.Step.ORDER);
         }
         if (refusals > 0 || expectedOrders != orders.size()) {
             refusals--;
@@ -120,7 +120,7 @@
         }
         orders.add(description);
         loadLayers(version, from, end);
-        return lostAnswers-- > 0 ? noAnswer(Fault.Step.ORDER) : Result.success(OrderOutcome.BEGUN);
+        return lostResponses-- > 0 ? noResponse(Fault.Step.ORDER) : Result.success(OrderOutcome.BEGUN);
     }
 
     private void loadLayers(long version, int from, int end) {
--- a/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementSimulationTest.java
@@ -75,7 +75,7 @@
     }
 
     /**
-     * A refused order, a lost answer, a staged chunk that becomes corrupted, or a restart of the endpoint or of the
+     * A refused order, a lost response, a staged chunk that becomes corrupted, or a restart of the endpoint or of the
      * agent.
      */
     private void injectFailure(Random random) {
@@ -84,7 +84,7 @@
         }
         switch (random.nextInt(5)) {
             case 0 -> endpoint.refusals = 1 + random.nextInt(2);
-            case 1 -> endpoint.lostAnswers = 1 + random.nextInt(2);
+            case 1 -> endpoint.lostResponses = 1 + random.nextInt(2);
             case 2 -> endpoint.staged.put(random.nextInt(FakeOrigin.CHUNKS), new byte[] {0});
             case 3 -> endpoint.restart(random.nextBoolean());
             default -> currentController = newController();
--- a/src/test/java/org/micabarrow/weights/RetirementTest.java
+++ b/src/test/java/org/micabarrow/weights/RetirementTest.java
@@ -208,9 +208,9 @@
     }
 
     @Test
-    void shouldNotServeUnverifiedLayerWhenAnswersToOrdersAreLost() throws Exception {
+    void shouldNotServeUnverifiedLayerWhenResponsesToOrdersAreLost() throws Exception {
         holdFirstVersion();
-        endpoint.lostAnswers = 2;
+        endpoint.lostResponses = 2;
         views.addPeerTarget("m", 2);
         stepFor(STOP_MILLIS);
         assertEquals(0, endpoint.held);
--- a/src/test/java/org/micabarrow/weights/SourceSelectorTest.java
+++ b/src/test/java/org/micabarrow/weights/SourceSelectorTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void shouldSkipAgentForAWhileWhenItDidNotAnswer() {
+    void shouldSkipAgentForAWhileWhenItDidNotRespond() {
         selector.markUnresponsive(OTHER);
         assertEquals(Set.of(SourceSelector.ORIGIN), selector.activeSources());
         assertEquals(chunks(0, 1), selector.chunksWantedFrom(SourceSelector.ORIGIN));
