--- a/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
+++ b/src/test/java/org/micabarrow/serving/EndpointBackoffTest.java
@@ -14,7 +14,7 @@
 /**
  * Guards against requests to an endpoint during the backoff that it requested.
  *
- * <p>An endpoint that had requested a backoff of three seconds got 7, 8 and 20 requests from that entry
+ * <p>An endpoint that had requested a backoff of three seconds from an entry got 7, 8 and 20 requests from it
  * meanwhile and refused all of them; a third of the clients were told to retry. The endpoint responds with 503 and
  * {@code Retry-After}, the entry tries the next endpoint, and the following request finds the first one idle, since
  * refused requests do not stay there. Cause: of the head of a refusal, the entry read only that the request had not
