--- a/src/main/java/org/micabarrow/weights/ReplicaController.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -210,7 +210,7 @@
         Optional<Report> latest = report.get();
         latest.ifPresent(endpointReport -> retirement.updateHeld(endpointReport.models()));
         if (model.isEmpty() || latest.isEmpty()) {
-            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not respond" : "no manifest is known");
+            retirement.reportBlocked(latest.isEmpty() ? "the endpoint does not answer" : "no manifest is known");
             return;
         }
         if (stagedChunks.detectRestart(latest.get().startedMillis())) {
