--- /dev/null
+++ b/src/main/java/org/micabarrow/transport/callers/CallerHandler.java
@@ -0,0 +1,307 @@
+package org.micabarrow.transport.callers;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.undertow.server.HttpHandler;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.RequestTooBigException;
+import io.undertow.server.ServerConnection;
+import io.undertow.util.AttachmentKey;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.SameThreadExecutor;
+import java.io.IOException;
+import java.time.Duration;
+import java.time.InstantSource;
+import java.util.List;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Supplier;
+import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.requests.CallerRequest;
+import org.micabarrow.coordination.requests.RequestFlow;
+import org.micabarrow.coordination.routing.PrefixIndex;
+import org.micabarrow.state.CanonicalJson;
+import org.micabarrow.state.Digest;
+import org.micabarrow.state.Fault;
+import org.micabarrow.state.Fault.Reason;
+import org.micabarrow.state.Fault.Step;
+import org.micabarrow.state.FoldedState;
+import org.micabarrow.state.Organisation;
+import org.micabarrow.state.Result;
+
+/**
+ * Handles callers' HTTP requests: chat completions for models under {@code /v1/chat/completions}, and plain HTTP for
+ * services under {@code /services/NAME/}.
+ */
+public final class CallerHandler implements HttpHandler {
+
+    private static final String CHAT_PATH = "/v1/chat/completions";
+    private static final String SERVICES_PREFIX = "/services/";
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
+    private static final HttpString AT_MOST_ONCE = new HttpString("X-At-Most-Once");
+    private static final HttpString DEADLINE = new HttpString("X-Deadline-Millis");
+    private static final HttpString PRIORITY = new HttpString("X-Priority");
+    private static final AttachmentKey<CallerResponse> CURRENT_RESPONSE = AttachmentKey.create(CallerResponse.class);
+
+    /** The highest {@code max_tokens} with which a chat request without {@code X-Priority} counts as short. */
+    private static final int MAX_SHORT_REQUEST_TOKENS = 64;
+
+    /** The maximum length of an idempotency key, in characters; longer keys are refused. */
+    private static final int MAX_KEY_CHARACTERS = 256;
+
+    /** The delay after which a refused request may be retried. */
+    private static final Duration RETRY_AFTER = Duration.ofMillis(500);
+
+    private final Supplier<FoldedState> state;
+    private final RequestFlow flow;
+    private final Supplier<String> requestIds;
+    private final InstantSource clock;
+    private final long defaultDeadlineMillis;
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private volatile boolean draining;
+
+    /**
+     * Creates a handler.
+     *
+     * @param state supplies the active configuration
+     * @param flow processes the requests
+     * @param requestIds generates request ids
+     * @param clock the time source
+     * @param defaultDeadlineMillis the deadline of a request that states none, in milliseconds
+     */
+    public CallerHandler(
+            Supplier<FoldedState> state,
+            RequestFlow flow,
+            Supplier<String> requestIds,
+            InstantSource clock,
+            long defaultDeadlineMillis) {
+        this.state = Objects.requireNonNull(state, "state is null");
+        this.flow = Objects.requireNonNull(flow, "flow is null");
+        this.requestIds = Objects.requireNonNull(requestIds, "requestIds is null");
+        this.clock = Objects.requireNonNull(clock, "clock is null");
+        this.defaultDeadlineMillis = defaultDeadlineMillis;
+    }
+
+    /** Starts draining: new requests are refused, open requests continue. */
+    public void startDraining() {
+        draining = true;
+    }
+
+    /**
+     * Returns whether new requests are refused.
+     *
+     * @return true after {@link #startDraining}
+     */
+    public boolean draining() {
+        return draining;
+    }
+
+    /**
+     * Returns the number of open requests.
+     *
+     * @return the number of requests whose response is not finished
+     */
+    public int openRequests() {
+        return openRequests.get();
+    }
+
+    @Override
+    public void handleRequest(HttpServerExchange exchange) {
+        CallerResponse response = new CallerResponse(exchange, requestIds.get());
+        openRequests.incrementAndGet();
+        response.onFinish(openRequests::decrementAndGet);
+        observeConnection(exchange, response);
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (current, body) -> current.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> startRequest(exchange, body, response)),
+                        (current, error) -> current.dispatch(
+                                SameThreadExecutor.INSTANCE, () -> response.onEnd(bodyReadFailure(error))));
+    }
+
+    /**
+     * Notifies the current response when its connection closes. A connection serves one request at a time, so one close
+     * listener for each connection suffices.
+     */
+    private static void observeConnection(HttpServerExchange exchange, CallerResponse response) {
+        ServerConnection connection = exchange.getConnection();
+        boolean firstRequest = connection.getAttachment(CURRENT_RESPONSE) == null;
+        connection.putAttachment(CURRENT_RESPONSE, response);
+        if (firstRequest) {
+            connection.addCloseListener(
+                    closed -> closed.getAttachment(CURRENT_RESPONSE).onConnectionClosed());
+        }
+        exchange.addExchangeCompleteListener((current, next) -> {
+            response.finish();
+            next.proceed();
+        });
+    }
+
+    private static Outcome bodyReadFailure(IOException error) {
+        return error instanceof RequestTooBigException
+                ? refused(Step.READ, Reason.TOO_LARGE, "the body is larger than the limit")
+                : refused(Step.READ, Reason.INVALID, "the body is incomplete: " + error.getMessage());
+    }
+
+    private void startRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
+        if (draining) {
+            response.onEnd(
+                    Outcome.notRun(Fault.of(Step.READ, "entry", Reason.LEAVING, "the entry is draining"), RETRY_AFTER));
+            return;
+        }
+        switch (parseRequest(exchange, body, response)) {
+            case Result.Failure<CallerRequest>(Fault fault) -> response.onEnd(Outcome.notRun(fault, RETRY_AFTER));
+            case Result.Success<CallerRequest>(CallerRequest request) -> {
+                response.setRequest(request);
+                response.setCancelAction(flow.begin(request, response));
+            }
+        }
+    }
+
+    // -- parsing of requests
+
+    private Result<CallerRequest> parseRequest(HttpServerExchange exchange, byte[] body, CallerResponse response) {
+        return authenticate(exchange).flatMap(organisation -> {
+            String path = exchange.getRequestPath();
+            if (path.equals(CHAT_PATH)) {
+                return parseChatRequest(exchange, body, response, organisation);
+            }
+            if (path.startsWith(SERVICES_PREFIX) && path.length() > SERVICES_PREFIX.length()) {
+                return parseServiceRequest(
+                        exchange, body, response, organisation, path.substring(SERVICES_PREFIX.length()));
+            }
+            return fail(Step.READ, Reason.NOT_FOUND, "unknown path " + path);
+        });
+    }
+
+    private Result<Organisation> authenticate(HttpServerExchange exchange) {
+        String header = exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION);
+        if (header == null || !header.startsWith(BEARER_PREFIX)) {
+            return fail(Step.AUTHENTICATE, Reason.UNAUTHORISED, "the request has no bearer token");
+        }
+        FoldedState current = state.get();
+        if (current.offset() < 0) {
+            return fail(Step.AUTHENTICATE, Reason.NOT_READY, "the entry has read no configuration yet");
+        }
+        return current.organisationOf(
+                        Digest.of(header.substring(BEARER_PREFIX.length()).trim()))
+                .map(Result::success)
+                .orElseGet(() -> fail(Step.AUTHENTICATE, Reason.UNAUTHORISED, "no organisation has this token"));
+    }
+
+    private Result<CallerRequest> parseChatRequest(
+            HttpServerExchange exchange, byte[] body, CallerResponse response, Organisation organisation) {
+        if (!exchange.getRequestMethod().toString().equals("POST")) {
+            return fail(Step.READ, Reason.INVALID, CHAT_PATH + " only accepts POST");
+        }
+        JsonNode json;
+        try {
+            json = CanonicalJson.mapper().readTree(body);
+        } catch (IOException e) {
+            return fail(Step.READ, Reason.INVALID, "the body is not JSON");
+        }
+        if (!json.path("model").isTextual() || !json.path("messages").isArray()) {
+            return fail(Step.READ, Reason.INVALID, "the body needs a string \"model\" and an array \"messages\"");
+        }
+        boolean shortRequest = json.path("max_tokens").asInt(Integer.MAX_VALUE) <= MAX_SHORT_REQUEST_TOKENS;
+        StringBuilder prompt = new StringBuilder();
+        json.path("messages")
+                .forEach(message -> prompt.append(message.path("role").asText())
+                        .append(message.path("content").asText()));
+        return buildRequest(
+                exchange,
+                response,
+                new ParsedBody(
+                        organisation,
+                        json.path("model").asText(),
+                        true,
+                        CHAT_PATH,
+                        body,
+                        json.path("stream").asBoolean(false),
+                        shortRequest,
+                        PrefixIndex.blocks(prompt.toString())));
+    }
+
+    private Result<CallerRequest> parseServiceRequest(
+            HttpServerExchange exchange,
+            byte[] body,
+            CallerResponse response,
+            Organisation organisation,
+            String target) {
+        int slash = target.indexOf('/');
+        String name = slash < 0 ? target : target.substring(0, slash);
+        String path = slash < 0 ? "/" : target.substring(slash);
+        String query = exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString();
+        return buildRequest(
+                exchange,
+                response,
+                new ParsedBody(organisation, name, false, path + query, body, false, true, List.of()));
+    }
+
+    /** The parts of a request that are read differently for models and services. */
+    private record ParsedBody(
+            Organisation organisation,
+            String workload,
+            boolean model,
+            String path,
+            byte[] bytes,
+            boolean stream,
+            boolean shortRequest,
+            List<Long> prefixBlocks) {}
+
+    private Result<CallerRequest> buildRequest(HttpServerExchange exchange, CallerResponse response, ParsedBody body) {
+        HeaderMap headers = exchange.getRequestHeaders();
+        Optional<String> key = Optional.ofNullable(headers.getFirst(IDEMPOTENCY_KEY));
+        if (key.isPresent() && (key.get().isBlank() || key.get().length() > MAX_KEY_CHARACTERS)) {
+            return fail(
+                    Step.READ, Reason.INVALID, "Idempotency-Key must have 1 to " + MAX_KEY_CHARACTERS + " characters");
+        }
+        Optional<Long> deadlineAfterMillis = parseDeadline(headers.getFirst(DEADLINE));
+        if (deadlineAfterMillis.isEmpty()) {
+            return fail(Step.READ, Reason.INVALID, DEADLINE + " must be a positive whole number of milliseconds");
+        }
+        String contentType = Optional.ofNullable(headers.getFirst(Headers.CONTENT_TYPE))
+                .orElse(body.model() ? "application/json" : "application/octet-stream");
+        boolean shortRequest = Optional.ofNullable(headers.getFirst(PRIORITY))
+                .map("short"::equals)
+                .orElse(body.shortRequest());
+        return Result.success(new CallerRequest(
+                response.requestId(),
+                body.organisation(),
+                body.workload(),
+                body.model(),
+                exchange.getRequestMethod().toString(),
+                body.path(),
+                contentType,
+                body.bytes(),
+                body.stream(),
+                "true".equals(headers.getFirst(AT_MOST_ONCE)),
+                key,
+                clock.millis() + deadlineAfterMillis.get(),
+                shortRequest ? 0 : 1,
+                body.prefixBlocks()));
+    }
+
+    private Optional<Long> parseDeadline(String header) {
+        if (header == null) {
+            return Optional.of(defaultDeadlineMillis);
+        }
+        try {
+            long millis = Long.parseLong(header.trim());
+            return millis > 0 ? Optional.of(Math.min(millis, Duration.ofHours(1).toMillis())) : Optional.empty();
+        } catch (NumberFormatException e) {
+            return Optional.empty();
+        }
+    }
+
+    private static <T> Result<T> fail(Step step, Reason reason, String message) {
+        return Result.failure(Fault.of(step, "caller", reason, message));
+    }
+
+    private static Outcome refused(Step step, Reason reason, String message) {
+        return Outcome.notRun(Fault.of(step, "caller", reason, message), RETRY_AFTER);
+    }
+}
