--- a/src/main/java/org/micabarrow/coordination/agents/AgentRun.java
+++ b/src/main/java/org/micabarrow/coordination/agents/AgentRun.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.endpoint.EndpointCalls;
 import org.micabarrow.state.Fault;
@@ -32,16 +32,16 @@
     private final AgentFlow flow;
     private final AgentFlow.Parts parts;
     private final AgentRequest request;
-    private final AnswerListener listener;
+    private final ResponseListener listener;
     private final AtomicBoolean ended = new AtomicBoolean();
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
     private volatile Runnable cancelCall = () -> {};
     private volatile boolean cancelled;
     private String version = "";
     private long startedMillis;
-    private Optional<AnswerHead> head = Optional.empty();
+    private Optional<ResponseHead> head = Optional.empty();
 
-    AgentRun(AgentFlow flow, AgentFlow.Parts parts, AgentRequest request, AnswerListener listener) {
+    AgentRun(AgentFlow flow, AgentFlow.Parts parts, AgentRequest request, ResponseListener listener) {
         this.flow = flow;
         this.parts = parts;
         this.request = request;
@@ -64,7 +64,7 @@
 
     private void startOn(String wanted) {
         version = wanted;
-        if (!parts.limit().tryOpen(request.shortRequest())) {
+        if (!parts.limit().tryAcquire(request.shortRequest())) {
             refuse(notRun(Reason.OVERLOADED, "as many requests run as the endpoint bears"));
             return;
         }
@@ -130,7 +130,7 @@
             return;
         }
         learn(parts.clock().millis() - startedMillis);
-        head = Optional.of(new AnswerHead(
+        head = Optional.of(new ResponseHead(
                 request.attempt(),
                 status,
                 contentType,
@@ -145,7 +145,7 @@
     /** Only what begins about as soon as others do tells of load: an unstreamed long answer begins when it ends. */
     private void learn(long millis) {
         if (request.shortRequest() || request.stream()) {
-            parts.limit().began(millis);
+            parts.limit().recordFirstByte(millis);
             parts.share().began(millis);
         }
     }
@@ -164,21 +164,21 @@
 
     @Override
     public void onComplete() {
-        request.claim().ifPresent(claim -> parts.ledger().ended(claim.key(), answer()));
+        request.claim().ifPresent(claim -> parts.ledger().recordEnd(claim.key(), answer()));
         finish(Outcome.answered());
     }
 
-    private Optional<Ledger.Answer> answer() {
-        return head.map(one -> new Ledger.Answer(one.status(), one.contentType(), kept.toByteArray()));
+    private Optional<Ledger.StoredResponse> answer() {
+        return head.map(one -> new Ledger.StoredResponse(one.status(), one.contentType(), kept.toByteArray()));
     }
 
     @Override
     public void onFailed(Fault fault, boolean sent) {
         if (sent) {
-            request.claim().ifPresent(claim -> parts.ledger().ended(claim.key(), Optional.empty()));
+            request.claim().ifPresent(claim -> parts.ledger().recordEnd(claim.key(), Optional.empty()));
             finish(Outcome.unknown(fault));
         } else {
-            request.claim().ifPresent(claim -> parts.ledger().neverRan(claim.key()));
+            request.claim().ifPresent(claim -> parts.ledger().recordNotRun(claim.key()));
             finish(Outcome.notRun(fault, RETRY_AFTER));
         }
     }
@@ -196,7 +196,7 @@
     /** Gives the place back and ends the attempt. */
     private void finish(Outcome outcome) {
         if (ended.compareAndSet(false, true)) {
-            parts.limit().close(request.shortRequest());
+            parts.limit().release(request.shortRequest());
             flow.closed(version);
             log("end outcome=" + outcome.getClass().getSimpleName());
             listener.onEnd(outcome);
--- a/src/main/java/org/micabarrow/process/AgentProcess.java
+++ b/src/main/java/org/micabarrow/process/AgentProcess.java
@@ -210,7 +210,7 @@
     private void pollReports() {
         while (!closed) {
             Result<Endpoint.Report> report = endpoint.report();
-            report.toOptional().ifPresent(told -> concurrency.suggest(told.slots()));
+            report.toOptional().ifPresent(told -> concurrency.initialize(told.slots()));
             node.control().execute(() -> {
                 List<Endpoint.Order> orders = replicas.reported(report.toOptional());
                 orders.forEach(order -> threads.execute(() -> give(order)));
--- a/src/main/java/org/micabarrow/protocol/ResponseMessages.java
+++ b/src/main/java/org/micabarrow/protocol/ResponseMessages.java
@@ -3,8 +3,8 @@
 import com.google.protobuf.ByteString;
 import java.time.Duration;
 import java.util.Optional;
-import org.micabarrow.coordination.calls.AnswerHead;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.protocol.wire.End;
 import org.micabarrow.protocol.wire.HandleReply;
@@ -25,7 +25,7 @@
      * @param head the status, content type and origin of the response
      * @return the message
      */
-    public static HandleReply toWire(AnswerHead head) {
+    public static HandleReply toWire(ResponseHead head) {
         Head message = Head.newBuilder()
                 .setStatus(head.status())
                 .setContentType(head.contentType())
@@ -47,9 +47,9 @@
      * @param reply the message that carries the head
      * @return the response head
      */
-    public static AnswerHead headOf(HandleReply reply) {
+    public static ResponseHead headOf(HandleReply reply) {
         Head head = reply.getHead();
-        return new AnswerHead(
+        return new ResponseHead(
                 reply.getAttempt(),
                 head.getStatus(),
                 head.getContentType(),
@@ -116,19 +116,19 @@
      * @param settled the state, empty if the claim names another process
      * @return the message
      */
-    public static SettleReply toWire(Optional<Ledger.Settled> settled) {
+    public static SettleReply toWire(Optional<Ledger.Settlement> settled) {
         if (settled.isEmpty()) {
             return SettleReply.newBuilder().setState(SettleReply.State.LOST).build();
         }
         SettleReply.Builder reply = SettleReply.newBuilder()
                 .setState(
-                        switch (settled.get().fate()) {
+                        switch (settled.get().state()) {
                             case REFUSED -> SettleReply.State.REFUSED;
                             case RUNNING -> SettleReply.State.RUNNING;
                             case DONE -> SettleReply.State.DONE;
                         });
         settled.get()
-                .answer()
+                .response()
                 .ifPresent(response -> reply.setHead(
                                 Head.newBuilder().setStatus(response.status()).setContentType(response.contentType()))
                         .setAnswer(ByteString.copyFrom(response.body())));
@@ -141,17 +141,17 @@
      * @param reply the message
      * @return the state, empty if the claim names another process
      */
-    public static Optional<Ledger.Settled> fromWire(SettleReply reply) {
-        Optional<Ledger.Answer> response = reply.hasHead()
-                ? Optional.of(new Ledger.Answer(
+    public static Optional<Ledger.Settlement> fromWire(SettleReply reply) {
+        Optional<Ledger.StoredResponse> response = reply.hasHead()
+                ? Optional.of(new Ledger.StoredResponse(
                         reply.getHead().getStatus(),
                         reply.getHead().getContentType(),
                         reply.getAnswer().toByteArray()))
                 : Optional.empty();
         return switch (reply.getState()) {
-            case REFUSED -> Optional.of(new Ledger.Settled(Ledger.Fate.REFUSED, Optional.empty()));
-            case RUNNING -> Optional.of(new Ledger.Settled(Ledger.Fate.RUNNING, Optional.empty()));
-            case DONE -> Optional.of(new Ledger.Settled(Ledger.Fate.DONE, response));
+            case REFUSED -> Optional.of(new Ledger.Settlement(Ledger.KeyState.REFUSED, Optional.empty()));
+            case RUNNING -> Optional.of(new Ledger.Settlement(Ledger.KeyState.RUNNING, Optional.empty()));
+            case DONE -> Optional.of(new Ledger.Settlement(Ledger.KeyState.DONE, response));
             default -> Optional.empty();
         };
     }
--- a/src/main/java/org/micabarrow/transport/callers/CallerResponse.java
+++ b/src/main/java/org/micabarrow/transport/callers/CallerResponse.java
@@ -14,9 +14,9 @@
 import java.util.Objects;
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.requests.CallerRequest;
 import org.micabarrow.state.CanonicalJson;
 import org.micabarrow.state.Fault;
@@ -28,7 +28,7 @@
  * Writes the response to one caller request. Its headers state where the request was handled. A response that fails after
  * its head was sent closes the connection, so that the caller cannot take it for a complete response.
  */
-final class CallerResponse implements AnswerListener {
+final class CallerResponse implements ResponseListener {
 
     private static final Logger AUDIT = LoggerFactory.getLogger("org.micabarrow.audit");
     private static final String HEADER_PREFIX = "X-Micabarrow-";
@@ -37,7 +37,7 @@
     private final HttpServerExchange exchange;
     private final String requestId;
     private volatile Optional<CallerRequest> request = Optional.empty();
-    private volatile Optional<AnswerHead> head = Optional.empty();
+    private volatile Optional<ResponseHead> head = Optional.empty();
     private volatile boolean ended;
     private volatile boolean connectionClosed;
     private volatile Runnable cancelAction = () -> {};
@@ -89,7 +89,7 @@
     // -- parts of the response
 
     @Override
-    public void onHead(AnswerHead newHead) {
+    public void onHead(ResponseHead newHead) {
         head = Optional.of(newHead);
         exchange.setStatusCode(newHead.status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, newHead.contentType());
@@ -200,12 +200,12 @@
                 request.map(parsed -> parsed.organisation().name()).orElse("-"),
                 request.map(CallerRequest::workload).orElse("-"),
                 outcome.getClass().getSimpleName(),
-                head.map(AnswerHead::instance).orElse("-"),
-                head.map(AnswerHead::hall).orElse("-"),
-                head.map(AnswerHead::region).orElse("-"),
-                head.map(AnswerHead::version).orElse("-"),
-                head.map(AnswerHead::generation).orElse(-1L),
-                head.map(AnswerHead::attempt).orElse("-"),
+                head.map(ResponseHead::instance).orElse("-"),
+                head.map(ResponseHead::hall).orElse("-"),
+                head.map(ResponseHead::region).orElse("-"),
+                head.map(ResponseHead::version).orElse("-"),
+                head.map(ResponseHead::generation).orElse(-1L),
+                head.map(ResponseHead::attempt).orElse("-"),
                 reasonSuffix(outcome));
     }
 
--- a/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerClient.java
@@ -15,9 +15,9 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import org.micabarrow.coordination.calls.AgentCalls;
+import org.micabarrow.coordination.calls.AgentClient;
 import org.micabarrow.coordination.calls.AgentRequest;
-import org.micabarrow.coordination.calls.AnswerListener;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.claims.Claim;
 import org.micabarrow.coordination.claims.Ledger;
 import org.micabarrow.coordination.configuration.ConfigurationReader;
@@ -39,7 +39,7 @@
 import org.micabarrow.state.Result;
 
 /** Calls other processes of the system over gRPC and keeps one channel to each. */
-public final class PeerClient implements AgentCalls, ConfigurationReader.Peers, AutoCloseable {
+public final class PeerClient implements AgentClient, ConfigurationReader.Peers, AutoCloseable {
 
     /** The timeout of a call that a peer answers from memory. */
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
@@ -99,7 +99,7 @@
     // -- requests
 
     @Override
-    public Runnable handle(Replica replica, AgentRequest request, AnswerListener listener) {
+    public Runnable handle(Replica replica, AgentRequest request, ResponseListener listener) {
         ResponseReceiver receiver = new ResponseReceiver(
                 replica,
                 request.attempt(),
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public CompletableFuture<Result<Optional<Ledger.Settled>>> settle(Replica replica, Claim claim) {
+    public CompletableFuture<Result<Optional<Ledger.Settlement>>> settle(Replica replica, Claim claim) {
         SettleRequest request = SettleRequest.newBuilder()
                 .setClaim(RequestMessages.toWire(claim))
                 .build();
--- a/src/main/java/org/micabarrow/transport/grpc/PeerService.java
+++ b/src/main/java/org/micabarrow/transport/grpc/PeerService.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 import org.micabarrow.coordination.agents.AgentFlow;
 import org.micabarrow.coordination.agents.Holding;
-import org.micabarrow.coordination.calls.AnswerHead;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseHead;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.configuration.Configuration;
 import org.micabarrow.coordination.log.PlatformLog;
 import org.micabarrow.protocol.RequestMessages;
@@ -100,7 +100,7 @@
     }
 
     /** Writes the response to one attempt, applying the backpressure of the calling entry. */
-    private final class ResponseWriter implements AnswerListener {
+    private final class ResponseWriter implements ResponseListener {
 
         private final String attempt;
         private final ServerCallStreamObserver<HandleReply> replies;
@@ -136,7 +136,7 @@
         }
 
         @Override
-        public void onHead(AnswerHead head) {
+        public void onHead(ResponseHead head) {
             send(ResponseMessages.toWire(head));
         }
 
--- a/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
+++ b/src/main/java/org/micabarrow/transport/grpc/ResponseReceiver.java
@@ -6,8 +6,8 @@
 import java.time.InstantSource;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
-import org.micabarrow.coordination.calls.AnswerListener;
 import org.micabarrow.coordination.calls.Outcome;
+import org.micabarrow.coordination.calls.ResponseListener;
 import org.micabarrow.coordination.membership.PeerView;
 import org.micabarrow.protocol.ResponseMessages;
 import org.micabarrow.protocol.StatusMessages;
@@ -23,7 +23,7 @@
 
     private final Replica replica;
     private final String attempt;
-    private final AnswerListener listener;
+    private final ResponseListener listener;
     private final Consumer<PeerView.Load> loadListener;
     private final InstantSource clock;
     private final MetricRegistry metrics;
@@ -33,7 +33,7 @@
     ResponseReceiver(
             Replica replica,
             String attempt,
-            AnswerListener listener,
+            ResponseListener listener,
             Consumer<PeerView.Load> loadListener,
             InstantSource clock,
             MetricRegistry metrics) {
--- a/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
+++ b/src/main/java/org/micabarrow/transport/operators/RouteExplainer.java
@@ -60,7 +60,7 @@
 
     private OperatorMessages.ExplainResponse explanationOf(
             String organisation, String workload, ActivePlacement placed) {
-        Router.Wish preferences = new Router.Wish(List.of(), true, Set.of(), clock.millis());
+        Router.Criteria preferences = new Router.Criteria(List.of(), true, Set.of(), clock.millis());
         Router.Decision decision =
                 dependencies.router().route(placed, dependencies.agentTable().peers(), preferences);
         Map<String, Exclusion.Reason> reasons = new HashMap<>();
