--- a/src/main/java/org/micabarrow/weights/ReplicaController.java
+++ b/src/main/java/org/micabarrow/weights/ReplicaController.java
@@ -98,7 +98,7 @@
     /**
      * The endpoint's last report.
      *
-     * @return the report, empty while the endpoint does not answer
+     * @return the report, empty while the endpoint does not respond
      */
     public Optional<Report> report() {
         return report.get();
@@ -127,7 +127,7 @@
     /**
      * Whether the endpoint serves the newest named version, so that there is nothing to fetch, to order or to stop.
      *
-     * @return false also while the endpoint does not answer, loads weights, or is cordoned
+     * @return false also while the endpoint does not respond, loads weights, or is cordoned
      */
     public boolean isUpToDate() {
         Optional<String> model = dependencies.model().get();
--- a/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
+++ b/src/test/java/org/micabarrow/crashes/PoisonRequestDetectorTest.java
@@ -25,13 +25,13 @@
     }
 
     /**
-     * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters stand for requests
+     * Parses crashes given as {@code time:requests}, such as {@code 0:ab 5:ac}. Capital letters denote requests
      * whose responses had begun.
      */
     private static PoisonRequestDetector.Evidence evidence(String crashes) {
         Map<RequestDigest, Set<String>> at = new HashMap<>();
         Map<String, Long> times = new HashMap<>();
-        Set<RequestDigest> partlyAnswered = new HashSet<>();
+        Set<RequestDigest> partlyResponded = new HashSet<>();
         for (String crash : crashes.split(" ")) {
             String[] parts = crash.split(":");
             String endpoint = "e" + times.size();
@@ -40,11 +40,11 @@
                 RequestDigest digest = digest(String.valueOf(Character.toLowerCase(request)));
                 at.computeIfAbsent(digest, key -> new HashSet<>()).add(endpoint);
                 if (Character.isUpperCase(request)) {
-                    partlyAnswered.add(digest);
+                    partlyResponded.add(digest);
                 }
             }
         }
-        return new PoisonRequestDetector.Evidence(at, partlyAnswered, times);
+        return new PoisonRequestDetector.Evidence(at, partlyResponded, times);
     }
 
     @ParameterizedTest
