--- a/src/main/java/org/micabarrow/coordination/claims/ClaimStream.java
+++ b/src/main/java/org/micabarrow/coordination/claims/ClaimStream.java
@@ -102,7 +102,7 @@
         return pendingClaim
                 .result()
                 .completeOnTimeout(
-                        new ClaimResult.Failed(fault(Reason.TIMEOUT, "the claim did not appear in the log in time")),
+                        new ClaimResult.Failed(fault(Reason.TIMEOUT, "the claim was not seen in the log in time")),
                         timeout.toMillis(),
                         TimeUnit.MILLISECONDS)
                 .whenComplete((result, thrown) -> removePending(claim.attempt()));
--- a/src/main/java/org/micabarrow/coordination/claims/Ledger.java
+++ b/src/main/java/org/micabarrow/coordination/claims/Ledger.java
@@ -101,13 +101,13 @@
         Entry entry = entries.get(claim.key());
         if (entry != null) {
             return switch (entry.state()) {
-                case REFUSED -> new Start.Refused("the key was refused permanently by this process");
+                case REFUSED -> new Start.Refused("the key was refused here for good");
                 case RUNNING -> new Start.Running();
                 case DONE -> new Start.Done(entry.response());
             };
         }
         if (nowMillis > claim.latestStartMillis()) {
-            return new Start.Refused("the latest start time has passed");
+            return new Start.Refused("the latest start has passed");
         }
         if (entries.size() >= capacity) {
             return new Start.Refused("the ledger is full");
--- a/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
+++ b/src/main/java/org/micabarrow/coordination/requests/KeyClaimer.java
@@ -158,7 +158,7 @@
     private void returnStored(Replica replica, Claim holder, Optional<Ledger.StoredResponse> response) {
         if (response.isEmpty()) {
             callback.onEnd(Outcome.unknown(Fault.of(
-                    Step.CLAIM, replica.instance(), Reason.GONE, "the request ran; its response is no longer stored")));
+                    Step.CLAIM, replica.instance(), Reason.GONE, "the request ran; its answer is not kept any more")));
             return;
         }
         sink.onHead(new ResponseHead(
--- a/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestExecution.java
@@ -107,7 +107,7 @@
      */
     boolean tryDispatch() {
         if (cancelled) {
-            end(Outcome.notRun(fault(Reason.CANCELLED, "the caller has disconnected"), RETRY_SOON));
+            end(Outcome.notRun(fault(Reason.CANCELLED, "the caller has gone"), RETRY_SOON));
             return true;
         }
         if (now() >= request.deadlineMillis()) {
@@ -116,8 +116,7 @@
         }
         Optional<ActivePlacement> placed = flow.placementOf(request);
         if (placed.isEmpty()) {
-            end(Outcome.notRun(
-                    fault(Reason.OUTSIDE_PLACEMENT, "the placement no longer allows the request"), RETRY_SOON));
+            end(Outcome.notRun(fault(Reason.OUTSIDE_PLACEMENT, "the placement was narrowed"), RETRY_SOON));
             return true;
         }
         Router.Decision decision = flow.route(placed.get(), criteria());
@@ -143,8 +142,7 @@
         Outcome.NotRun refusal = lastRefusal.orElseGet(() -> new Outcome.NotRun(
                 fault(
                         full ? Reason.OVERLOADED : Reason.NOT_READY,
-                        "no instance of " + placed.placement().name() + " can take the request: "
-                                + decision.exclusions()),
+                        "no instance of " + placed.placement().name() + " can take it: " + decision.exclusions()),
                 full ? RETRY_LATER : RETRY_SOON));
         end(refusal);
         return false;
@@ -153,7 +151,7 @@
     private void send(ActivePlacement placed, Router.Decision decision) {
         Replica replica = decision.chosen().orElseThrow();
         if (now() + decision.expectedWaitMillis() > request.deadlineMillis()) {
-            end(Outcome.notRun(fault(Reason.TOO_LATE, "the response would start after the deadline"), RETRY_LATER));
+            end(Outcome.notRun(fault(Reason.TOO_LATE, "the answer would begin after the deadline"), RETRY_LATER));
             return;
         }
         attempts++;
@@ -191,7 +189,7 @@
         @Override
         public void onRefused(Claim holder) {
             refusedAttempt = Optional.of(holder.attempt());
-            retry(new Outcome.NotRun(fault(Reason.NOT_READY, "the attempt was refused permanently"), RETRY_SOON));
+            retry(new Outcome.NotRun(fault(Reason.NOT_READY, "the attempt was refused for good"), RETRY_SOON));
         }
 
         @Override
--- a/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
+++ b/src/main/java/org/micabarrow/coordination/requests/RequestFlow.java
@@ -194,11 +194,7 @@
         return queued
                 ? Optional.empty()
                 : Optional.of(new Outcome.NotRun(
-                        Fault.of(
-                                Step.ROUTE,
-                                "entry",
-                                Reason.OVERLOADED,
-                                "too many requests are waiting for a free slot"),
+                        Fault.of(Step.ROUTE, "entry", Reason.OVERLOADED, "too many requests wait for room"),
                         Duration.ofMillis(Math.max(RETRY_AFTER.toMillis(), waitMillis))));
     }
 
