--- a/src/main/java/org/micabarrow/transport/HttpClient.java
+++ b/src/main/java/org/micabarrow/transport/HttpClient.java
@@ -240,7 +240,7 @@
                 // would cost a later request its full timeout.
                 closeIdle.run();
                 long waitedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
-                String problem = collector.hasBegun() ? "the response stopped after " : "no response within ";
+                String problem = collector.hasBegun() ? "the answer stopped after " : "no answer within ";
                 return failed(Reason.TIMEOUT, problem + waitedMillis + " ms");
             } catch (ExecutionException e) {
                 return failed(Reason.UNREACHABLE, String.valueOf(e.getCause()));
--- a/src/main/java/org/micabarrow/transport/HttpExchange.java
+++ b/src/main/java/org/micabarrow/transport/HttpExchange.java
@@ -162,7 +162,7 @@
 
             @Override
             public void failed(IOException e) {
-                fail(Reason.UNREACHABLE, "no response: " + e.getMessage());
+                fail(Reason.UNREACHABLE, "no answer: " + e.getMessage());
             }
         };
     }
@@ -189,7 +189,7 @@
             }
             source.suspendReads();
         } catch (IOException e) {
-            fail(Reason.UNREACHABLE, "the response broke off: " + e.getMessage());
+            fail(Reason.UNREACHABLE, "the answer broke off: " + e.getMessage());
         }
     }
 
